--- a/include/thornwick/settings.hpp
+++ b/include/thornwick/settings.hpp
@@ -20,12 +20,12 @@
 
 // A class of request. Objectives and deadlines must be above 0.
 struct ClassSettings {
-  double priority_weight = 1;          // of a request answered within its latency objective
-  double late_weight = 0;              // proportion of it that is left between the objective and the deadline
-  Time latency_objective = 1'000'000;  // wanted time to the first token (or to the answer)
+  double priority_weight = 1;  // of a request answered within its latency objective
+  double late_weight = 0;      // proportion of it that is left between the objective and the deadline
+  Time latency_objective = seconds(1);                // wanted time to the first token (or to the answer)
   Time latency_objective_per_1000_prompt_tokens = 0;  // is added to it
   double latency_objective_stretch = 0;  // the objective also grows by this multiple of work_hint
-  Time deadline = 10'000'000;
+  Time deadline = seconds(10);
   bool streamed = true;
   Effect effect = Effect::safe;
   DedupScope dedup_scope = DedupScope::all;
@@ -61,10 +61,10 @@
   std::uint16_t zone_count = 1;
   std::vector<ClassSettings> classes;  // one at least
   std::vector<TenantSettings> tenants;
-  double over_share_weight = 1;         // factor on the weight of a request beyond its tenant's share
-  double cross_zone_price = 0;          // cost of an attempt that leaves the zone, as part of a mean weight
-  bool discovery_by_polling = false;    // the endpoint list has to be asked for
-  Time max_poll_interval = 10'000'000;  // longest time without a subscription or a call; above 0
+  double over_share_weight = 1;          // factor on the weight of a request beyond its tenant's share
+  double cross_zone_price = 0;           // cost of an attempt that leaves the zone, as part of a mean weight
+  bool discovery_by_polling = false;     // the endpoint list has to be asked for
+  Time max_poll_interval = seconds(10);  // longest time without a subscription or a call; above 0
   WeightSource weights = WeightSource::none;
   std::vector<ReportField> report_fields;  // of the values in a load report, in their order
   bool may_cancel = false;
@@ -73,12 +73,12 @@
   bool hedging = false;      // two attempts of a request may be outstanding at once
   bool retry_after = false;  // clients can be told how long to stay away
   Time max_retry_after = 0;
-  std::uint32_t max_attempts = 1;   // of each request; 1 at least
-  Time drain_grace = 0;             // nothing is sent to a draining replica later than this
-  double initial_capacity = 1;      // 0..1; a replica starts at this proportion of its capacity or above
-  Time warm_up = 0;                 // and has all of it after this time
-  double overload_multiple = 2;     // above 0; sent more than this multiple of its present capacity ...
-  Time overload_after = 1'000'000;  // ... for this long, a cold replica fails
+  std::uint32_t max_attempts = 1;    // of each request; 1 at least
+  Time drain_grace = 0;              // nothing is sent to a draining replica later than this
+  double initial_capacity = 1;       // 0..1; a replica starts at this proportion of its capacity or above
+  Time warm_up = 0;                  // and has all of it after this time
+  double overload_multiple = 2;      // above 0; sent more than this multiple of its present capacity ...
+  Time overload_after = seconds(1);  // ... for this long, a cold replica fails
 };
 
 }  // namespace thornwick
--- a/include/thornwick/types.hpp
+++ b/include/thornwick/types.hpp
@@ -3,9 +3,10 @@
 
 #include <cstdint>
 
+#include "thornwick/time.hpp"
+
 namespace thornwick {
 
-using Time = std::int64_t;  // microseconds on any clock that only advances
 using ReplicaId = std::uint32_t;
 using RequestId = std::uint64_t;
 
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -20,7 +20,7 @@
 constexpr double kHoldersPerShare = 2;       // holders wanted for each replica's fair share of the requests
 constexpr double kWorthASession = 0.5;  // of the prefix' tokens: a surer beginning beats a doubtful session
 
-std::uint32_t seconds(Time now) { return static_cast<std::uint32_t>(std::max<Time>(0, now) / 1'000'000); }
+std::uint32_t whole_seconds(Time now) { return static_cast<std::uint32_t>(std::max<Time>(0, now) / 1'000'000); }
 std::uint32_t whole(double tokens) { return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, 4e9)); }
 std::uint32_t odometer(double sent) {
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, sent) / kUnit));
@@ -114,7 +114,7 @@
 }
 
 CacheHint AffinityTable::recall(Time now, const Request& request) {
-  const std::uint32_t second = seconds(now);
+  const std::uint32_t second = whole_seconds(now);
   CacheHint cache_hint;
   Found found;
   Session* session = request.session == 0 ? nullptr : table_.sessions().use(request.session);
@@ -164,7 +164,7 @@
 Expectation AffinityTable::began(Time now, const Request& request, ReplicaId id) {
   const auto slot = replicas_.slot_of(id);
   if (!slot) return {};
-  const Expectation was = expected(request, *slot, seconds(now));
+  const Expectation was = expected(request, *slot, whole_seconds(now));
   believe(now, request, *slot);
   return was;
 }
@@ -183,7 +183,7 @@
   }
   believe(now, request, *slot);
   if (++replica.answers % kSaveBoxEvery == 0) save_replica(*slot);
-  forget_some(seconds(now));
+  forget_some(whole_seconds(now));
 }
 
 void AffinityTable::sent(Time now, Replica& replica, double tokens) {
@@ -244,13 +244,13 @@
   const double prompt = request.prompt_tokens, beginning = std::min(request.prefix_tokens, prompt);
   const Replica& replica = replicas_.at(slot);
   const auto mark = [&](auto& copies, double tokens) {
-    copies.place(slot) = {whole(tokens), odometer(replica.sent), seconds(now), slot, replica.epoch};
+    copies.place(slot) = {whole(tokens), odometer(replica.sent), whole_seconds(now), slot, replica.epoch};
   };
   if (request.session != 0 && prompt >= kLeastTokens) {
     Session& session = table_.sessions().put(request.session, [&](std::uint64_t key, const Session&) {
       if (journal_ != nullptr) journal_->session_gone(key);
     });
-    if (!any_living(session.copies, seconds(now)))
+    if (!any_living(session.copies, whole_seconds(now)))
       session.cached_size = whole(request.prompt_tokens + request.max_tokens);
     session.prefix = request.prefix;
     mark(session.copies, prompt);
--- a/src/affinity/affinity_table.hpp
+++ b/src/affinity/affinity_table.hpp
@@ -17,7 +17,7 @@
 struct Options {
   TableLimits table;
   std::size_t max_replicas = 4096;
-  Time lifetime = 1'800'000'000;         // an entry unused for longer is forgotten
+  Time lifetime = seconds(1'800);        // an entry unused for longer is forgotten
   double answers_per_false_alarm = 1e5;  // between false losses of trust, for each replica and for the fleet
 };
 
--- a/src/budgets/account_backend.cpp
+++ b/src/budgets/account_backend.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Microseconds: about as long as a journal that is behind takes to make a record durable.
-constexpr Time kJournalRetryAfter = 1'000'000;
+constexpr Time kJournalRetryAfter = seconds(1);
 
 // Whether `left` holds a request back for longer than `right`; without a time to retry it is for ever.
 bool outlasts(const Denial& left, const Denial& right) {
--- a/src/budgets/fair_share.cpp
+++ b/src/budgets/fair_share.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr Time kMeasureWindow = 500'000;  // over which the served rate is measured
-constexpr Time kMaxRetryAfter = 60'000'000;
-constexpr Time kMinDecreaseInterval = 100'000;  // signs of scarcity come in bursts
-constexpr double kMinRate = 1;                  // tokens a second: something always gets through
-constexpr double kMinActiveWeight = 1e-9;       // avoids a division by zero
-constexpr double kMinCost = 1;                  // tokens
+constexpr Time kMeasureWindow = milliseconds(500);  // over which the served rate is measured
+constexpr Time kMaxRetryAfter = seconds(60);
+constexpr Time kMinDecreaseInterval = milliseconds(100);  // signs of scarcity come in bursts
+constexpr double kMinRate = 1;                            // tokens a second: something always gets through
+constexpr double kMinActiveWeight = 1e-9;                 // avoids a division by zero
+constexpr double kMinCost = 1;                            // tokens
 
 double in_seconds(Time duration) { return static_cast<double>(duration) / kMicrosecondsPerSecond; }
 
--- a/src/budgets/fair_share.hpp
+++ b/src/budgets/fair_share.hpp
@@ -20,12 +20,12 @@
 namespace thornwick::budgets {
 
 struct FairOptions {
-  std::vector<double> weights;         // of members, by number; beyond: 1. Above 0
-  double max_ahead_s = 0.25;           // of the service's tokens that one member may be ahead
-  Time idle_after = 1'000'000;         // a member that has not asked for so long leaves its share to others
-  double growth_per_s = 0.1;           // part by which the handed-out rate grows while nothing is scarce
-  double decrease_factor = 0.9;        // of the rate, at a sign of scarcity; never below what is served
-  Time scarcity_duration = 2'000'000;  // after the last sign of scarcity
+  std::vector<double> weights;          // of members, by number; beyond: 1. Above 0
+  double max_ahead_s = 0.25;            // of the service's tokens that one member may be ahead
+  Time idle_after = seconds(1);         // a member that has not asked for so long leaves its share to others
+  double growth_per_s = 0.1;            // part by which the handed-out rate grows while nothing is scarce
+  double decrease_factor = 0.9;         // of the rate, at a sign of scarcity; never below what is served
+  Time scarcity_duration = seconds(2);  // after the last sign of scarcity
 };
 
 class FairShare {
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -5,7 +5,7 @@
 namespace thornwick::budgets {
 namespace {
 
-constexpr Time kSecond = 1'000'000;  // in microseconds
+constexpr Time kSecond = seconds(1);  // in microseconds
 
 __extension__ using Wide = __int128;  // for intermediate results
 
@@ -22,11 +22,11 @@
 Time length_of(Span span) {
   switch (span) {
     case Span::bucket: return 0;
-    case Span::minute: return 60 * kSecond;
-    case Span::hour: return 3600 * kSecond;
+    case Span::minute: return seconds(60);
+    case Span::hour: return seconds(3600);
     case Span::day: break;
   }
-  return 86'400 * kSecond;
+  return seconds(86'400);
 }
 
 Units sum_of(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -5,9 +5,9 @@
 #include <cstdlib>
 
 #include "fronts/json.hpp"
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
-namespace thornwick {
+namespace thornwick::config {
 namespace {
 
 using simdjson::dom::element;
@@ -86,8 +86,8 @@
   }
   try {
     config.settings_text = flatten(settings);
-    config.settings = wire::parse_settings(config.settings_text, read_seed(json));
-  } catch (const wire::Malformed& problem) {
+    config.settings = simulator_adapter::parse_settings(config.settings_text, read_seed(json));
+  } catch (const simulator_adapter::Malformed& problem) {
     throw BadConfig(std::string("configuration: ") + problem.what());
   }
   config.classes = texts_at(settings, "/grades");
@@ -156,4 +156,4 @@
   return names;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::config
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -10,7 +10,7 @@
 #include "config/operator_file.hpp"
 #include "thornwick/routing_policy.hpp"
 
-namespace thornwick {
+namespace thornwick::config {
 
 // Nested JSON as path=value lines: lists of plain values joined with commas, lists of objects with a count.
 std::string flatten(simdjson::dom::element json);
@@ -25,7 +25,7 @@
   std::string settings_text;  // as flattened, to tell whether a file read again changes them
   // What the settings say that is no decision's business.
   std::vector<std::string> classes, tenants, zones, kinds, report_fields;
-  Time keepalive = 5'000'000, dial_limit = 120'000, silence_limit = 3'000'000;
+  Time keepalive = seconds(5), dial_limit = milliseconds(120), silence_limit = seconds(3);
   std::string known;  // JSON: discovery's list, as this router last held it
   OperatorFile added;
 };
@@ -40,4 +40,4 @@
 // The fields that differ and only take effect at the next start, by name; empty if there are none.
 std::string needs_restart(const Config& old, const Config& fresh);
 
-}  // namespace thornwick
+}  // namespace thornwick::config
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -7,7 +7,7 @@
 
 #include "settings/section.hpp"
 
-namespace thornwick {
+namespace thornwick::config {
 namespace {
 
 using settings::Problems, settings::Root, settings::Section;
@@ -248,4 +248,4 @@
   return file;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::config
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -10,7 +10,7 @@
 #include "membership/roster.hpp"
 #include "models/catalogue.hpp"
 
-namespace thornwick {
+namespace thornwick::config {
 
 struct BadConfig : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -61,7 +61,7 @@
   bool operator==(const BudgetsFile&) const = default;
 };
 
-// [group] and [[router]]: the routers that know of each other (docs/group.md).
+// [group] and [[router]]: the routers that know of each other (docs/membership.md).
 struct GroupFile {
   std::string name;  // of the group; empty: there is none
   std::vector<std::string> sites;
@@ -78,7 +78,7 @@
   bool operator==(const GroupFile&) const = default;
 };
 
-// [copies]: what this router holds for others is copied to further routers (docs/copies.md).
+// [copies]: what this router holds for others is copied to further routers (docs/replication.md).
 struct CopiesFile {
   bool enabled = false;
   std::string file;              // of this router's copies; the ledgers' records
@@ -115,4 +115,4 @@
 // Throws BadConfig with one line for each error found, "FILE:LINE: KEY: what is wrong", in the file's order.
 OperatorFile read_operator_file(const std::string& path);
 
-}  // namespace thornwick
+}  // namespace thornwick::config
--- a/src/core/discovery_schedule.cpp
+++ b/src/core/discovery_schedule.cpp
@@ -9,18 +9,18 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 // Kept free before the deadline, for messages that are on the way.
-constexpr Time kMargin = 100'000;
+constexpr Time kMargin = milliseconds(100);
 // How long an answer usually takes at the most: two such tries fit before the deadline.
-constexpr Time kTry = 1'200'000;
+constexpr Time kTry = milliseconds(1'200);
 // After which a call is given up, though it costs nothing but a connection: far beyond any queue.
-constexpr Time kLimit = 30'000'000;
+constexpr Time kLimit = seconds(30);
 // Between two tries. Discovery bears the calls of a small group at this pace.
-constexpr Time kMinPeriod = 1'000'000;
+constexpr Time kMinPeriod = seconds(1);
 // How long a call waits for news: kMinWait + kGrace + 2 kTry < told_within.
-constexpr Time kMinWait = 2'500'000;
-constexpr Time kMaxWait = 5'000'000;
+constexpr Time kMinWait = milliseconds(2'500);
+constexpr Time kMaxWait = seconds(5);
 // After the end of the wait the answer is late.
-constexpr Time kGrace = 400'000;
+constexpr Time kGrace = milliseconds(400);
 
 // Pauses of a large group, in max_poll_interval: four of them are allowed after a failed call. The second one
 // holds while calls fail because they waited too long ...
@@ -29,12 +29,12 @@
 // ... or a longer one, until all routers together begin this many calls a second: late is better than never.
 constexpr double kCongestedCallsPerS = 3;
 // A call that fails after this time has waited in a queue: discovery is there, and is slow.
-constexpr Time kCongestedAfter = 1'000'000;
+constexpr Time kCongestedAfter = seconds(1);
 
 // Calls to an agent on this machine.
-constexpr Time kAgentWait = 1'000'000;
-constexpr Time kAgentTry = 300'000;
-constexpr Time kAgentPeriod = 100'000;
+constexpr Time kAgentWait = seconds(1);
+constexpr Time kAgentTry = milliseconds(300);
+constexpr Time kAgentPeriod = milliseconds(100);
 
 // A next call is due at a random part of the period. Small groups keep the deadline by being a little early;
 // large ones never exceed the pace.
--- a/src/core/discovery_schedule.hpp
+++ b/src/core/discovery_schedule.hpp
@@ -41,9 +41,9 @@
   static constexpr std::size_t kMaxCallsOut = 4;
 
   struct Options {
-    Time told_within = 6'000'000;         // after this time the protocol takes routers to be informed
-    Time max_poll_interval = 10'000'000;  // from the settings; bounds the pauses of a large group
-    std::uint32_t routers = 1;            // that call the same discovery
+    Time told_within = seconds(6);         // after this time the protocol takes routers to be informed
+    Time max_poll_interval = seconds(10);  // from the settings; bounds the pauses of a large group
+    std::uint32_t routers = 1;             // that call the same discovery
     // An agent on this machine has the list: calls cost nothing, and an agent that was silent may not answer
     // the waiting call once it is back.
     bool pushed = false;
--- a/src/core/drain_tracker.hpp
+++ b/src/core/drain_tracker.hpp
@@ -30,8 +30,8 @@
 class DrainTracker final : public DeciderDecorator {
  public:
   // The random delay of a report, in microseconds: at most this much for each router, and in all.
-  static constexpr Time kDelayPerRouter = 2'000;
-  static constexpr Time kMaxDelay = 400'000;
+  static constexpr Time kDelayPerRouter = milliseconds(2);
+  static constexpr Time kMaxDelay = milliseconds(400);
   // In max_poll_interval: the longest pause of a large group between two calls of discovery.
   static constexpr double kReportLifetimeFactor = 2.4;
   // Routers; above it reports are not repeated.
@@ -39,10 +39,10 @@
   // Further messages about a drain, and the time between them: all within the time after which the protocol
   // takes routers to be informed. A datagram may be lost.
   static constexpr int kRepeats = 2;
-  static constexpr Time kRepeatAfter = 1'000'000;
+  static constexpr Time kRepeatAfter = seconds(1);
   // The protocol's time from a change to the moment at which every router counts as informed. An own list
   // that is older does not refute a peer.
-  static constexpr Time kListIsRenewedFor = 6'000'000;
+  static constexpr Time kListIsRenewedFor = seconds(6);
   // Bounds the memory: reports that are kept, from peers and for them.
   static constexpr std::size_t kMaxKeptReports = 1024;
 
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -46,7 +46,7 @@
 
 // How long after a request's deadline the core waits for the routing policy before it answers itself. A part
 // of the slack that the protocol allows after a deadline.
-inline constexpr Time kDeadlineSlack = 8'000;
+inline constexpr Time kDeadlineSlack = milliseconds(8);
 
 // Not thread-safe: all calls have to come from one thread. Calls about requests and attempts that have ended
 // are ignored.
--- a/src/emulator/day.hpp
+++ b/src/emulator/day.hpp
@@ -21,7 +21,7 @@
 
 namespace thornwick::emulator {
 
-inline constexpr Time kSecond = 1'000'000;
+inline constexpr Time kSecond = seconds(1);
 
 enum class What : std::uint8_t {
   session_begins,
--- a/src/emulator/engine.hpp
+++ b/src/emulator/engine.hpp
@@ -60,7 +60,7 @@
   virtual Load load() const = 0;
 };
 
-// A language model's server (docs/lab.md, "Replicas").
+// A language model's server (docs/experiments.md, "Replicas").
 struct ModelLimits {
   std::size_t slots = 64, queue = 64;
   double memory_tokens = 300'000;
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMostWaiting = 256;    // datagrams in a suspended process's socket
-constexpr Time kShutdownTime = 2'000'000;    // from SIGTERM to the end of the process
+constexpr Time kShutdownTime = seconds(2);   // from SIGTERM to the end of the process
 constexpr std::size_t kResumeSpread = 1000;  // microseconds over which a resumed process finds its events
 constexpr std::size_t kNeighbours = 2;       // with which a router exchanges views
 constexpr Time kViewPeriods = 10;
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -9,16 +9,15 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kSecond = 1'000'000;
-constexpr Time kFaultTime = 120 * kSecond;
-constexpr Time kStep = 250'000;
+constexpr Time kFaultTime = seconds(120);
+constexpr Time kStep = milliseconds(250);
 // A pair that was undisturbed for so long may not be called gone any more.
-constexpr Time kUndisturbed = 20 * kSecond;
-constexpr Time kAgreeWithin = 180 * kSecond;
+constexpr Time kUndisturbed = seconds(20);
+constexpr Time kAgreeWithin = seconds(180);
 constexpr double kMostLoss = 0.3;          // up to which nobody is called gone in error
 constexpr double kMostIndirectLoss = 0.1;  // the same where a pair reaches each other only through others
 
-double seconds(Time time) { return static_cast<double>(time) / 1e6; }
+double in_seconds(Time time) { return static_cast<double>(time) / 1e6; }
 
 class Player {
  public:
@@ -44,14 +43,15 @@
 
  private:
   void fail(const std::string& what) {
-    if (result_.broken.empty()) result_.broken = fmt::format("at {:.2f} s: {}", seconds(group_.now()), what);
+    if (result_.broken.empty())
+      result_.broken = fmt::format("at {:.2f} s: {}", in_seconds(group_.now()), what);
   }
 
   Time& disturbed_at(std::size_t a, std::size_t b) { return disturbed_at_[a * group_.size() + b]; }
 
   void on_change(std::size_t router, const membership::Change& change) {
     const bool about_itself = router == change.member;
-    write_log_(fmt::format("{:9.3f}  r{:03}: {}{}", seconds(group_.now()), router,
+    write_log_(fmt::format("{:9.3f}  r{:03}: {}{}", in_seconds(group_.now()), router,
                            about_itself ? "" : fmt::format("r{:03} ", change.member), change.text));
     if (!change.text.starts_with("gone") || about_itself) return;
     ++result_.words_of_gone;
@@ -133,7 +133,7 @@
   }
 
   void apply(const GroupFault& fault) {
-    write_log_(fmt::format("{:9.3f}  -- {}", seconds(group_.now()), describe(fault)));
+    write_log_(fmt::format("{:9.3f}  -- {}", in_seconds(group_.now()), describe(fault)));
     switch (fault.kind) {
       case FaultKind::kill: return group_.kill(fault.router);
       case FaultKind::start_kept: return group_.start(fault.router, Disk::kept);
@@ -184,7 +184,7 @@
 GroupFault random_fault(RandomStream& random, std::size_t routers) {
   constexpr auto kKinds = static_cast<std::size_t>(FaultKind::network) + 1;
   GroupFault fault;
-  fault.at = 20 * kSecond + static_cast<Time>(random.unit() * static_cast<double>(kFaultTime));
+  fault.at = seconds(20) + static_cast<Time>(random.unit() * static_cast<double>(kFaultTime));
   fault.kind = static_cast<FaultKind>(random.below(kKinds));
   fault.router = random.below(routers);
   fault.peer = (fault.router + 1 + random.below(routers - 1)) % routers;
@@ -251,7 +251,7 @@
   std::stable_sort(script.faults.begin(), script.faults.end(),
                    [](const GroupFault& a, const GroupFault& b) { return a.at < b.at; });
   // A process that was told to end has ended by then.
-  script.ends = std::max(kFaultTime, script.faults.back().at) + 3 * kSecond;
+  script.ends = std::max(kFaultTime, script.faults.back().at) + seconds(3);
   return script;
 }
 
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -9,8 +9,8 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kSilence = 3'000'000;  // after which a router gives a stream up
-constexpr Time kWarmStep = 250'000;   // a cold replica's pace is set anew so often
+constexpr Time kSilence = seconds(3);          // after which a router gives a stream up
+constexpr Time kWarmStep = milliseconds(250);  // a cold replica's pace is set anew so often
 
 }  // namespace
 
--- a/src/emulator/replication_simulation.cpp
+++ b/src/emulator/replication_simulation.cpp
@@ -12,11 +12,11 @@
 
 using budgets::Units;
 
-constexpr Time kSecond = 1'000'000, kTick = 20'000;
-constexpr Time kBase = 1'800'000'000 * kSecond;  // a whole minute
+constexpr Time kSecond = seconds(1), kTick = milliseconds(20);
+constexpr Time kBase = seconds(1'800'000'000);  // a whole minute
 constexpr Units kLimit = 3'000'000, kBurst = 300'000, kPerSecond = 50'000;
 constexpr double kBlock = 0.02;
-constexpr Time kLease = 2 * kSecond;
+constexpr Time kLease = seconds(2);
 
 struct Account {
   std::string key;
@@ -53,7 +53,7 @@
     every(kTick, [this] { tick(); });
     for (std::size_t r = 0; r < routers_.size(); ++r) ask_later(r);
     const auto faults_end = static_cast<Time>(options_.seconds * kSecond);
-    pass(10 * kSecond);
+    pass(seconds(10));
     if (options_.faults) trouble_later();
     pass(std::max<Time>(0, faults_end - now_));
     calm_ = true;
@@ -65,10 +65,10 @@
     }
     loss_ = 0;
     write_log("all is mended");
-    pass(40 * kSecond);
+    pass(seconds(40));
     // A whole window without a fault: what can be used of it.
-    const std::int64_t window = (local(0) + 60 * kSecond) / (60 * kSecond);
-    pass((window + 1) * 60 * kSecond - local(0) - 2 * kSecond);
+    const std::int64_t window = (local(0) + seconds(60)) / (seconds(60));
+    pass((window + 1) * seconds(60) - local(0) - seconds(2));
     if (result_.broken.empty()) result_.broken = judge(window);
     for (std::size_t r = 0; r < routers_.size(); ++r) {
       if (!routers_[r].copies) continue;
@@ -195,7 +195,7 @@
     options.holder.copies = options.quota_client.copies = options_.copies;
     options.holder.roster = options.quota_client.roster = roster_;
     options.holder.lease = options.quota_client.lease = kLease;
-    options.holder.patience = 25 * kSecond;
+    options.holder.patience = seconds(25);
     options.holder.snapshot_every = 64, options.holder.trailing = 16;
     options.holder.trust_any_disk = options_.trust_any_disk;
     options.holder.answer_before_majority = options_.answer_before_majority;
@@ -320,7 +320,7 @@
     }
     router.copies->pump(wall);
     ++result_.granted;
-    const std::int64_t window = account.rule.span == budgets::Span::bucket ? 0 : wall / (60 * kSecond);
+    const std::int64_t window = account.rule.span == budgets::Span::bucket ? 0 : wall / (seconds(60));
     grant(account, window, used);
     at(now_ + static_cast<Time>(1e6 * demand_.between(0.05, 4)),
        [this, r, epoch = router.epoch, which, amount, used, wall] {
@@ -473,14 +473,14 @@
     const std::size_t lagging = others[chance_.below(2)], older = others[others[0] == lagging ? 1 : 0];
     if (!routers_[older].alive || !routers_[leader].alive) return;
     routers_[older].older = routers_[older].disk;
-    cut({lagging}, 2 * kSecond);
+    cut({lagging}, seconds(2));
     at(now_ + 1'900'000, [this, leader, older] {
       if (calm_ || unfilled() > 0) return;
       kill(older);
       start(older, "older");
-      cut({leader}, 5 * kSecond);
+      cut({leader}, seconds(5));
       // A copy so young, and nobody left who heard more of it, is not covered.
-      no_kill_until_ = now_ + 10 * kSecond;
+      no_kill_until_ = now_ + seconds(10);
     });
   }
   void cut(const std::set<std::size_t>& apart, Time lasts) {
--- a/src/emulator/result.hpp
+++ b/src/emulator/result.hpp
@@ -77,7 +77,7 @@
   std::vector<Worth> windows, members;
   std::vector<std::string> member_names;
   double window_s = 10, sample_s = 1;
-  double score = 0;  // parts as docs/lab.md, "Score"
+  double score = 0;  // parts as docs/experiments.md, "Score"
   Worth whole;
   std::uint64_t told_bytes = 0;  // of messages between routers, for each that one was sent to
   std::uint64_t turns = 0, tries = 0, attempts = 0, crossings = 0, events = 0;
@@ -104,7 +104,8 @@
 // Names of classes and members, and the numbers of a day that is about to begin.
 Result empty_result(const Scenario& scenario, std::uint64_t seed);
 
-// The part of its worth that a whole answer earns (docs/lab.md, "Score"). Times in microseconds on one clock.
+// The part of its worth that a whole answer earns (docs/experiments.md, "Score"). Times in microseconds on
+// one clock.
 double earned_part(const Demand& demand, Time aim_at, Time deadline, Time first_at, Time ended,
                    double generated);
 
@@ -116,7 +117,7 @@
 void book(Result& result, const Scenario& scenario, Time asked_at, std::size_t cls, std::size_t member,
           double priority_weight, double part);
 
-// From the worth, the waste and the crossings (docs/lab.md, "Score").
+// From the worth, the waste and the crossings (docs/experiments.md, "Score").
 void set_score(Result& result);
 
 // One JSON object; without the costs unless they are asked for.
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -11,7 +11,7 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kDirectoryAnswers = 2'000;  // microseconds that discovery takes for an answer
+constexpr Time kDirectoryAnswers = milliseconds(2);  // microseconds that discovery takes for an answer
 
 // Says what a policy's decisions cost: the time spent inside of it, on this machine.
 class Timed final : public core::DeciderDecorator {
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -1,5 +1,5 @@
 // What is emulated: a fleet, its zones and network, who asks, and what goes wrong. A scenario gives ranges; a
-// day is one draw from them by its seed. Read from TOML (docs/lab.md has every key); checked whole.
+// day is one draw from them by its seed. Read from TOML (docs/experiments.md has every key); checked whole.
 #pragma once
 
 #include <cstdint>
--- a/src/lab/closed_forms.cpp
+++ b/src/experiments/closed_forms.cpp
@@ -1,10 +1,10 @@
-#include "lab/closed_forms.hpp"
+#include "experiments/closed_forms.hpp"
 
 #include <boost/math/tools/roots.hpp>
 #include <cmath>
 #include <stdexcept>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr double kEnough = 10;  // of a size and above, to have seen it
@@ -72,4 +72,4 @@
   return size <= sizes.least ? 0 : sizes.moment(2, sizes.least, size) / sizes.moment(2);
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/closed_forms.hpp
+++ b/src/experiments/closed_forms.hpp
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 // Sizes on [least, most] with density proportional to x^(-alpha-1).
 struct BoundedPareto {
@@ -32,4 +32,4 @@
 // an illusion.
 double part_in_sight(const BoundedPareto& sizes, double jobs);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/command.cpp
+++ b/src/experiments/command.cpp
@@ -1,4 +1,4 @@
-#include "lab/command.hpp"
+#include "experiments/command.hpp"
 
 #include <fmt/format.h>
 
@@ -9,13 +9,13 @@
 
 #include "emulator/baseline_policies.hpp"
 #include "emulator/world.hpp"
-#include "lab/experiment.hpp"
-#include "lab/report.hpp"
-#include "lab/statistics.hpp"
-#include "lab/theory.hpp"
-#include "lab/worker_pool.hpp"
+#include "experiments/experiment.hpp"
+#include "experiments/report.hpp"
+#include "experiments/statistics.hpp"
+#include "experiments/theory.hpp"
+#include "experiments/worker_pool.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 using emulator::Result;
@@ -246,4 +246,4 @@
   return lab;
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiment.hpp"
+#include "experiments/experiment.hpp"
 
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -9,10 +9,10 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "lab/statistics.hpp"
-#include "lab/worker_pool.hpp"
+#include "experiments/statistics.hpp"
+#include "experiments/worker_pool.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 // What a row's key is made of: two texts of a scenario must not share their days.
@@ -120,4 +120,4 @@
   }
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/experiment.hpp
+++ b/src/experiments/experiment.hpp
@@ -8,9 +8,9 @@
 
 #include "emulator/scenario.hpp"
 #include "emulator/world.hpp"
-#include "lab/results.hpp"
+#include "experiments/results.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 struct Axis {
   std::string key;                  // "fleet.replicas", "class.0.share"
@@ -45,4 +45,4 @@
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
           const std::function<void(std::size_t, std::size_t)>& told);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -1,20 +1,20 @@
-#include "lab/group_table.hpp"
+#include "experiments/group_table.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 using emulator::Disk, emulator::Group;
 using membership::MemberState;
 
-constexpr Time kSecond = 1'000'000;
-constexpr Time kStep = 100'000;
-constexpr Time kMostWait = 600 * kSecond;
-constexpr Time kPartition = 60 * kSecond;
+constexpr Time kSecond = seconds(1);
+constexpr Time kStep = milliseconds(100);
+constexpr Time kMostWait = seconds(600);
+constexpr Time kPartition = seconds(60);
 
 // The time until `holds`, which is asked after every step; negative if it does not hold within kMostWait.
 template <typename Condition>
@@ -167,4 +167,4 @@
   return out;
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/group_table.hpp
+++ b/src/experiments/group_table.hpp
@@ -8,7 +8,7 @@
 
 #include "emulator/group.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 struct GroupRow {
   std::string way;  // see options_of_way()
@@ -43,4 +43,4 @@
 // A table with a header line.
 std::string print_group_rows(const std::vector<GroupRow>& rows);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -1,4 +1,4 @@
-#include "lab/plot.hpp"
+#include "experiments/plot.hpp"
 
 #include <fmt/format.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <limits>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr double kWidth = 620, kHeight = 360, kLeft = 70, kRight = 150, kTop = 34, kBottom = 48;
@@ -125,4 +125,4 @@
   return out + "</svg>\n";
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/plot.hpp
+++ b/src/experiments/plot.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 struct PlotPoint {
   double x = 0, y = 0, half = 0;  // half: of an interval drawn around y; 0: none
@@ -24,4 +24,4 @@
 std::string escaped(const std::string& text);
 std::string svg(const Plot& plot);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/report.cpp
+++ b/src/experiments/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.hpp"
+#include "experiments/report.hpp"
 
 #include <fmt/format.h>
 
@@ -7,10 +7,10 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "lab/plot.hpp"
-#include "lab/statistics.hpp"
+#include "experiments/plot.hpp"
+#include "experiments/statistics.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr std::size_t kMostLines = 32;  // replicas drawn in one plot
@@ -183,4 +183,4 @@
   return out + "</html>\n";
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/report.hpp
+++ b/src/experiments/report.hpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/results.hpp"
+#include "experiments/results.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 std::string report(const std::string& title, const std::vector<Row>& rows);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/results.cpp
+++ b/src/experiments/results.cpp
@@ -1,11 +1,11 @@
-#include "lab/results.hpp"
+#include "experiments/results.hpp"
 
 #include <SQLiteCpp/SQLiteCpp.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr int kVersion = 1;
@@ -106,4 +106,4 @@
   return rows;
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/results.hpp
+++ b/src/experiments/results.hpp
@@ -10,7 +10,7 @@
 
 #include "emulator/result.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 // One cell of a grid: what was set, and who decided.
 struct Point {
@@ -48,4 +48,4 @@
   std::unique_ptr<File> file_;
 };
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/statistics.cpp
+++ b/src/experiments/statistics.cpp
@@ -1,11 +1,11 @@
-#include "lab/statistics.hpp"
+#include "experiments/statistics.hpp"
 
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
 #include <limits>
 #include <stdexcept>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr double kConfidence = 0.95;
@@ -42,4 +42,4 @@
   return d;
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/statistics.hpp
+++ b/src/experiments/statistics.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 struct Estimate {
   std::size_t count = 0;
@@ -20,4 +20,4 @@
 // Both in the order of the same days. Throws std::invalid_argument if they are not as many.
 Difference paired(const std::vector<double>& first, const std::vector<double>& second);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -1,14 +1,14 @@
-#include "lab/theory.hpp"
+#include "experiments/theory.hpp"
 
 #include <fmt/format.h>
 
 #include <cmath>
 
 #include "emulator/world.hpp"
-#include "lab/plot.hpp"
-#include "lab/worker_pool.hpp"
+#include "experiments/plot.hpp"
+#include "experiments/worker_pool.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 namespace {
 
 constexpr double kMicroseconds =
@@ -119,4 +119,4 @@
   return out + "</html>\n";
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/theory.hpp
+++ b/src/experiments/theory.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/closed_forms.hpp"
-#include "lab/statistics.hpp"
+#include "experiments/closed_forms.hpp"
+#include "experiments/statistics.hpp"
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 struct TheoryPlan {
   std::vector<double> alphas{1.1, 1.3, 1.5, 1.7, 1.9};
@@ -33,4 +33,4 @@
 // A table and a plot, as one HTML page.
 std::string theory_page(const TheoryPlan& plan, const std::vector<TheoryRow>& rows);
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/lab/worker_pool.hpp
+++ b/src/experiments/worker_pool.hpp
@@ -6,7 +6,7 @@
 #include <thread>
 #include <vector>
 
-namespace thornwick::lab {
+namespace thornwick::experiments {
 
 // Calls work(i) for each i below `count`, on so many threads (0: as many as there are cores), and waits for
 // all. Who does what is left open: results belong into places of their own.
@@ -22,4 +22,4 @@
   }
 }
 
-}  // namespace thornwick::lab
+}  // namespace thornwick::experiments
--- a/src/fronts/dialect.cpp
+++ b/src/fronts/dialect.cpp
@@ -16,10 +16,10 @@
 constexpr double kCharactersPerToken = 4;
 constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325ULL;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3ULL;
-constexpr Time kTimeUsedOnTheWay = 1'000;  // what a request has used of its time when it is read
-constexpr double kLongestWaitMs = 120e3;   // milliseconds; a client that would wait longer is answered then
-constexpr double kMostTokens = 1e6;        // of a prompt or an answer
-constexpr double kMostWork = 3600e6;       // microseconds
+constexpr Time kTimeUsedOnTheWay = milliseconds(1);  // what a request has used of its time when it is read
+constexpr double kLongestWaitMs = 120e3;  // milliseconds; a client that would wait longer is answered then
+constexpr double kMostTokens = 1e6;       // of a prompt or an answer
+constexpr double kMostWork = 3600e6;      // microseconds
 constexpr std::size_t kLongestId = 256;
 constexpr std::size_t kLongestName = 100;  // of a model, in an error's text
 
--- a/src/gossip/gossip.hpp
+++ b/src/gossip/gossip.hpp
@@ -46,10 +46,10 @@
 // Gathers the items of this router into messages and reads those of its peers. No input or output of its own.
 class Gossip {
  public:
-  static constexpr std::size_t kMaxItems = 50;       // in a message: 2 bytes of head, 5 for each item
-  static constexpr Time kGatherTime = 50'000;        // microseconds from a first item to its message
-  static constexpr std::uint32_t kAll = 0xffffffff;  // the rank that stands for all peers
-  static constexpr double kMaxItemsPerSecond = 100;  // of one peer; more are ignored
+  static constexpr std::size_t kMaxItems = 50;           // in a message: 2 bytes of head, 5 for each item
+  static constexpr Time kGatherTime = milliseconds(50);  // microseconds from a first item to its message
+  static constexpr std::uint32_t kAll = 0xffffffff;      // the rank that stands for all peers
+  static constexpr double kMaxItemsPerSecond = 100;      // of one peer; more are ignored
   static constexpr std::size_t kMaxPeers = 4096;  // whose rate is kept; messages of higher ranks are refused
 
   // Adds an item to the next message; beyond kMaxItems it is dropped. Returns whether it is the first since
--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -4,18 +4,18 @@
 namespace {
 
 // The router is ready after this time even without a list of replicas, so that clients get answers.
-constexpr Time kReadyWithoutList = 5'000'000;
+constexpr Time kReadyWithoutList = seconds(5);
 // Idle connections are closed this long after a drain, a termination or a handover began. New connections go
 // on arriving for 0.2 s after a drain makes readiness fail, and for 0.4 s after SIGTERM; clients use the
 // connections that they have, and each answer closes one. The rest is closed then.
-constexpr Time kClosesIdleAfter = 500'000;
+constexpr Time kClosesIdleAfter = milliseconds(500);
 // Nothing is admitted this long after SIGTERM, and connections that have not brought a request are closed. A
 // request that arrived within 0.7 s of SIGTERM may be cut off by SIGKILL; a later one is lost then, however
 // long its answer takes.
-constexpr Time kAdmitsAfterTermination = 650'000;
+constexpr Time kAdmitsAfterTermination = milliseconds(650);
 // Nothing is admitted this long after a drain began. 4 s after the drain no request that came in the last 2 s
 // may be open, so what still comes has to end by then.
-constexpr Time kAdmitsAfterDrain = 1'500'000;
+constexpr Time kAdmitsAfterDrain = milliseconds(1'500);
 
 // Whether a state has held for this long; none: it does not hold.
 bool held_for(const std::optional<Time>& begun, Time now, Time duration) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "lab/command.hpp"
+#include "experiments/command.hpp"
 #include "logging/log.hpp"
 #include "node/config_validation.hpp"
 #include "tools/budgets.hpp"
@@ -80,13 +80,13 @@
   return commands;
 }
 
-// The sub-commands of src/tools and src/lab. `status` becomes the exit status of the one that runs.
+// The sub-commands of src/tools and src/experiments. `status` becomes the exit status of the one that runs.
 std::vector<CLI::App*> add_tools(CLI::App& app, const GlobalOptions& options, int& status) {
   const std::string& operator_file = options.files.operator_file;
   std::vector<CLI::App*> commands = tools::add_store_commands(app, status);
   commands.push_back(tools::add_standins(app, status));
   commands.push_back(tools::add_load(app, status));
-  commands.push_back(lab::add_command(app, status));
+  commands.push_back(experiments::add_command(app, status));
   commands.push_back(tools::add_group(app, status, operator_file));
   commands.push_back(tools::add_copies(app, status, operator_file));
   commands.push_back(tools::add_models(app, status));
@@ -122,7 +122,7 @@
   } else if (own.version->parsed()) {
     std::cout << "thornwick " << kVersion << '\n';
   } else if (own.check_config->parsed()) {
-    check_config(read_config(options.files.config, options.files.operator_file));
+    node::check_config(config::read_config(options.files.config, options.files.operator_file));
     std::cout << "the configuration is good\n";
   } else if (std::none_of(tool_commands.begin(), tool_commands.end(),
                           [](const CLI::App* command) { return command->parsed(); })) {
--- a/src/membership/options.hpp
+++ b/src/membership/options.hpp
@@ -10,7 +10,7 @@
 
 struct Options {
   // Microseconds between two ordinary probes: with the answers, 0.83 messages a second.
-  Time period = 2'400'000;
+  Time period = milliseconds(2'400);
   // Members that are asked to probe one that does not answer (SWIM's k).
   std::size_t helpers = 3;
   // A silent member is suspected, and the suspicion announced, once the probability that message loss alone
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -11,7 +11,7 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 constexpr Time kLeastSuspension = kSecond;  // a shorter gap is only a slow process
 constexpr Time kLeastSuspensionPeriods = 2;
 
--- a/src/models/placement.hpp
+++ b/src/models/placement.hpp
@@ -19,11 +19,11 @@
 
 struct PlacementOptions {
   std::size_t adapters_per_replica = 4;
-  double spare = 1.5;           // an adapter gets replicas for this multiple of its share
-                                // of the work
-  Time half_life = 10'000'000;  // of remembered demand
-  Time keep_for = 60'000'000;   // a replica that is no longer wanted keeps the
-                                // adapter for so long
+  double spare = 1.5;            // an adapter gets replicas for this multiple of its share
+                                 // of the work
+  Time half_life = seconds(10);  // of remembered demand
+  Time keep_for = seconds(60);   // a replica that is no longer wanted keeps the
+                                 // adapter for so long
 };
 
 class Placement {
--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -9,7 +9,7 @@
 namespace thornwick::models {
 namespace {
 
-constexpr Time kPlacementInterval = 1'000'000;
+constexpr Time kPlacementInterval = seconds(1);
 constexpr std::uint64_t kSeedStep = 0x9e3779b97f4a7c15;
 
 }  // namespace
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr RequestId kNoRequest = 0;  // stands for a request of another pool's decider
-constexpr Time kNoReplicaRetryAfter = 1'000'000;
+constexpr Time kNoReplicaRetryAfter = seconds(1);
 
 // Tokens of prompt and answer together.
 double work_of(const Request& request) { return std::max(1.0, request.prompt_tokens + request.max_tokens); }
--- a/src/models/slow_start_controller.cpp
+++ b/src/models/slow_start_controller.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kRateWindowS = 2;      // seconds: decay of the measured rate of the pool's own work
-constexpr Time kHold = 1'000'000;       // nothing is admitted for so long after a rejection
+constexpr Time kHold = seconds(1);      // nothing is admitted for so long after a rejection
 constexpr double kBurstS = 0.5;         // seconds' worth of the admitted rate that may come at once
 constexpr double kMeanWeight = 0.1;     // of a new request in the moving average
 constexpr double kMaxPart = 1;          // of the pool's own rate: more would be another pool's whole load
--- a/src/net/admin_endpoint.cpp
+++ b/src/net/admin_endpoint.cpp
@@ -6,8 +6,8 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kLineLimit = 2'000'000;    // for the whole line, from the connection on
-constexpr Time kAnswerLimit = 2'000'000;  // for the caller to take its answer and go
+constexpr Time kLineLimit = seconds(2);    // for the whole line, from the connection on
+constexpr Time kAnswerLimit = seconds(2);  // for the caller to take its answer and go
 constexpr std::size_t kMaxLineBytes = 256;
 constexpr std::size_t kMaxDiscarded =
     64UL * 1024;  // read and dropped behind the line, so that the answer survives
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -14,7 +14,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kWatchGap = 50'000;  // after an answer without news; a watch goes on for 200 ms
+constexpr Time kWatchGap = milliseconds(50);  // after an answer without news; a watch goes on for 200 ms
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 constexpr std::string_view kLogPart = "route_table";
 
--- a/src/net/endpoint_table.hpp
+++ b/src/net/endpoint_table.hpp
@@ -41,7 +41,7 @@
     core::DiscoverySchedule::Options calls;
     std::uint64_t seed = 0;  // of the chance in it
     // An agent's older list is not taken over before it has given none but such for so long.
-    Time bear_old = 10'000'000;
+    Time bear_old = seconds(10);
   };
   // The table has changed (or a call has failed, without entries): what the routing policy has to learn.
   using OnUpdate = std::function<void(EndpointUpdate, std::span<const Endpoint>)>;
--- a/src/net/flow_exporter.cpp
+++ b/src/net/flow_exporter.cpp
@@ -5,8 +5,8 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kDelay = 1'000'000;              // a record waits this long for others
-constexpr Time kTemplateInterval = 30'000'000;  // over UDP a template may be lost (RFC 7011, section 8.1)
+constexpr Time kDelay = seconds(1);              // a record waits this long for others
+constexpr Time kTemplateInterval = seconds(30);  // over UDP a template may be lost (RFC 7011, section 8.1)
 
 Owned<GSocketAddress> collector_address(const std::string& text) {
   auto address = parse_address(text);
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -72,14 +72,14 @@
   return std::min<std::uint64_t>(static_cast<std::uint64_t>(std::max<Time>(0, value)), most);
 }
 
-std::uint64_t milliseconds(Time value) { return clamped(value / kMicrosecondsPerMillisecond, kMax64); }
+std::uint64_t to_milliseconds(Time value) { return clamped(value / kMicrosecondsPerMillisecond, kMax64); }
 
 }  // namespace
 
 void FlowWriter::add(const core::RequestSummary& summary, std::string_view replica) {
   const Time to_first_event = summary.first_event == 0 ? 0 : summary.first_event - summary.arrived;
-  append_number(records_, milliseconds(summary.arrived), 8);
-  append_number(records_, milliseconds(summary.ended), 8);
+  append_number(records_, to_milliseconds(summary.arrived), 8);
+  append_number(records_, to_milliseconds(summary.ended), 8);
   append_number(records_, summary.bytes, 8);
   append_number(records_, summary.events, 8);
   append_number(records_, static_cast<std::uint64_t>(summary.ending), 1);
--- a/src/net/handover_protocol.cpp
+++ b/src/net/handover_protocol.cpp
@@ -20,7 +20,7 @@
 constexpr std::uint32_t kMark = 0x54574831;          // "TWH1": a later version has another one
 constexpr std::uint32_t kMaxOfferBytes = 4'000'000;  // without the head
 constexpr std::size_t kMaxSockets = 16;
-constexpr Time kOfferLimit = 1'000'000;  // for all that follows the head
+constexpr Time kOfferLimit = seconds(1);  // for all that follows the head
 constexpr const char* kEnded = "it ended";
 
 // FNV-1a, 64 bits.
--- a/src/net/handover_server.cpp
+++ b/src/net/handover_server.cpp
@@ -11,7 +11,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kServingLimit = 30'000'000;  // a successor that does not serve for longer is let go
+constexpr Time kServingLimit = seconds(30);  // a successor that does not serve for longer is let go
 
 }  // namespace
 
--- a/src/net/links.cpp
+++ b/src/net/links.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kMaxStrangers = 16;
-constexpr Time kMinRetryPause = 100'000;
-constexpr Time kMaxRetryPause = 30'000'000;
+constexpr Time kMinRetryPause = milliseconds(100);
+constexpr Time kMaxRetryPause = seconds(30);
 constexpr double kMinJitter = 0.5;                            // of the pause; the most is 1 above it
 constexpr Time kLastingBeats = 5;                             // a link that was up for longer has worked
 constexpr std::uint64_t kRandomStep = 0x9e3779b97f4a7c15ull;  // of SplitMix64
--- a/src/net/links.hpp
+++ b/src/net/links.hpp
@@ -41,7 +41,7 @@
     std::uint32_t group = 0;             // those of another one are rejected
     std::size_t self = 0;                // members are numbered alike at all routers
     std::vector<std::string> addresses;  // by member
-    Time beat = 2'000'000;  // heartbeat of a link on which nothing else goes; four without a byte end it
+    Time beat = seconds(2);  // heartbeat of a link on which nothing else goes; four without a byte end it
     std::size_t most_waiting = 256UL * 1024;  // bytes on the way to one member
     std::uint64_t seed = 1;                   // of the retry pauses' jitter
   };
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -10,7 +10,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kAcceptPause = 50'000;
+constexpr Time kAcceptPause = milliseconds(50);
 constexpr int kBacklog = 512;
 constexpr int kAcceptsAtOnce = 64;  // guards the loop's other work against a crowd
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -13,8 +13,8 @@
 using http::MessageReader;
 
 constexpr double kIdlePart = 0.7;  // of the keep-alive time, after which we close an idle connection
-constexpr Time kProbeLimit = 250'000;
-constexpr Time kHeadLimit = 250'000;                  // for the rest of a head, once its first byte has come
+constexpr Time kProbeLimit = milliseconds(250);
+constexpr Time kHeadLimit = milliseconds(250);        // for the rest of a head, once its first byte has come
 constexpr std::size_t kMaxAnswerBytes = 64UL * 1024;  // of an answer that is no stream
 constexpr std::string_view kReportHeader = "X-Server-Load";
 constexpr std::string_view kReportComment = "X-Server-Load:";
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -32,9 +32,9 @@
 class UpstreamPool : public core::UpstreamTransport {
  public:
   struct Options {
-    Time keepalive = 5'000'000;  // of the replicas: they close a connection that was idle for so long
-    Time dial_limit = 120'000;
-    Time silence_limit = 3'000'000;         // of a stream that has begun
+    Time keepalive = seconds(5);  // of the replicas: they close a connection that was idle for so long
+    Time dial_limit = milliseconds(120);
+    Time silence_limit = seconds(3);        // of a stream that has begun
     std::vector<std::string> report_names;  // the fields of a load report, in the order the policy wants
     std::size_t most_connections = 400;
     std::size_t most_frame = 256UL * 1024;                  // bytes of one event
--- a/src/node/admin_commands.cpp
+++ b/src/node/admin_commands.cpp
@@ -2,7 +2,7 @@
 
 #include "net/loop.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 std::string AdminCommands::answer(std::string_view line) {
   if (line == "HEALTH") return phase_answer(lifecycle_.can_serve(net::now_us()));
@@ -28,4 +28,4 @@
   return (success ? "+OK " : "-ERR ") + std::string(lifecycle::name_of(lifecycle_.phase())) + "\n";
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/admin_commands.hpp
+++ b/src/node/admin_commands.hpp
@@ -7,7 +7,7 @@
 
 #include "lifecycle/lifecycle.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class AdminCommands {
  public:
@@ -31,4 +31,4 @@
   Callbacks callbacks_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/affinity_report.cpp
+++ b/src/node/affinity_report.cpp
@@ -8,7 +8,7 @@
 
 #include "logging/log.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 constexpr std::size_t kMaxReplicaLines = 64;
@@ -58,4 +58,4 @@
                             << logging::field("target", uid_of_(replica));
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/affinity_report.hpp
+++ b/src/node/affinity_report.hpp
@@ -7,7 +7,7 @@
 
 #include "affinity/affinity_table.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 using ReplicaUid = std::function<std::string(ReplicaId)>;
 
@@ -28,4 +28,4 @@
   ReplicaUid uid_of_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -5,7 +5,7 @@
 
 #include "logging/log.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 // The number itself where the settings have no such name.
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void log_charge(const budgets::Charge& charge, const Config& config, const std::string& replica_uid) {
+void log_charge(const budgets::Charge& charge, const config::Config& config, const std::string& replica_uid) {
   using logging::field;
   const auto& subject = charge.subject;
   logging::info("charge").with("exchange", charge.request_id).with("attempt", charge.attempt + 1)
@@ -28,4 +28,4 @@
       << " by=" << field("by", charge.tokens.reported ? "tally" : "rule");
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/charge_log.hpp
+++ b/src/node/charge_log.hpp
@@ -7,9 +7,9 @@
 #include "budgets/admission_controller.hpp"
 #include "config/config.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // `config` names members, classes and models; `replica_uid` is of the replica that served.
-void log_charge(const budgets::Charge& charge, const Config& config, const std::string& replica_uid);
+void log_charge(const budgets::Charge& charge, const config::Config& config, const std::string& replica_uid);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -9,7 +9,7 @@
 #include "net/unix_socket.hpp"
 #include "node/cluster_status.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 // Channels of the links.
@@ -18,13 +18,13 @@
 
 constexpr std::size_t kNeighbours = 2;  // members that this router itself keeps links with
 constexpr Time kViewPeriods = 10;       // probe periods between two whole views
-constexpr Time kMinLinkHeartbeat = 500'000;
+constexpr Time kMinLinkHeartbeat = milliseconds(500);
 
 }  // namespace
 
 // ---------------------------------------------------------------- construction
 
-Cluster::Cluster(const Config& config, LocalQuotaProxy* quota_proxy)
+Cluster::Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy)
     : membership_(membership_of(config)),
       file_(config.added.group),
       started_(net::now_us()),
@@ -92,7 +92,8 @@
 }
 
 // A file of ledgers that cannot be opened leaves the router in its group, without budgets.
-void Cluster::open_replication(const Config& config, LocalQuotaProxy& quota_proxy, std::uint32_t run) {
+void Cluster::open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy,
+                               std::uint32_t run) {
   try {
     replication_ = std::make_unique<ClusterReplication>(config, membership_, *links_, quota_proxy,
                                                         kReplicationChannel, run);
@@ -197,4 +198,4 @@
   return {};
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster.hpp
+++ b/src/node/cluster.hpp
@@ -1,5 +1,5 @@
 // This router's part in its group: failure detection over datagrams, links to neighbours, replicated budgets,
-// and the local socket at which operators ask about them (docs/group.md, docs/copies.md).
+// and the local socket at which operators ask about them (docs/membership.md, docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -17,13 +17,13 @@
 #include "node/config_validation.hpp"
 #include "node/identity.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class Cluster {
  public:
   // Takes part from then on. `quota_proxy`: of this router's budgets; null: it has none; otherwise it has to
   // outlive the cluster. Throws BadConfig or NetError.
-  Cluster(const Config& config, LocalQuotaProxy* quota_proxy);
+  Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
@@ -38,7 +38,7 @@
   void open_datagrams();
   void start_failure_detection(const membership::Identity& identity);
   void open_links();
-  void open_replication(const Config& config, LocalQuotaProxy& quota_proxy, std::uint32_t run);
+  void open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy, std::uint32_t run);
   void open_status_socket();
   void log_start(const StartupIdentity& startup) const;
   const std::string& listen_address() const;
@@ -56,7 +56,7 @@
   std::string answer(std::string_view line) const;
 
   Membership membership_;
-  GroupFile file_;
+  config::GroupFile file_;
   Time started_;
   Time period_;  // between two probes
   bool empty_start_ = false;
@@ -70,4 +70,4 @@
   net::Timer view_timer_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -10,23 +10,23 @@
 #include "logging/log.hpp"
 #include "node/identity.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
-constexpr Time kMaxTickInterval = 50'000;
+constexpr Time kMaxTickInterval = milliseconds(50);
 // Of the memory: one in so many bytes for records on their way to the disk.
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kMinStoreMemory = std::size_t{4} << 20;
 constexpr Time kElectionHeartbeats = 5;  // missed, until another leader is elected
 constexpr Time kHelloHeartbeats = 2;
-constexpr Time kPatienceHeartbeats = 4;  // that an answer of a holder may take
-constexpr Time kMinInterval = 200'000;   // of hellos, and of patience
+constexpr Time kPatienceHeartbeats = 4;           // that an answer of a holder may take
+constexpr Time kMinInterval = milliseconds(200);  // of hellos, and of patience
 
 constexpr const char* kPending = "+OK pending\n";
 
-replication::Options replication_options(const Config& config, const Membership& membership,
+replication::Options replication_options(const config::Config& config, const Membership& membership,
                                          std::uint32_t run) {
-  const CopiesFile& file = config.added.copies;
+  const config::CopiesFile& file = config.added.copies;
   const auto lease = static_cast<Time>(file.lease_s * 1e6);
   const auto heartbeat = static_cast<Time>(file.heartbeat_s * 1e6);
   replication::Options options;
@@ -65,8 +65,9 @@
 
 // ---------------------------------------------------------------- construction
 
-ClusterReplication::ClusterReplication(const Config& config, const Membership& membership, net::Links& links,
-                                       LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t run)
+ClusterReplication::ClusterReplication(const config::Config& config, const Membership& membership,
+                                       net::Links& links, LocalQuotaProxy& quota_proxy, std::uint8_t channel,
+                                       std::uint32_t run)
     : file_(config.added.copies),
       roster_(membership.roster),
       self_(membership.self),
@@ -84,7 +85,7 @@
 
 ClusterReplication::~ClusterReplication() { quota_proxy_.attach(nullptr); }
 
-void ClusterReplication::open_store(const Config& config) {
+void ClusterReplication::open_store(const config::Config& config) {
   const std::size_t memory = config.memory_mb * 1024 * 1024;
   store_ = std::make_unique<persistence::LedgerStore>(
       store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.megabytes},
@@ -260,4 +261,4 @@
   logging::info("copies") << "operator's word " << id << ": " << answer;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -1,5 +1,5 @@
 // This router's part in the replicated budgets of its group: replicas of ledgers and the quota lease client,
-// joined to links, disk and main loop (docs/copies.md).
+// joined to links, disk and main loop (docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -16,13 +16,13 @@
 #include "persistence/ledger_store.hpp"
 #include "replication/replication_node.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class ClusterReplication {
  public:
   // Takes part from then on, and grants what `quota_proxy` asks for. `channel`: of the links, for this alone.
   // `run`: a number of this process alone. Links and proxy have to outlive it. Throws store::StoreError.
-  ClusterReplication(const Config& config, const Membership& membership, net::Links& links,
+  ClusterReplication(const config::Config& config, const Membership& membership, net::Links& links,
                      LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t run);
   ~ClusterReplication();
   ClusterReplication(const ClusterReplication&) = delete;
@@ -41,7 +41,7 @@
   std::string answer(std::string_view line);
 
  private:
-  void open_store(const Config& config);
+  void open_store(const config::Config& config);
   void start_replication(const replication::Options& options);
   void log_start() const;
 
@@ -59,7 +59,7 @@
   std::string begin_correction(const BudgetCorrection& correction);
   void on_decided(std::uint64_t id, bool accepted, const std::string& reason);
 
-  CopiesFile file_;
+  config::CopiesFile file_;
   std::shared_ptr<const membership::Roster> roster_;
   std::size_t self_;
   net::Links& links_;
@@ -76,4 +76,4 @@
   bool store_full_ = false;     // a write found no room
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster_status.cpp
+++ b/src/node/cluster_status.cpp
@@ -5,14 +5,14 @@
 #include <algorithm>
 #include <numeric>
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 using Json = nlohmann::ordered_json;
 using membership::MemberState;
 
 // To the millisecond, rounded towards zero.
-double seconds(Time time) {
+double in_seconds(Time time) {
   const Time milliseconds = time / 1000;
   return static_cast<double>(milliseconds) / 1000;
 }
@@ -26,7 +26,7 @@
           {"self", swim.roster().at(swim.self()).name},
           {"start", status.empty_start ? "empty" : "kept"},
           {"back", name_of(self.recovery)},
-          {"running_s", seconds(status.now - status.started)},
+          {"running_s", in_seconds(status.now - status.started)},
           {"incarnation", swim.incarnation()},
           {"present", swim.present()},
           {"routers", swim.roster().size()},
@@ -65,7 +65,7 @@
 Json answered_json(const GroupStatus& status, std::size_t member) {
   const auto& view = status.swim.view(member);
   if (member == status.swim.self() || view.answered == 0) return nullptr;
-  return seconds(status.now - view.answered);
+  return in_seconds(status.now - view.answered);
 }
 
 Json member_json(const GroupStatus& status, std::size_t member) {
@@ -77,7 +77,7 @@
           {"role", entry.role},
           {"address", entry.address},
           {"standing", name_of(view.state)},
-          {"since_s", seconds(status.now - view.since)},
+          {"since_s", in_seconds(status.now - view.since)},
           {"answered_s", answered_json(status, member)},
           {"over_another", !is_self && view.answered > 0 && !view.direct},
           {"incarnation", view.incarnation},
@@ -183,4 +183,4 @@
   return text;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/cluster_status.hpp
+++ b/src/node/cluster_status.hpp
@@ -7,7 +7,7 @@
 #include "membership/swim.hpp"
 #include "net/links.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // What a status is made from; refers to the parts for the length of one call.
 struct GroupStatus {
@@ -21,4 +21,4 @@
 nlohmann::ordered_json status_json(const GroupStatus& status);
 std::string status_text(const GroupStatus& status);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -11,7 +11,7 @@
 #include "net/loop.hpp"
 #include "net/unix_socket.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 // Of the memory: one in so many bytes for the affinity table, unless the operator says how many.
@@ -27,7 +27,7 @@
     lines_ += path_ + ":" + std::to_string(line) + ": " + text;
   }
   void throw_if_any() const {
-    if (!lines_.empty()) throw BadConfig(lines_);
+    if (!lines_.empty()) throw config::BadConfig(lines_);
   }
 
  private:
@@ -37,8 +37,9 @@
 
 // The number of a budget's member or class by its name, "each" or "all". For a name that the settings do not
 // have an error is added, and the result means nothing.
-std::uint16_t subject_number(const BudgetEntry& entry, const std::string& key, const std::string& name,
-                             const std::vector<std::string>& names, ErrorLines& errors) {
+std::uint16_t subject_number(const config::BudgetEntry& entry, const std::string& key,
+                             const std::string& name, const std::vector<std::string>& names,
+                             ErrorLines& errors) {
   if (name == "each") return budgets::kEach;
   if (name == "all") return budgets::kAll;
   const auto found = std::find(names.begin(), names.end(), name);
@@ -56,7 +57,7 @@
   return static_cast<budgets::Units>(std::llround(tokens)) * budgets::kUnitsPerToken;
 }
 
-budgets::Rule rule_of(const BudgetEntry& entry) {
+budgets::Rule rule_of(const config::BudgetEntry& entry) {
   using budgets::Span;
   static const std::map<std::string, Span> spans = {
       {"second", Span::bucket}, {"minute", Span::minute}, {"hour", Span::hour}, {"day", Span::day}};
@@ -68,7 +69,8 @@
   return rule;
 }
 
-budgets::Budget budget_of(const BudgetEntry& entry, const Config& config, ErrorLines& errors) {
+budgets::Budget budget_of(const config::BudgetEntry& entry, const config::Config& config,
+                          ErrorLines& errors) {
   budgets::Budget budget;
   budget.name = entry.name;
   budget.member = subject_number(entry, "member", entry.member, config.tenants, errors);
@@ -82,23 +84,23 @@
 // `key`: of the configuration. Throws BadConfig.
 void check_address(const std::string& key, const std::string& address) {
   if (net::parse_address(address)) return;
-  throw BadConfig("configuration: " + key + " is not an address: " + address);
+  throw config::BadConfig("configuration: " + key + " is not an address: " + address);
 }
 
 }  // namespace
 
 const fronts::Dialect& dialect_named(const std::string& name) {
   const auto* found = fronts::dialect_named(name);
-  if (found == nullptr) throw BadConfig("operator's file: no such dialect: " + name);
+  if (found == nullptr) throw config::BadConfig("operator's file: no such dialect: " + name);
   return *found;
 }
 
-affinity::Options affinity_options(const Config& config) {
+affinity::Options affinity_options(const config::Config& config) {
   static const std::map<std::string, affinity::Eviction> evictions = {
       {"lru", affinity::Eviction::lru},
       {"segmented", affinity::Eviction::segmented},
       {"tinylfu", affinity::Eviction::tinylfu}};
-  const AffinityFile& file = config.added.affinity;
+  const config::AffinityFile& file = config.added.affinity;
   affinity::Options options;
   options.table.entries = file.entries;
   options.table.bytes = file.bytes > 0 ? file.bytes : config.memory_mb * 1024 * 1024 / kAffinityMemoryDivisor;
@@ -110,8 +112,8 @@
   return options;
 }
 
-budgets::Options budget_options(const Config& config) {
-  const BudgetsFile& file = config.added.budgets;
+budgets::Options budget_options(const config::Config& config) {
+  const config::BudgetsFile& file = config.added.budgets;
   budgets::Options options;
   options.members = config.tenants;
   options.classes = config.classes;
@@ -132,8 +134,8 @@
   return options;
 }
 
-Membership membership_of(const Config& config) {
-  const GroupFile& file = config.added.group;
+Membership membership_of(const config::Config& config) {
+  const config::GroupFile& file = config.added.group;
   ErrorLines errors(config.added.path);
   for (const auto& router : file.routers) {
     if (!net::parse_address(router.address))
@@ -153,12 +155,12 @@
   return membership;
 }
 
-std::string handover_path(const Config& config) {
+std::string handover_path(const config::Config& config) {
   const char* folder = config.ops.empty() ? nullptr : std::getenv("TMPDIR");
   return net::handover_path(folder == nullptr ? "" : folder, config.name, config.listen);
 }
 
-void check_config(const Config& config) {
+void check_config(const config::Config& config) {
   budget_options(config);
   if (!config.added.group.name.empty()) membership_of(config);
   dialect_named(config.added.target_dialect);
@@ -170,4 +172,4 @@
   [[maybe_unused]] const RoutingPolicy checked(config.settings, 0);
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/config_validation.hpp
+++ b/src/node/config_validation.hpp
@@ -12,17 +12,17 @@
 #include "fronts/dialect.hpp"
 #include "membership/roster.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // The dialect of that name; throws BadConfig.
 const fronts::Dialect& dialect_named(const std::string& name);
 
 // The affinity table's size, eviction and lifetimes.
-affinity::Options affinity_options(const Config& config);
+affinity::Options affinity_options(const config::Config& config);
 
 // Budgets with the numbers of the settings' names in place of the names. Throws BadConfig, a line for each
 // name that the settings do not have.
-budgets::Options budget_options(const Config& config);
+budgets::Options budget_options(const config::Config& config);
 
 // The group's routers, and this router's place among them.
 struct Membership {
@@ -31,14 +31,14 @@
 };
 // Throws BadConfig, a line for each thing that is wrong: this router's own name is absent, an address is
 // none, a path is too long.
-Membership membership_of(const Config& config);
+Membership membership_of(const config::Config& config);
 
 // The Unix socket at which this router's processes replace each other; empty where there is no admin
 // endpoint, or no folder ($TMPDIR) for it.
-std::string handover_path(const Config& config);
+std::string handover_path(const config::Config& config);
 
 // All checks above, addresses, dialects, and those of the routing policy's settings. Throws BadConfig, or
 // what the routing policy throws.
-void check_config(const Config& config);
+void check_config(const config::Config& config);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/connection_options.cpp
+++ b/src/node/connection_options.cpp
@@ -4,7 +4,7 @@
 
 #include "node/config_validation.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 // Shares of the descriptors. What neither has is kept for clients beyond their share, whose requests are read
@@ -17,15 +17,15 @@
 // Bounds of the bytes in flight on one connection.
 constexpr std::size_t kMinInFlight = std::size_t{16} * 1024;
 constexpr std::size_t kMaxInFlight = std::size_t{256} * 1024;
-constexpr Time kCrowdedRetryAfter = 1'000'000;  // advised when there is no room for a request
+constexpr Time kCrowdedRetryAfter = seconds(1);  // advised when there is no room for a request
 
 std::size_t share_of_descriptors(double share) {
   return static_cast<std::size_t>(share * static_cast<double>(net::descriptors().limit));
 }
 
-std::size_t memory_bytes(const Config& config) { return config.memory_mb * 1024 * 1024; }
+std::size_t memory_bytes(const config::Config& config) { return config.memory_mb * 1024 * 1024; }
 
-std::size_t bytes_in_flight(const Config& config, std::size_t connections) {
+std::size_t bytes_in_flight(const config::Config& config, std::size_t connections) {
   return std::clamp(memory_bytes(config) / kInFlightDivisor / connections, kMinInFlight, kMaxInFlight);
 }
 
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-net::UpstreamPool::Options upstream_options(const Config& config) {
+net::UpstreamPool::Options upstream_options(const config::Config& config) {
   net::UpstreamPool::Options options;
   options.keepalive = config.keepalive;
   options.dial_limit = config.dial_limit;
@@ -56,7 +56,7 @@
   return options;
 }
 
-net::DownstreamServer::Options downstream_options(const Config& config) {
+net::DownstreamServer::Options downstream_options(const config::Config& config) {
   net::DownstreamServer::Options options;
   options.most_connections = config.most_clients > 0
                                  ? config.most_clients
@@ -74,4 +74,4 @@
   return options;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/connection_options.hpp
+++ b/src/node/connection_options.hpp
@@ -6,14 +6,14 @@
 #include "net/downstream_server.hpp"
 #include "net/upstream_pool.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // Options of the connection pool to replicas. `config` is referred to afterwards and has to outlive the pool;
 // the `sent` callback is left to the caller. Throws BadConfig for an unknown dialect.
-net::UpstreamPool::Options upstream_options(const Config& config);
+net::UpstreamPool::Options upstream_options(const config::Config& config);
 
 // Options that all client listeners share. `config` is referred to afterwards and has to outlive the servers;
 // address, dialect, lifecycle and callbacks into other parts are left to the caller.
-net::DownstreamServer::Options downstream_options(const Config& config);
+net::DownstreamServer::Options downstream_options(const config::Config& config);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace thornwick {
+namespace thornwick::node {
 
 void print_request_counters(const core::RequestManager& core, std::ostream& out) {
   // In the order of AttemptOutcome.
@@ -55,4 +55,4 @@
       << " fallback_no_attempts=" << metrics.no_attempts << " adapter_moves=" << metrics.placements;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/counters_report.hpp
+++ b/src/node/counters_report.hpp
@@ -9,7 +9,7 @@
 #include "net/upstream_pool.hpp"
 #include "node/downstream_fronts.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // Each writes its part of the line, without an end of line.
 void print_request_counters(const core::RequestManager& core, std::ostream& out);
@@ -18,4 +18,4 @@
 void print_discovery_counters(const net::EndpointTable& endpoints, std::ostream& out);
 void print_model_counters(const models::Pools& pools, std::ostream& out);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -9,7 +9,7 @@
 #include "node/endpoint_names.hpp"
 #include "tracing/trace.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 std::unique_ptr<core::Decider> build_policy(const Settings& settings, Time now,
@@ -20,7 +20,7 @@
                                                         durable_state.fair());
 }
 
-std::unique_ptr<models::Pools> build_pools(const Config& config, Time now,
+std::unique_ptr<models::Pools> build_pools(const config::Config& config, Time now,
                                            const net::EndpointTable& endpoints,
                                            const DurableState& durable_state) {
   models::Pools::Options options;
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-DeciderChain build_decider_chain(const Config& config, const net::EndpointTable& endpoints,
+DeciderChain build_decider_chain(const config::Config& config, const net::EndpointTable& endpoints,
                                  const DurableState& durable_state) {
   const Settings& settings = config.settings;
   const Time now = net::now_us();
@@ -87,4 +87,4 @@
   return chain;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/decider_chain.hpp
+++ b/src/node/decider_chain.hpp
@@ -10,7 +10,7 @@
 #include "net/endpoint_table.hpp"
 #include "node/durable_state.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 struct DeciderChain {
   std::unique_ptr<core::Decider> decider;  // the outermost one
@@ -22,7 +22,7 @@
 // Built from the inside out: routing policy, AdmissionController (where there are budgets or fair shares),
 // models::Pools (where there is a catalogue; one policy for each pool), SlowStartBudget, DrainTracker (where
 // drains are learned from peers), traces. The arguments are referred to and have to outlive the chain.
-DeciderChain build_decider_chain(const Config& config, const net::EndpointTable& endpoints,
+DeciderChain build_decider_chain(const config::Config& config, const net::EndpointTable& endpoints,
                                  const DurableState& durable_state);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -6,10 +6,10 @@
 #include "logging/log.hpp"
 #include "node/connection_options.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 void DownstreamFronts::open(core::RequestManager& core, net::HandoverState& handover_state) {
-  const Config& config = dependencies_.config;
+  const config::Config& config = dependencies_.config;
   open_one(config.listen, fronts::platform(), core, handover_state);
   if (!config.added.messages_listen.empty())
     open_one(config.added.messages_listen, fronts::messages(), core, handover_state);
@@ -31,7 +31,7 @@
 }
 
 void DownstreamFronts::lend_sockets(net::HandoverState& handover_state) const {
-  const Config& config = dependencies_.config;
+  const config::Config& config = dependencies_.config;
   lend_socket(handover_state, config.listen, servers_.front()->socket());
   if (servers_.size() > 1)
     lend_socket(handover_state, config.added.messages_listen, servers_.back()->socket());
@@ -51,4 +51,4 @@
   handover_state.sockets[address].reset(G_SOCKET(g_object_ref(socket)));
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/downstream_fronts.hpp
+++ b/src/node/downstream_fronts.hpp
@@ -11,13 +11,13 @@
 #include "net/downstream_server.hpp"
 #include "net/handover.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class DownstreamFronts {
  public:
   // All have to outlive the fronts.
   struct Dependencies {
-    const Config& config;
+    const config::Config& config;
     const lifecycle::Lifecycle& router_lifecycle;
     const fronts::Names& names;
     metrics::Metrics& metrics;
@@ -48,4 +48,4 @@
 // Null: nothing.
 void lend_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/drain_watcher.cpp
+++ b/src/node/drain_watcher.cpp
@@ -1,9 +1,9 @@
 #include "node/drain_watcher.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
-constexpr Time kIdleTime = 3'000'000;  // without clients for this long, a process that is to end ends
+constexpr Time kIdleTime = seconds(3);  // without clients for this long, a process that is to end ends
 constexpr Time kCheckInterval = kIdleTime / 10;
 
 }  // namespace
@@ -26,4 +26,4 @@
   schedule();
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/drain_watcher.hpp
+++ b/src/node/drain_watcher.hpp
@@ -6,7 +6,7 @@
 #include "lifecycle/lifecycle.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class DrainWatcher {
  public:
@@ -34,4 +34,4 @@
   net::Timer timer_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -8,19 +8,19 @@
 #include "node/charge_log.hpp"
 #include "node/config_validation.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 // Of the memory: one in so many bytes for changes on their way to the store, which holds up to three batches
 // of them.
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kStoreBatches = 3;
-constexpr Time kMinFlushInterval = 1000;
+constexpr Time kMinFlushInterval = milliseconds(1);
 constexpr double kMinShare = 1e-6;
 
 }  // namespace
 
-DurableState::DurableState(const Config& config, ReplicaUid uid_of)
+DurableState::DurableState(const config::Config& config, ReplicaUid uid_of)
     : config_(config), uid_of_(std::move(uid_of)), affinity_log_(uid_of_) {
   if (config.added.affinity.enabled)
     affinity_table_ = std::make_unique<affinity::AffinityTable>(affinity_options(config), &affinity_log_);
@@ -45,7 +45,7 @@
 }
 
 std::unique_ptr<persistence::StateStore> DurableState::make_state_store() {
-  const StoreFile& file = config_.added.store;
+  const config::StoreFile& file = config_.added.store;
   store::WriterOptions options;
   options.max_undurable_changes = file.changes;
   options.max_gathered_records = std::max<std::size_t>(options.max_gathered_records, 2 * file.changes);
@@ -94,7 +94,7 @@
 // ---------------------------------------------------------------- budgets
 
 void DurableState::open_quota_service() {
-  const BudgetsFile& file = config_.added.budgets;
+  const config::BudgetsFile& file = config_.added.budgets;
   if (file.budgets.empty() && !file.fair) return;
   if (!file.budgets.empty()) open_quota_backend();
   quota_service_ = std::make_unique<budgets::QuotaService>(budget_options(config_), quota_state_store_.get(),
@@ -160,4 +160,4 @@
   if (affinity_table_) report_replicas(*affinity_table_, uid_of_, line);
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/durable_state.hpp
+++ b/src/node/durable_state.hpp
@@ -17,13 +17,13 @@
 #include "persistence/quota_state_store.hpp"
 #include "persistence/state_store.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class DurableState {
  public:
   // With all that the store has; a store that cannot be opened is logged, and the router serves without it.
   // `config` is the router's own, has to outlive this and may change. Throws BadConfig.
-  DurableState(const Config& config, ReplicaUid uid_of);
+  DurableState(const config::Config& config, ReplicaUid uid_of);
 
   // Makes all durable, for a planned stop. Blocks for `timeout` microseconds at the most; false: the time was
   // too short.
@@ -59,7 +59,7 @@
   void open_fair_share();
   void update_prices();
 
-  const Config& config_;
+  const config::Config& config_;
   ReplicaUid uid_of_;
   AffinityLog affinity_log_;
   // Destroyed in the reverse order: what refers to the store goes before it.
@@ -73,4 +73,4 @@
   bool store_failing_ = false;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/endpoint_names.hpp
+++ b/src/node/endpoint_names.hpp
@@ -6,7 +6,7 @@
 #include "models/placement.hpp"
 #include "net/endpoint_table.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // The replica's uid, or its number in digits where it is no longer known.
 inline std::string uid_of(const net::EndpointTable& endpoints, ReplicaId replica) {
@@ -21,4 +21,4 @@
   return {entry->uid, entry->model, entry->group};
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -7,11 +7,11 @@
 #include "node/config_validation.hpp"
 #include "persistence/handover_state.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
-constexpr Time kReadinessInterval = 20'000;          // between two checks whether a new process can serve
-constexpr std::size_t kSpareDescriptorsDivisor = 8;  // of the descriptors, spare while a successor starts
+constexpr Time kReadinessInterval = milliseconds(20);  // between two checks whether a new process can serve
+constexpr std::size_t kSpareDescriptorsDivisor = 8;    // of the descriptors, spare while a successor starts
 
 }  // namespace
 
@@ -115,4 +115,4 @@
   callbacks_.phase_changed("the successor is gone");
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/handover_coordinator.hpp
+++ b/src/node/handover_coordinator.hpp
@@ -16,13 +16,13 @@
 #include "node/downstream_fronts.hpp"
 #include "node/drain_watcher.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class HandoverCoordinator {
  public:
   // The parts that a handover reads or changes. All have to outlive the coordinator.
   struct Parts {
-    const Config& config;
+    const config::Config& config;
     lifecycle::Lifecycle& router_lifecycle;
     const net::EndpointTable& endpoints;
     net::PeerSocket& peers;
@@ -64,4 +64,4 @@
   net::Timer timer_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/identity.cpp
+++ b/src/node/identity.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <string_view>
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 constexpr int kFileMode = 0600;
@@ -126,4 +126,4 @@
   return startup;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/identity.hpp
+++ b/src/node/identity.hpp
@@ -1,4 +1,5 @@
-// Which start of which disk this process is: a small file that is written once at each start (docs/group.md).
+// Which start of which disk this process is: a small file that is written once at each start
+// (docs/membership.md).
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,7 @@
 
 #include "membership/message.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // From the system's entropy, for seeds and names of processes.
 std::uint64_t random_number();
@@ -22,4 +23,4 @@
 // empty path: there is no file. Blocks; for the time before the loop runs.
 StartupIdentity load_identity(const std::string& path);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -8,7 +8,7 @@
 
 #include "budgets/quota_store.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // Passes each call on to the quota lease client of the process that speaks for the router in its group. That
 // client comes and goes with handovers; while there is none, nothing is granted and nothing charged, and the
@@ -63,7 +63,7 @@
   }
 
  private:
-  static constexpr Time kRetryAfter = 1'000'000;  // advised while there is no client
+  static constexpr Time kRetryAfter = seconds(1);  // advised while there is no client
 
   struct Account {
     std::string key;
@@ -75,4 +75,4 @@
   std::vector<Account> accounts_;  // by place
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/loop_clock.hpp
+++ b/src/node/loop_clock.hpp
@@ -6,7 +6,7 @@
 #include "core/request_manager.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // Microseconds of the loop's monotonic clock. Only the latest `wake_at` holds.
 class LoopClock : public core::Clock {
@@ -23,4 +23,4 @@
   net::Timer timer_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/loop_notifier.hpp
+++ b/src/node/loop_notifier.hpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-namespace thornwick {
+namespace thornwick::node {
 
 // Belongs to the loop's thread. After its destruction nothing is called any more, though triggers may still
 // be held and used.
@@ -40,4 +40,4 @@
   std::shared_ptr<Target> target_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -10,7 +10,7 @@
 #include "node/endpoint_names.hpp"
 #include "persistence/handover_state.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 constexpr Time kClusterShareOfSave = 4;  // a quarter of the time is for what is owed to other routers
@@ -19,7 +19,7 @@
 
 // ---------------------------------------------------------------- construction
 
-Node::Node(const Config& config, net::HandoverState handover_state)
+Node::Node(const config::Config& config, net::HandoverState handover_state)
     : config_(config),
       metrics_(config.classes),
       names_{config.classes, config.tenants, {}},
@@ -172,9 +172,9 @@
 
 // ---------------------------------------------------------------- what operators ask for
 
-void Node::reload(const Config& config) {
+void Node::reload(const config::Config& config) {
   check_config(config);
-  if (const auto names = needs_restart(config_, config); !names.empty()) {
+  if (const auto names = config::needs_restart(config_, config); !names.empty()) {
     logging::warning("main") << "only a restart brings what is new in: " << names;
   }
   ++reloads_;
@@ -188,7 +188,7 @@
 }
 
 // Requests that are open go on where they are.
-void Node::reload_models(const Config& config, Time now) {
+void Node::reload_models(const config::Config& config, Time now) {
   if (pools_ == nullptr || config.added.catalogue.empty()) return;
   config_.added.catalogue = models::renumbered(config_.added.catalogue, config.added.catalogue);
   pools_->change(now, config_.added.catalogue);
@@ -196,9 +196,9 @@
 }
 
 // What was used of a budget stays used. Whether there are budgets at all only changes at the next start.
-void Node::reload_budgets(const Config& config, Time now) {
-  BudgetsFile& current = config_.added.budgets;
-  const BudgetsFile& fresh = config.added.budgets;
+void Node::reload_budgets(const config::Config& config, Time now) {
+  config::BudgetsFile& current = config_.added.budgets;
+  const config::BudgetsFile& fresh = config.added.budgets;
   if (durable_state_.quota_service() == nullptr || fresh.budgets.empty() != current.budgets.empty()) return;
   current.budgets = fresh.budgets;
   current.soft_worth = fresh.soft_worth;
@@ -239,4 +239,4 @@
   if (flow_exporter_) out << " flow_records=" << flow_exporter_->sent();
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -28,17 +28,17 @@
 #include "node/loop_clock.hpp"
 #include "node/request_recorder.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class Node {
  public:
   // Serves from then on, as long as GLib's main loop runs; takes over what a predecessor passed on, if there
   // is one. Throws BadConfig or NetError.
-  explicit Node(const Config& config, net::HandoverState handover_state = {});
+  explicit Node(const config::Config& config, net::HandoverState handover_state = {});
 
   // Takes a new configuration under load: models, budgets, prices and discovery's address hold at once, all
   // else from the next start on. Throws what check_config throws, and then nothing has changed.
-  void reload(const Config& config);
+  void reload(const config::Config& config);
 
   // A planned stop: requests that still come are served. `when_over` is called once no client is left.
   void wind_down();
@@ -81,13 +81,13 @@
 
   void on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries);
   void open_cluster();
-  void reload_models(const Config& config, Time now);
-  void reload_budgets(const Config& config, Time now);
+  void reload_models(const config::Config& config, Time now);
+  void reload_budgets(const config::Config& config, Time now);
   void phase_changed(const char* reason);
 
   // Built in this order and destroyed in the reverse one: each part refers only to parts above it, apart from
   // callbacks that the main loop calls once all are built.
-  Config config_;  // as read at the start, with what reload has taken over
+  config::Config config_;  // as read at the start, with what reload has taken over
   lifecycle::Lifecycle lifecycle_{net::now_us()};
   metrics::Metrics metrics_;
   fronts::Names names_;
@@ -109,4 +109,4 @@
   std::uint64_t reloads_ = 0;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/replication_commands.cpp
+++ b/src/node/replication_commands.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 constexpr std::size_t kMaxOutcomes = 256;
@@ -73,4 +73,4 @@
   return found == answers_.end() ? nullptr : &found->second;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/replication_commands.hpp
+++ b/src/node/replication_commands.hpp
@@ -1,5 +1,5 @@
 // The commands about replicated budgets that operators send to the local socket of a running router, and what
-// became of those that take time (docs/copies.md). Knows no sockets.
+// became of those that take time (docs/replication.md). Knows no sockets.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <variant>
 
-namespace thornwick {
+namespace thornwick::node {
 
 // COPIES [JSON]
 struct ReplicationStatusQuery {
@@ -62,4 +62,4 @@
   std::deque<std::uint64_t> order_;  // ids as they came, the oldest first
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -199,4 +199,4 @@
   return text;
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/replication_status.hpp
+++ b/src/node/replication_status.hpp
@@ -10,11 +10,11 @@
 #include "persistence/ledger_store.hpp"
 #include "replication/replication_node.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 // What a status is made from; refers to the parts for the length of one call.
 struct ReplicationStatus {
-  const CopiesFile& file;
+  const config::CopiesFile& file;
   const membership::Roster& roster;
   const replication::ReplicationNode& replication;
   const persistence::LedgerStore& store;
@@ -25,4 +25,4 @@
 nlohmann::ordered_json status_json(const ReplicationStatus& status);
 std::string status_text(const ReplicationStatus& status);
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -6,7 +6,7 @@
 
 #include "logging/log.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 namespace {
 
 constexpr Time kMicrosecondsPerMillisecond = 1000;
@@ -99,4 +99,4 @@
   flow_exporter_->add(summary, endpoint == nullptr ? std::string_view() : endpoint->uid);
 }
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/node/request_recorder.hpp
+++ b/src/node/request_recorder.hpp
@@ -9,7 +9,7 @@
 #include "net/endpoint_table.hpp"
 #include "net/flow_exporter.hpp"
 
-namespace thornwick {
+namespace thornwick::node {
 
 class RequestRecorder {
  public:
@@ -30,4 +30,4 @@
   logging::RateLimiter log_limiter_;
 };
 
-}  // namespace thornwick
+}  // namespace thornwick::node
--- a/src/policy/interval_cuts.cpp
+++ b/src/policy/interval_cuts.cpp
@@ -4,10 +4,11 @@
 
 namespace thornwick {
 
-constexpr Time kRefreshPeriod = 250'000;  // microseconds between cuts that follow warm-up and health
-constexpr double kColdHeadroom = 1.0;     // load that cold replicas get for their warmth, of the usual
-constexpr double kHeadroom = 1.5;         // load a replica set can take over its usual, at the most
-constexpr double kMaxEjectedPart = 0.5;   // of a set's capacity; beyond it nobody counts as ejected
+constexpr Time kRefreshPeriod =
+    milliseconds(250);                   // microseconds between cuts that follow warm-up and health
+constexpr double kColdHeadroom = 1.0;    // load that cold replicas get for their warmth, of the usual
+constexpr double kHeadroom = 1.5;        // load a replica set can take over its usual, at the most
+constexpr double kMaxEjectedPart = 0.5;  // of a set's capacity; beyond it nobody counts as ejected
 
 void IntervalCuts::update(Time now) {
   if (!state_.cuts_are_stale && now < updated_at_ + kRefreshPeriod) return;
--- a/src/replication/consensus.hpp
+++ b/src/replication/consensus.hpp
@@ -75,11 +75,11 @@
 
   struct Options {
     ReplicaUid id = 0;
-    std::string name;                // of this router
-    Time election = 1'200'000;       // without a leader, until a candidate stands
-    Time heartbeat = 250'000;        // between messages of a leader
-    unsigned snapshot_every = 4096;  // entries
-    unsigned trailing = 512;         // entries kept behind a snapshot, for members that lag
+    std::string name;                     // of this router
+    Time election = milliseconds(1'200);  // without a leader, until a candidate stands
+    Time heartbeat = milliseconds(250);   // between messages of a leader
+    unsigned snapshot_every = 4096;       // entries
+    unsigned trailing = 512;              // entries kept behind a snapshot, for members that lag
   };
 
   // What the log needs of its owner; all of it outlives the Consensus.
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::string_view kMetaKey = "m";
 constexpr std::string_view kReplacedKey = "r";
-constexpr Time kPositionInterval = 500'000;
-constexpr Time kDutyInterval = 200'000;
+constexpr Time kPositionInterval = milliseconds(500);
+constexpr Time kDutyInterval = milliseconds(200);
 constexpr int kMemberHelloFactor = 4;  // hellos are as much rarer once it takes part
 constexpr int kStallPart = 4;          // a pause of this part of a lease is a stall
 
--- a/src/replication/ledger_replica.hpp
+++ b/src/replication/ledger_replica.hpp
@@ -28,12 +28,12 @@
   std::size_t self = 0;    // this router, in the roster
   std::size_t copies = 3;  // replicas of the ledger
   std::shared_ptr<const membership::Roster> roster;
-  Time lease = 6'000'000;     // of a session without a question
+  Time lease = seconds(6);    // of a session without a question
   double clock_bound = 0.02;  // by how much two clocks' rates may differ, as a part
-  Time heartbeat = 250'000;
-  Time election = 1'200'000;
-  Time hello = 500'000;            // between hellos until it takes part
-  Time patience = 30'000'000;      // entering: until a majority's word is enough
+  Time heartbeat = milliseconds(250);
+  Time election = milliseconds(1'200);
+  Time hello = milliseconds(500);  // between hellos until it takes part
+  Time patience = seconds(30);     // entering: until a majority's word is enough
   unsigned snapshot_every = 4096;  // entries
   unsigned trailing = 512;         // entries
   // Seeded faults that the checks have to find: for tests only.
--- a/src/replication/operator_requests.cpp
+++ b/src/replication/operator_requests.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMostRequests = 64;
-constexpr Time kGiveUpAfter = 15'000'000;
-constexpr Time kRepeatInterval = 1'000'000;
+constexpr Time kGiveUpAfter = seconds(15);
+constexpr Time kRepeatInterval = seconds(1);
 
 }  // namespace
 
--- a/src/replication/peer_table.cpp
+++ b/src/replication/peer_table.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr char kPeerPrefix = 'n';
-constexpr Time kRecent = 5'000'000;
+constexpr Time kRecent = seconds(5);
 
 std::string peer_key(const std::string& router) { return kPeerPrefix + router; }
 
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMostWindows = 3;         // of an account
 constexpr std::size_t kUnchangedAccounts = 16;  // reported in turn with each question
 constexpr int kRenewals = 3;                    // in a lease
-constexpr Time kNextWindowAhead = 5'000'000;    // before a window ends, a lease of the next one is drawn
+constexpr Time kNextWindowAhead = seconds(5);   // before a window ends, a lease of the next one is drawn
 constexpr Time kNextWindowPart = 4;             // or this part of the window, if that is less
 constexpr Time kLeaderSearchPart = 4;           // of the patience, while the leader is not known
 
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -7,9 +7,9 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr Time kAskAgainAfter = 500'000;       // where the latest answer left too little
-constexpr Time kBehindRetryAfter = 1'000'000;  // advised to clients while a lease is on its way
-constexpr Units kTypicalDecay = 16;            // part by which the typical request shrinks with each one
+constexpr Time kAskAgainAfter = milliseconds(500);  // where the latest answer left too little
+constexpr Time kBehindRetryAfter = seconds(1);      // advised to clients while a lease is on its way
+constexpr Units kTypicalDecay = 16;                 // part by which the typical request shrinks with each one
 
 }  // namespace
 
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -29,9 +29,9 @@
   std::shared_ptr<const membership::Roster> roster;
   std::uint32_t run = 1;       // drawn by this process
   double block = 0.02;         // of a limit: in hand ahead of need at most
-  Time lease = 6'000'000;      // from a question that was answered
+  Time lease = seconds(6);     // from a question that was answered
   double clock_bound = 0.02;   // by how much two clocks' rates may differ, as a part
-  Time patience = 1'000'000;   // for an answer
+  Time patience = seconds(1);  // for an answer
   double overdraft = 0;        // part of each limit; 0: strict
   bool outlive_lease = false;  // a seeded fault that the checks have to find: for tests only
 };
@@ -99,7 +99,7 @@
   std::vector<Line> lines() const;
 
  private:
-  static constexpr Time kLeastBetweenAsks = 20'000;  // questions to one ledger
+  static constexpr Time kLeastBetweenAsks = milliseconds(20);  // questions to one ledger
 
   // Of one window of one account; sums since the session began.
   struct HeldLease {
--- a/src/simulator/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -9,7 +9,7 @@
 #include <unordered_map>
 
 #include "affinity/affinity_table.hpp"
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 #include "thornwick/routing_policy.hpp"
 
 namespace {
@@ -35,45 +35,46 @@
 class Host {
  public:
   // Delivers the events of a batch in order. Returns the reply: the frame with all actions that follow.
-  std::vector<std::uint8_t> answer(const wire::Batch& batch) {
+  std::vector<std::uint8_t> answer(const simulator_adapter::Batch& batch) {
     std::vector<std::uint8_t> records;
     for (std::size_t i = 0; i < batch.events.size(); ++i) {
       const auto& event = batch.events[i];
       record_ = i;
-      if (const auto* roster = std::get_if<wire::Roster>(&event.body)) {
+      if (const auto* roster = std::get_if<simulator_adapter::Roster>(&event.body)) {
         tables_[roster->table] = roster->members;
         continue;
       }
       deliver(batch.now, event);
       collect(event.instance, batch.now, records);
     }
-    return wire::frame(records);
+    return simulator_adapter::frame(records);
   }
 
  private:
   [[noreturn]] void reject(const std::string& what) const {
-    throw wire::Malformed("record " + std::to_string(record_) + ": " + what);
+    throw simulator_adapter::Malformed("record " + std::to_string(record_) + ": " + what);
   }
 
   // Starts or stops the instance of the event, or hands the event to it.
-  void deliver(Time now, const wire::Event& event) {
-    if (const auto* start = std::get_if<wire::Start>(&event.body)) {
+  void deliver(Time now, const simulator_adapter::Event& event) {
+    if (const auto* start = std::get_if<simulator_adapter::Start>(&event.body)) {
       routers_.erase(event.instance);
-      routers_.try_emplace(event.instance, wire::parse_settings(start->params, start->seed), now);
+      routers_.try_emplace(event.instance, simulator_adapter::parse_settings(start->params, start->seed),
+                           now);
       return;
     }
     const auto found = routers_.find(event.instance);
     if (found == routers_.end()) {
       reject("event for instance " + std::to_string(event.instance) + ", which was never enlisted");
     }
-    if (std::holds_alternative<wire::Stop>(event.body)) {
+    if (std::holds_alternative<simulator_adapter::Stop>(event.body)) {
       routers_.erase(found);
       return;
     }
     std::visit([&](const auto& body) { handle(now, found->second, body); }, event.body);
   }
 
-  void handle(Time now, Instance& instance, const wire::EndpointListUpdate& update) {
+  void handle(Time now, Instance& instance, const simulator_adapter::EndpointListUpdate& update) {
     if (update.scope == EndpointUpdate::failed) return instance.router.on_endpoints(now, update.scope, {});
     if (update.table >= tables_.size() || !tables_[update.table]) {
       reject("list number " + std::to_string(update.table) + " was never sent");
@@ -87,14 +88,14 @@
     instance.open[request.id] = {hinted, {}};
     instance.router.on_request(now, hinted);
   }
-  void handle(Time now, Instance& instance, const wire::FirstToken& first) {
+  void handle(Time now, Instance& instance, const simulator_adapter::FirstToken& first) {
     const auto found = instance.open.find(first.id);
     if (found != instance.open.end()) {
       found->second.expectation = instance.affinity_table.began(now, found->second.request, first.replica);
     }
     instance.router.on_first_token(now, first.id, first.attempt, first.replica, first.elapsed);
   }
-  void handle(Time now, Instance& instance, const wire::Result& event) {
+  void handle(Time now, Instance& instance, const simulator_adapter::Result& event) {
     AttemptResult result = event.result;
     result.report = event.report;
     const auto found = instance.open.find(result.id);
@@ -105,22 +106,22 @@
     if (found != instance.open.end() && result.concluded) instance.open.erase(found);
     instance.router.on_attempt_result(now, result);
   }
-  void handle(Time now, Instance& instance, const wire::ClientGone& gone) {
+  void handle(Time now, Instance& instance, const simulator_adapter::ClientGone& gone) {
     instance.open.erase(gone.id);
     instance.router.on_client_gone(now, gone.id);
   }
-  void handle(Time now, Instance& instance, const wire::Timer& timer) {
+  void handle(Time now, Instance& instance, const simulator_adapter::Timer& timer) {
     instance.router.on_timer(now, timer.token);
   }
-  void handle(Time now, Instance& instance, const wire::Probed& probed) {
+  void handle(Time now, Instance& instance, const simulator_adapter::Probed& probed) {
     instance.router.on_probe_result(now, probed.replica, probed.alive, probed.report);
   }
-  void handle(Time now, Instance& instance, const wire::PeerMessage& message) {
+  void handle(Time now, Instance& instance, const simulator_adapter::PeerMessage& message) {
     instance.router.on_peer_message(now, message.peer, message.message);
   }
-  void handle(Time, Instance&, const wire::Start&) {}   // dealt with in deliver()
-  void handle(Time, Instance&, const wire::Stop&) {}    // dealt with in deliver()
-  void handle(Time, Instance&, const wire::Roster&) {}  // dealt with in answer()
+  void handle(Time, Instance&, const simulator_adapter::Start&) {}   // dealt with in deliver()
+  void handle(Time, Instance&, const simulator_adapter::Stop&) {}    // dealt with in deliver()
+  void handle(Time, Instance&, const simulator_adapter::Roster&) {}  // dealt with in answer()
 
   // Appends the records of the actions that an instance has decided.
   void collect(std::uint16_t instance, Time now, std::vector<std::uint8_t>& records) {
@@ -129,12 +130,12 @@
     for (const auto& action : found->second.router.take_actions()) {
       const bool final = action.kind == ActionKind::reject || action.kind == ActionKind::fail;
       if (final) found->second.open.erase(action.id);
-      wire::encode_action(instance, action, now, records);
+      simulator_adapter::encode_action(instance, action, now, records);
     }
   }
 
   std::map<std::uint16_t, Instance> routers_;
-  std::array<std::optional<std::vector<Endpoint>>, wire::kTables> tables_;
+  std::array<std::optional<std::vector<Endpoint>>, simulator_adapter::kTables> tables_;
   std::size_t record_ = 0;  // the number of the event in its batch
 };
 
@@ -149,8 +150,8 @@
     const std::size_t got = std::fread(into.data() + have, 1, into.size() - have, stdin);
     if (got != into.size() - have) {
       if (have + got == 0) return false;
-      throw wire::Malformed(std::string("input ends within ") + what + ", byte " +
-                            std::to_string(have + got));
+      throw simulator_adapter::Malformed(std::string("input ends within ") + what + ", byte " +
+                                         std::to_string(have + got));
     }
   }
   return true;
@@ -161,14 +162,15 @@
   Host host;
   std::vector<std::uint8_t> header;
   std::vector<std::uint8_t> payload;
-  while (read_exactly(header, wire::kHeaderBytes, "the length")) {
-    const auto length =
-        wire::read_length(std::span<const std::uint8_t, wire::kHeaderBytes>(header.data(), 4));
-    if (length > wire::kMaxFrameBytes) throw wire::Malformed("header, byte 0: length beyond any batch");
-    if (!read_exactly(payload, length + wire::kClockAndCountBytes, "a batch")) {
-      throw wire::Malformed("input ends after the length of a batch, byte 4");
+  while (read_exactly(header, simulator_adapter::kHeaderBytes, "the length")) {
+    const auto length = simulator_adapter::read_length(
+        std::span<const std::uint8_t, simulator_adapter::kHeaderBytes>(header.data(), 4));
+    if (length > simulator_adapter::kMaxFrameBytes)
+      throw simulator_adapter::Malformed("header, byte 0: length beyond any batch");
+    if (!read_exactly(payload, length + simulator_adapter::kClockAndCountBytes, "a batch")) {
+      throw simulator_adapter::Malformed("input ends after the length of a batch, byte 4");
     }
-    const auto reply = host.answer(wire::decode_batch(payload));
+    const auto reply = host.answer(simulator_adapter::decode_batch(payload));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
       throw std::runtime_error("standard output is closed");
     }
--- a/src/simulator/byte_reader.cpp
+++ b/src/simulator_adapter/byte_reader.cpp
@@ -1,6 +1,6 @@
-#include "simulator/byte_reader.hpp"
+#include "simulator_adapter/byte_reader.hpp"
 
-namespace thornwick::wire {
+namespace thornwick::simulator_adapter {
 
 void ByteReader::reject(const std::string& what) const {
   const std::string where = record_ < 0 ? "header" : "record " + std::to_string(record_);
@@ -36,4 +36,4 @@
   return values;
 }
 
-}  // namespace thornwick::wire
+}  // namespace thornwick::simulator_adapter
--- a/src/simulator/byte_reader.hpp
+++ b/src/simulator_adapter/byte_reader.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
-namespace thornwick::wire {
+namespace thornwick::simulator_adapter {
 
 // Reads from the bytes of one batch, which it does not own. It knows its position, so that a defect can be
 // placed: every failed read throws Malformed with the number of the record and the byte.
@@ -52,4 +52,4 @@
   std::int64_t record_ = -1;  // before the first record
 };
 
-}  // namespace thornwick::wire
+}  // namespace thornwick::simulator_adapter
--- a/src/simulator/settings_text.cpp
+++ b/src/simulator_adapter/settings_text.cpp
@@ -5,9 +5,9 @@
 #include <limits>
 #include <map>
 
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
-namespace thornwick::wire {
+namespace thornwick::simulator_adapter {
 namespace {
 
 constexpr double kLongestTime = 9e15;  // microseconds; whole numbers up to it are exact in a double
@@ -187,4 +187,4 @@
   return settings;
 }
 
-}  // namespace thornwick::wire
+}  // namespace thornwick::simulator_adapter
--- a/src/simulator/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,11 +1,11 @@
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "simulator/byte_reader.hpp"
+#include "simulator_adapter/byte_reader.hpp"
 
-namespace thornwick::wire {
+namespace thornwick::simulator_adapter {
 namespace {
 
 // Codes of the records, as the simulator defines them.
@@ -270,4 +270,4 @@
   return ByteReader(header).number<std::uint32_t>("length");
 }
 
-}  // namespace thornwick::wire
+}  // namespace thornwick::simulator_adapter
--- a/src/simulator/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -13,7 +13,7 @@
 
 #include "thornwick/routing_policy.hpp"
 
-namespace thornwick::wire {
+namespace thornwick::simulator_adapter {
 
 // Input that breaks the protocol. The text names the record and the byte, or the setting.
 struct Malformed : std::runtime_error {
@@ -105,4 +105,4 @@
 // Reads the path=value lines of an instance's settings; unknown keys are disregarded. Throws Malformed.
 Settings parse_settings(std::string_view params, std::uint64_t seed);
 
-}  // namespace thornwick::wire
+}  // namespace thornwick::simulator_adapter
--- a/src/standins/fault_harness.cpp
+++ b/src/testbed/fault_harness.cpp
@@ -1,4 +1,4 @@
-#include "standins/fault_harness.hpp"
+#include "testbed/fault_harness.hpp"
 
 #include <fmt/format.h>
 #include <signal.h>
@@ -11,17 +11,17 @@
 #include "emulator/scenario.hpp"
 #include "net/unix_socket.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
 using Json = nlohmann::ordered_json;
 
-constexpr Time kAnswers = 2'000'000;  // a status
-constexpr Time kLook = 50'000;        // and more where there are many routers
-constexpr Time kAgree = 60'000'000;
-constexpr Time kEnds = 30'000'000;     // after SIGTERM
-constexpr Time kExcuse = 400'000;      // around a fault of a process: what was on its way then
-constexpr Time kDrainSlack = 500'000;  // news that a replica drains are on their way for as long
+constexpr Time kAnswers = seconds(2);     // a status
+constexpr Time kLook = milliseconds(50);  // and more where there are many routers
+constexpr Time kAgree = seconds(60);
+constexpr Time kEnds = seconds(30);              // after SIGTERM
+constexpr Time kExcuse = milliseconds(400);      // around a fault of a process: what was on its way then
+constexpr Time kDrainSlack = milliseconds(500);  // news that a replica drains are on their way for as long
 constexpr const char* kSlowDiskMs = "500";
 constexpr const char* kLoopback = "127.0.0.1:0";
 
@@ -174,7 +174,7 @@
     g_subprocess_launcher_setenv(launcher, "THORNWICK_CLOCK", (r.folder + "/clock").c_str(), TRUE);
   if (disk == DiskState::slow) {
     const auto library =
-        std::filesystem::path(options_.program).parent_path() / "src/standins/libthornwick_slow_disk.so";
+        std::filesystem::path(options_.program).parent_path() / "src/testbed/libthornwick_slow_disk.so";
     g_subprocess_launcher_setenv(launcher, "LD_PRELOAD", library.c_str(), TRUE);
     g_subprocess_launcher_setenv(launcher, "THORNWICK_SLOW_DISK_MS", kSlowDiskMs, TRUE);
     g_subprocess_launcher_setenv(launcher, "ASAN_OPTIONS", "verify_asan_link_order=0", TRUE);
@@ -591,4 +591,4 @@
   return f;
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/fault_harness.hpp
+++ b/src/testbed/fault_harness.hpp
@@ -15,11 +15,11 @@
 #include <string>
 #include <vector>
 
-#include "standins/faulty_link.hpp"
-#include "standins/installation.hpp"
-#include "standins/request_audit.hpp"
+#include "testbed/faulty_link.hpp"
+#include "testbed/installation.hpp"
+#include "testbed/request_audit.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 enum class DiskState {
   kept,
@@ -166,4 +166,4 @@
   double agreed_after_s_ = 0;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/fault_script.cpp
+++ b/src/testbed/fault_script.cpp
@@ -1,4 +1,4 @@
-#include "standins/fault_script.hpp"
+#include "testbed/fault_script.hpp"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "settings/section.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
 using settings::Problems, settings::Root, settings::Section;
@@ -316,4 +316,4 @@
   return played;
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/fault_script.hpp
+++ b/src/testbed/fault_script.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "standins/fault_harness.hpp"
+#include "testbed/fault_harness.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 enum class ScriptedFaultKind {
   kill,
@@ -62,4 +62,4 @@
 // The script's sizes and seed are taken; program, folder, scenario and `say` are the caller's.
 FaultScriptResult play(const FaultScript& script, FaultHarnessOptions options);
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/faulty_link.cpp
+++ b/src/testbed/faulty_link.cpp
@@ -1,8 +1,8 @@
-#include "standins/faulty_link.hpp"
+#include "testbed/faulty_link.hpp"
 
 #include <algorithm>
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
 constexpr std::size_t kMostHeld = 1000;  // datagrams
@@ -171,4 +171,4 @@
   while (!pipes_.empty()) pipes_.front()->over();
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/faulty_link.hpp
+++ b/src/testbed/faulty_link.hpp
@@ -10,7 +10,7 @@
 #include "net/datagrams.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 // Of one way. Of a connection, cut and hold keep what comes until they end, as a network that is mended does
 // in the end; losses and repeats are of datagrams alone.
@@ -72,4 +72,4 @@
   Metrics metrics_;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -1,4 +1,4 @@
-#include "standins/installation.hpp"
+#include "testbed/installation.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -11,15 +11,15 @@
 #include "emulator/random_stream.hpp"
 #include "random/hashing.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
 using emulator::Said;
 using Json = nlohmann::ordered_json;
 
-constexpr Time kFrameEvery = 100'000;   // microseconds between two events of one answer
-constexpr Time kWarmStep = 250'000;     // a cold replica's pace is set anew so often
-constexpr Time kMostWait = 60'000'000;  // of a watch
+constexpr Time kFrameEvery = milliseconds(100);  // microseconds between two events of one answer
+constexpr Time kWarmStep = milliseconds(250);    // a cold replica's pace is set anew so often
+constexpr Time kMostWait = seconds(60);          // of a watch
 constexpr const char* kWords[] = {"the", "suite", "passed", "on",   "every", "phone", "but", "one",  "tablet",
                                   "is",  "slow",  "to",     "wake", "and",   "its",   "log", "says", "why"};
 
@@ -434,4 +434,4 @@
   }
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/installation.hpp
+++ b/src/testbed/installation.hpp
@@ -9,9 +9,9 @@
 
 #include "emulator/scenario.hpp"
 #include "fronts/dialect.hpp"
-#include "standins/server.hpp"
+#include "testbed/server.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 class StandInReplica;
 
@@ -77,4 +77,4 @@
   Metrics metrics_;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/load.cpp
+++ b/src/testbed/load.cpp
@@ -1,4 +1,4 @@
-#include "standins/load.hpp"
+#include "testbed/load.hpp"
 
 #include <fmt/format.h>
 
@@ -8,12 +8,12 @@
 
 #include "random/hashing.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
-constexpr Time kSlack = 300'000;       // after its limit, in which a try must have its final answer
-constexpr Time kSilence = 10'000'000;  // a stream without an event for so long is given up
-constexpr Time kLateStart = 10'000;
+constexpr Time kSlack = milliseconds(300);  // after its limit, in which a try must have its final answer
+constexpr Time kSilence = seconds(10);      // a stream without an event for so long is given up
+constexpr Time kLateStart = milliseconds(10);
 constexpr std::size_t kTail = 600;  // of an answer, in which the tally is looked for
 
 double number_after(const std::string& text, const std::string& name) {
@@ -243,4 +243,4 @@
   if (next_ == options_.asked.size() && turns_.empty()) finish();
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/load.hpp
+++ b/src/testbed/load.hpp
@@ -17,7 +17,7 @@
 #include "fronts/dialect.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 struct LoadOptions {
   emulator::Scenario scenario;         // classes, members, what clients do when they are rejected
@@ -74,4 +74,4 @@
   net::Timer pacer_;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/replication_play.cpp
+++ b/src/testbed/replication_play.cpp
@@ -1,4 +1,4 @@
-#include "standins/replication_play.hpp"
+#include "testbed/replication_play.hpp"
 
 #include <fmt/format.h>
 
@@ -7,16 +7,15 @@
 
 #include "emulator/random_stream.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
 using Json = nlohmann::json;
 
 constexpr const char* kAccount = "day|*|*|*";
 constexpr double kCorrection = 50;  // tokens that each takes
-constexpr Time kSecond = 1'000'000;
-constexpr Time kFills = 60 * kSecond, kFounds = 60 * kSecond, kDecides = 40 * kSecond, kUsesUp = 60 * kSecond;
-constexpr Time kQuiet = 3 * kSecond;  // without an answer: the budget is used up
+constexpr Time kFills = seconds(60), kFounds = seconds(60), kDecides = seconds(40), kUsesUp = seconds(60);
+constexpr Time kQuiet = seconds(3);  // without an answer: the budget is used up
 
 class Play {
  public:
@@ -88,7 +87,7 @@
     correct();
     const double before = rig_.tokens();
     const Time at = net::now_us();
-    rig_.until([&] { return rig_.tokens() > before + 60; }, 5 * kSecond);
+    rig_.until([&] { return rig_.tokens() > before + 60; }, seconds(5));
     played_.leader_after_s = std::max(played_.leader_after_s, static_cast<double>(net::now_us() - at) / 1e6);
     if (script_.faults) fault(lost);
     pass(chance_.between(0.1, 1.5));
@@ -255,4 +254,4 @@
   return Play(script, std::move(options)).run();
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/replication_play.hpp
+++ b/src/testbed/replication_play.hpp
@@ -5,9 +5,9 @@
 
 #include <string>
 
-#include "standins/fault_harness.hpp"
+#include "testbed/fault_harness.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 struct CopiesPlay {
   std::uint64_t seed = 1;
@@ -28,4 +28,4 @@
 // Program, folder, scenario and `say` are the caller's.
 CopiesPlayed play_losses(const CopiesPlay& script, FaultHarnessOptions options);
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/request_audit.cpp
+++ b/src/testbed/request_audit.cpp
@@ -1,4 +1,4 @@
-#include "standins/request_audit.hpp"
+#include "testbed/request_audit.hpp"
 
 #include <fmt/format.h>
 
@@ -6,11 +6,11 @@
 
 #include "fronts/dialect.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 namespace {
 
-constexpr Time kSlack = 500'000;
-constexpr Time kListens = 100'000;  // after an answer: nothing may come behind it
+constexpr Time kSlack = milliseconds(500);
+constexpr Time kListens = milliseconds(100);  // after an answer: nothing may come behind it
 
 std::string request_bytes(const std::string& id, Time limit, const std::string& cls,
                           const std::string& member) {
@@ -121,4 +121,4 @@
   lines_.erase(at);
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/request_audit.hpp
+++ b/src/testbed/request_audit.hpp
@@ -13,7 +13,7 @@
 #include "http/http.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 enum class Outcome { open, served, rejected, broken, silent, not_connected, twice };
 const char* name_of(Outcome outcome);
@@ -28,8 +28,8 @@
 class RequestAudit {
  public:
   struct Options {
-    double rate = 10;        // requests a second and router
-    Time limit = 2'000'000;  // a request's own; it has to have its answer half a second after it
+    double rate = 10;         // requests a second and router
+    Time limit = seconds(2);  // a request's own; it has to have its answer half a second after it
     std::string cls = "chat", member = "acme";
   };
   RequestAudit(Options options, std::size_t routers);
@@ -55,4 +55,4 @@
   std::uint64_t last_ = 0;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/server.cpp
+++ b/src/testbed/server.cpp
@@ -1,6 +1,6 @@
-#include "standins/server.hpp"
+#include "testbed/server.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 Server::Server(const std::string& address, std::function<void(Line&)> asked) : asked_(std::move(asked)) {
   listener_ = std::make_unique<net::Listener>(
@@ -49,4 +49,4 @@
   lines_.remove_if([](const auto& line) { return !line->open(); });
 }
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/standins/server.hpp
+++ b/src/testbed/server.hpp
@@ -10,7 +10,7 @@
 #include "http/http.hpp"
 #include "net/loop.hpp"
 
-namespace thornwick::standins {
+namespace thornwick::testbed {
 
 class Server {
  public:
@@ -43,4 +43,4 @@
   std::unique_ptr<net::Listener> listener_;
 };
 
-}  // namespace thornwick::standins
+}  // namespace thornwick::testbed
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -26,8 +26,8 @@
 constexpr double kMaxTokens = 1e15;
 
 Time wall_now() {
-  using namespace std::chrono;
-  return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
+  const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+  return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
 Json account_json(std::string_view key, const budgets::LimitState& state) {
--- a/src/tools/group.cpp
+++ b/src/tools/group.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "emulator/group_faults.hpp"
-#include "lab/group_table.hpp"
+#include "experiments/group_table.hpp"
 #include "tools/group_play.hpp"
 #include "tools/running_router.hpp"
 
@@ -57,22 +57,22 @@
 
 // ---------------------------------------------------------------- table
 
-int run_table(const lab::GroupTableOptions& options) {
-  std::vector<lab::GroupRow> rows;
+int run_table(const experiments::GroupTableOptions& options) {
+  std::vector<experiments::GroupRow> rows;
   for (const auto& detector : options.ways) {
     for (const auto routers : options.routers) {
       for (const auto loss : options.losses) {
-        rows.push_back(lab::measure_group(detector, routers, loss, options));
+        rows.push_back(experiments::measure_group(detector, routers, loss, options));
         fmt::print(stderr, "  {} {} {}\n", detector, routers, loss);
       }
     }
   }
-  fmt::print("{}", lab::print_group_rows(rows));
+  fmt::print("{}", experiments::print_group_rows(rows));
   return 0;
 }
 
 void add_table(CLI::App& group, int& status) {
-  auto options = std::make_shared<lab::GroupTableOptions>();
+  auto options = std::make_shared<experiments::GroupTableOptions>();
   auto* command = group.add_subcommand(
       "table", "time to find a death, false alarms and cost by size, loss and way, in virtual time");
   command->add_option("--routers", options->routers, "sizes")
--- a/src/tools/group_play.cpp
+++ b/src/tools/group_play.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "standins/fault_script.hpp"
+#include "testbed/fault_script.hpp"
 
 namespace thornwick::tools {
 namespace {
@@ -33,7 +33,7 @@
 constexpr std::uint64_t kDefaultSeed = 1;
 constexpr double kDefaultSeconds = 10;
 
-void print_summary(const standins::FaultScript& script, const standins::FaultHarness::Metrics& metrics,
+void print_summary(const testbed::FaultScript& script, const testbed::FaultHarness::Metrics& metrics,
                    const std::string& folder) {
   fmt::print(
       "seed {}: {} routers, {} faults, {} starts; {} requests, {} served, {} refused, {} excused, {} "
@@ -51,8 +51,8 @@
 }
 
 // Prints the timeline; 0 if all held.
-int play_one(const PlayOptions& options, const standins::FaultScript& script, const std::string& folder) {
-  standins::FaultHarnessOptions harness;
+int play_one(const PlayOptions& options, const testbed::FaultScript& script, const std::string& folder) {
+  testbed::FaultHarnessOptions harness;
   harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
   harness.folder = folder;
   harness.scenario = options.scenario;
@@ -60,7 +60,7 @@
   harness.wires = !options.without_wires;
   if (!options.quiet)
     harness.write_log = [](double at, const std::string& text) { fmt::print("{:9.3f}  {}\n", at, text); };
-  const auto played = standins::play(script, harness);
+  const auto played = testbed::play(script, harness);
   print_summary(script, played.metrics, folder);
   if (played.broken.empty()) return 0;
   fmt::print("BROKEN: {}\n", played.broken);
@@ -69,7 +69,7 @@
 
 // What the command line says counts, then what the script says.
 int play_script(PlayOptions options, const std::string& folder) {
-  auto script = standins::read_rig_script(options.script);
+  auto script = testbed::read_rig_script(options.script);
   script.seed = options.seed.value_or(script.seed);
   script.seconds = options.seconds.value_or(script.seconds);
   if (options.scenario.empty() && !script.scenario.empty())
@@ -90,7 +90,7 @@
   const double seconds = options.seconds.value_or(kDefaultSeconds);
   int broken = 0;
   for (std::uint64_t seed = first; seed < first + options.count; ++seed) {
-    const auto script = standins::random_rig_script(seed, seconds, options.min_routers, options.max_routers);
+    const auto script = testbed::random_rig_script(seed, seconds, options.min_routers, options.max_routers);
     if (play_one(options, script, folder + fmt::format("/{}", seed)) == 0) continue;
     ++broken;
     fmt::print("  again: thornwick group play --scenario {} --seed {} --seconds {} --least {} --most {}\n",
--- a/src/tools/group_play.hpp
+++ b/src/tools/group_play.hpp
@@ -1,4 +1,5 @@
-// `thornwick group play`: real router processes with faults between them, on this machine (docs/group.md).
+// `thornwick group play`: real router processes with faults between them, on this machine
+// (docs/membership.md).
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "emulator/world.hpp"
-#include "standins/load.hpp"
+#include "testbed/load.hpp"
 #include "tools/main_loop.hpp"
 #include "tools/standins.hpp"
 #include "tools/trace_file.hpp"
@@ -27,7 +27,7 @@
   bool json = false;
 };
 
-void print_result(const standins::Load& load) {
+void print_result(const testbed::Load& load) {
   const auto& result = load.result();
   fmt::print("score {:.4f}  in time {:.4f}  kept {:.3f}  requests {}  tries {}\n", result.score,
              result.whole.share(), result.cached_share(), result.turns, result.tries);
@@ -49,12 +49,12 @@
   return read_trace(options.trace, scenario);
 }
 
-int send_load(const LoadOptions& options, standins::LoadOptions load_options) {
+int send_load(const LoadOptions& options, testbed::LoadOptions load_options) {
   load_options.routers = options.routers;
   load_options.dialect = options.dialect;
   load_options.seed = options.seed;
   load_options.most_connections = options.connections;
-  standins::Load load(std::move(load_options));
+  testbed::Load load(std::move(load_options));
   const MainLoop loop = make_main_loop();
   quit_on_stop_signals(loop.get());
   load.start([&loop] { g_main_loop_quit(loop.get()); });
@@ -69,7 +69,7 @@
 
 int run_load(const LoadOptions& options) {
   net::descriptors().limit = kStandinDescriptors;
-  standins::LoadOptions load_options;
+  testbed::LoadOptions load_options;
   load_options.scenario = emulator::read_scenario(options.scenario);
   load_options.asked = requests_of(options, load_options.scenario);
   if (!options.write_trace.empty()) {
--- a/src/tools/load.hpp
+++ b/src/tools/load.hpp
@@ -1,4 +1,4 @@
-// `thornwick load`: open-loop clients that send a scenario's requests to routers (docs/lab.md).
+// `thornwick load`: open-loop clients that send a scenario's requests to routers (docs/experiments.md).
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -48,7 +48,7 @@
           {"fallbacks", fallbacks_json(model)}};
 }
 
-Json budget_json(const BudgetEntry& budget) {
+Json budget_json(const config::BudgetEntry& budget) {
   return {{"budget", budget.name}, {"member", budget.member}, {"model", budget.model}, {"class", budget.cls},
           {"per", budget.per},     {"tokens", budget.tokens}, {"hard", budget.hard}};
 }
@@ -56,7 +56,7 @@
 void print_line(const Json& json) { std::cout << json.dump() << '\n'; }
 
 int check_models(const std::string& path) {
-  const OperatorFile file = read_operator_file(path);
+  const config::OperatorFile file = config::read_operator_file(path);
   for (const auto& model : file.catalogue.models) print_line(model_json(model));
   for (const auto& alias : file.catalogue.aliases) print_line({{"alias", alias.name}, {"to", alias.to}});
   for (const auto& budget : file.budgets.budgets) print_line(budget_json(budget));
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -12,7 +12,7 @@
 #include "emulator/replication_simulation.hpp"
 #include "persistence/ledger_store.hpp"
 #include "replication/ledger.hpp"
-#include "standins/replication_play.hpp"
+#include "testbed/replication_play.hpp"
 #include "tools/running_router.hpp"
 #include "tools/store_file.hpp"
 
@@ -146,14 +146,14 @@
 // ---------------------------------------------------------------- processes
 
 struct PlayOptions {
-  standins::CopiesPlay script;  // with the seed of the first play
-  std::uint64_t count = 1;      // plays, one for each seed from there on
+  testbed::CopiesPlay script;  // with the seed of the first play
+  std::uint64_t count = 1;     // plays, one for each seed from there on
   std::string scenario;
   std::string folder;  // empty: a temporary one
   bool quiet = false;
 };
 
-void add_to_total(const standins::CopiesPlayed& played, standins::CopiesPlayed& total) {
+void add_to_total(const testbed::CopiesPlayed& played, testbed::CopiesPlayed& total) {
   total.kills += played.kills;
   total.corrections += played.corrections;
   total.confirmed += played.confirmed;
@@ -166,8 +166,8 @@
 }
 
 // With an empty folder for this play alone.
-standins::FaultHarnessOptions harness_options(const PlayOptions& options, std::uint64_t seed) {
-  standins::FaultHarnessOptions harness;
+testbed::FaultHarnessOptions harness_options(const PlayOptions& options, std::uint64_t seed) {
+  testbed::FaultHarnessOptions harness;
   harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
   harness.folder =
       (options.folder.empty() ? std::filesystem::temp_directory_path().string() + "/thornwick-copies"
@@ -180,7 +180,7 @@
   return harness;
 }
 
-void print_broken(const PlayOptions& options, const standins::CopiesPlay& script, const std::string& broken) {
+void print_broken(const PlayOptions& options, const testbed::CopiesPlay& script, const std::string& broken) {
   fmt::print(
       "seed {}: {}\n  again: thornwick copies play --scenario {} --seed {} --routers {} --sites {} "
       "--copies {}{}\n",
@@ -190,11 +190,11 @@
 
 int run_play(const PlayOptions& options) {
   std::uint64_t broken = 0;
-  standins::CopiesPlayed total;
+  testbed::CopiesPlayed total;
   auto script = options.script;
   const std::uint64_t end = script.seed + options.count;
   for (; script.seed < end; ++script.seed) {
-    const auto played = standins::play_losses(script, harness_options(options, script.seed));
+    const auto played = testbed::play_losses(script, harness_options(options, script.seed));
     add_to_total(played, total);
     if (played.broken.empty()) continue;
     ++broken;
--- a/src/tools/running_router.cpp
+++ b/src/tools/running_router.cpp
@@ -13,9 +13,9 @@
 namespace thornwick::tools {
 namespace {
 
-constexpr Time kDecisionTimeout = 20'000'000;
-constexpr Time kAnswerTimeout = 3'000'000;
-constexpr Time kStatusTimeout = 5'000'000;
+constexpr Time kDecisionTimeout = seconds(20);
+constexpr Time kAnswerTimeout = seconds(3);
+constexpr Time kStatusTimeout = seconds(5);
 constexpr unsigned kPollInterval = 50'000;  // microseconds
 
 constexpr int kRefused = 1;
@@ -29,7 +29,7 @@
 int print_status(const StatusOptions& options, const std::string& parent_name, const std::string& call,
                  const std::string& operator_file) {
   const std::string path =
-      options.socket.empty() ? read_operator_file(operator_file).group.status : options.socket;
+      options.socket.empty() ? config::read_operator_file(operator_file).group.status : options.socket;
   if (path.empty()) {
     throw std::invalid_argument(parent_name +
                                 " status: name the socket, or an operator's file (-o) that has group.status");
@@ -64,7 +64,7 @@
 }
 
 int run_command(const std::string& socket, const RouterCommand& command) {
-  const std::uint64_t id = command.id != 0 ? command.id : random_number() | 1;
+  const std::uint64_t id = command.id != 0 ? command.id : node::random_number() | 1;
   const std::string answer = wait_for_decision(socket, command, id);
   if (answer.starts_with("+OK yes")) {
     fmt::print("yes (id {})\n", id);
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -17,7 +17,7 @@
 namespace thornwick::tools {
 namespace {
 
-constexpr Time kSaveTimeout = 2'000'000;  // a planned stop waits so long for a slow disk
+constexpr Time kSaveTimeout = seconds(2);  // a planned stop waits so long for a slow disk
 // Descriptors that net::descriptors() does not count: standard streams, GLib's own, files that are open for a
 // moment.
 constexpr std::size_t kUncountedDescriptors = 12;
@@ -35,7 +35,7 @@
 }
 
 // Sets the limit of the descriptors for connections and listeners.
-void set_connection_limit(const Config& config) {
+void set_connection_limit(const config::Config& config) {
   const std::size_t limit = raise_descriptor_limit(config.sockets);
   const std::size_t for_operators = config.ops.empty() ? 0 : net::AdminEndpoint::kMostCallers + 1;
   net::descriptors().limit = limit - std::min(kUncountedDescriptors + for_operators, limit / 4);
@@ -43,7 +43,7 @@
 
 // A router that serves, as the signal handlers see it.
 struct RunningRouter {
-  Node& node;
+  node::Node& node;
   const ServeOptions& options;
 };
 
@@ -56,7 +56,7 @@
 void reload(RunningRouter& running) {
   try {
     const ServeOptions& options = running.options;
-    running.node.reload(read_config(options.config, options.operator_file, Reading::again));
+    running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
     logging::info("main") << "the configuration was read again";
   } catch (const std::exception& problem) {
     logging::error("main") << "the new configuration is not taken: " << problem.what();
@@ -79,7 +79,7 @@
   g_unix_signal_add(signal, call, &running);
 }
 
-void log_start(const Config& config, const Node& node) {
+void log_start(const config::Config& config, const node::Node& node) {
   logging::info("main") << config.name << " serves on " << node.front(0).address() << ", "
                         << net::descriptors().limit << " descriptors, " << node.targets() << " targets known";
 }
@@ -87,10 +87,10 @@
 }  // namespace
 
 void serve(const ServeOptions& options) {
-  const Config config = read_config(options.config, options.operator_file);
+  const config::Config config = config::read_config(options.config, options.operator_file);
   set_connection_limit(config);
-  auto handover_state = net::inherit(handover_path(config));
-  Node node(config, handover_state ? std::move(*handover_state) : net::HandoverState{});
+  auto handover_state = net::inherit(node::handover_path(config));
+  node::Node node(config, handover_state ? std::move(*handover_state) : net::HandoverState{});
   const MainLoop loop = make_main_loop();
   node.when_over([&loop] { g_main_loop_quit(loop.get()); });
   RunningRouter running{node, options};
--- a/src/tools/standins.cpp
+++ b/src/tools/standins.cpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "emulator/world.hpp"
-#include "standins/installation.hpp"
+#include "testbed/installation.hpp"
 #include "tools/main_loop.hpp"
 
 namespace thornwick::tools {
@@ -31,7 +31,7 @@
   if (std::rename(fresh.c_str(), path.c_str()) != 0) throw std::runtime_error(path + ": cannot be written");
 }
 
-void print_addresses(const standins::Installation& installation) {
+void print_addresses(const testbed::Installation& installation) {
   fmt::print("discovery {}\n", installation.discovery());
   for (const auto& [uid, address] : installation.replicas()) fmt::print("box {} {}\n", uid, address);
   std::fflush(stdout);
@@ -39,12 +39,12 @@
 
 int run_standins(const StandinOptions& options) {
   net::descriptors().limit = kStandinDescriptors;
-  standins::InstallationOptions installation_options;
+  testbed::InstallationOptions installation_options;
   installation_options.scenario = emulator::read_scenario(options.scenario);
   installation_options.seed = options.seed;
   installation_options.discovery = options.discovery;
   installation_options.router_listen = options.listen;
-  standins::Installation installation(installation_options);
+  testbed::Installation installation(installation_options);
   if (!options.config_out.empty()) write_router_config(options.config_out, installation.router_config());
   print_addresses(installation);
   installation.begin();
--- a/src/tools/standins.hpp
+++ b/src/tools/standins.hpp
@@ -1,4 +1,4 @@
-// `thornwick boxes`: stand-ins for replicas and discovery on loopback (docs/lab.md).
+// `thornwick boxes`: stand-ins for replicas and discovery on loopback (docs/experiments.md).
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/tools/trace_file.hpp
+++ b/src/tools/trace_file.hpp
@@ -1,4 +1,5 @@
-// Recorded requests of a day, one JSON object a line: what `thornwick load` replays and writes (docs/lab.md).
+// Recorded requests of a day, one JSON object a line: what `thornwick load` replays and writes
+// (docs/experiments.md).
 #pragma once
 
 #include <string>
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 
 struct Heard : Observer {
   int fleet = 0, lost = 0, regained = 0;
@@ -50,7 +50,7 @@
     affinity_table.answered(now, request, replica, was, found, 50);
   }
 
-  Time now = 1'000'000 * kSecond;
+  Time now = seconds(1'000'000);
   Heard heard;
   AffinityTable affinity_table{Options{.table = {.entries = 10'000, .bytes = 4 << 20}}, &heard};
 };
@@ -159,9 +159,9 @@
   World w;
   w.answer(turn(7, 1000), 2, 0);
   const Time then = w.now;
-  w.now -= 3600 * kSecond;
+  w.now -= seconds(3600);
   CHECK(w.affinity_table.recall(w.now, turn(7, 1200)).known);
-  w.now = then + 1801 * kSecond;
+  w.now = then + seconds(1801);
   CHECK_FALSE(w.affinity_table.recall(w.now, turn(7, 1200)).known);
   for (std::uint64_t i = 0; i < 200; ++i) w.answer(turn(50, 100), 1, 0);
   CHECK(w.affinity_table.table().sessions().find(7) == nullptr);
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 
 Request turn(std::uint64_t session, double prompt) {
   Request request;
@@ -53,7 +53,7 @@
 
 TEST_CASE("what was believed is believed after a restart, of boxes that did not change meanwhile") {
   const Scratch scratch;
-  const Time start = 2'000'000 * kSecond;
+  const Time start = seconds(2'000'000);
   {
     Life life(scratch, start);
     CHECK(life.loaded.sessions == 0);
@@ -61,14 +61,14 @@
     for (std::uint64_t s = 1; s <= 400; ++s) life.answer(turn(s, 2000), static_cast<ReplicaId>(1 + s % 4));
     life.stop();
   }
-  Life life(scratch, start + 60 * kSecond);
+  Life life(scratch, start + seconds(60));
   CHECK(life.loaded.sessions == 400);
   CHECK(life.loaded.prefixes == 5);
   CHECK(life.loaded.replicas == 4);
   CHECK(life.loaded.unreadable + life.loaded.no_room == 0);
   // Box 2 started anew while nobody looked, replica 3 was replaced by 9, replica 4 drains.
   life.list({{.id = 1},
-             {.id = 2, .started = start + 30 * kSecond},
+             {.id = 2, .started = start + seconds(30)},
              {.id = 9},
              {.id = 4, .state = EndpointState::draining}});
   int known = 0;
@@ -84,14 +84,14 @@
 
 TEST_CASE("a clock that went backwards across the stop loses nothing") {
   const Scratch scratch;
-  const Time start = 2'000'000 * kSecond;
+  const Time start = seconds(2'000'000);
   {
     Life life(scratch, start);
     life.list({{.id = 1}});
     life.answer(turn(7, 2000), 1);
     life.stop();
   }
-  Life life(scratch, start - 7200 * kSecond);
+  Life life(scratch, start - seconds(7200));
   life.list({{.id = 1}});
   CHECK(life.affinity_table.recall(life.now, turn(7, 2500)).known);
   life.answer(turn(7, 2500), 1);
@@ -100,7 +100,7 @@
 
 TEST_CASE("a long stop ages what was believed by what the other routers sent meanwhile") {
   const Scratch scratch;
-  const Time start = 2'000'000 * kSecond;
+  const Time start = seconds(2'000'000);
   double before = 0;
   {
     Life life(scratch, start);
@@ -112,7 +112,7 @@
     before = life.affinity_table.recall(life.now, turn(400, 2500)).confidence;
     life.stop();
   }
-  Life soon(scratch, start + 50 * kSecond);
+  Life soon(scratch, start + seconds(50));
   soon.list({{.id = 1}});
   const double after = soon.affinity_table.recall(soon.now, turn(400, 2500)).confidence;
   CHECK(after < before);
@@ -121,7 +121,7 @@
 
 TEST_CASE("what an epoch voided stays void after a restart") {
   const Scratch scratch;
-  const Time start = 2'000'000 * kSecond;
+  const Time start = seconds(2'000'000);
   {
     Life life(scratch, start);
     life.list({{.id = 1}, {.id = 2}});
@@ -138,7 +138,7 @@
 
 TEST_CASE("a table that has become smaller takes what it holds, and one that ages out leaves the store too") {
   const Scratch scratch;
-  const Time start = 2'000'000 * kSecond;
+  const Time start = seconds(2'000'000);
   {
     Life life(scratch, start);
     life.list({{.id = 1}});
@@ -151,12 +151,12 @@
     CHECK(life.loaded.no_room == 300);
   }
   {
-    Life life(scratch, start + 7200 * kSecond);
+    Life life(scratch, start + seconds(7200));
     life.list({{.id = 1}});
     for (int i = 0; i < 400; ++i) life.answer(turn(1, 100), 1);
     life.stop();
   }
-  const Life life(scratch, start + 7210 * kSecond);
+  const Life life(scratch, start + seconds(7210));
   CHECK(life.loaded.sessions == 1);
 }
 
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Time kStart = 1'800'000'000'000'000;  // some day in 2027
+constexpr Time kStart = seconds(1'800'000'000);  // some day in 2027
 
 // Fails the Catch2 test with the counterexample.
 template <typename Property>
--- a/tests/compat/copies_disk.cpp
+++ b/tests/compat/copies_disk.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr const char* kFile = "copies.store";
-constexpr Time kStep = 50'000, kSecond = 1'000'000;
+constexpr Time kStep = milliseconds(50), kSecond = seconds(1);
 constexpr std::size_t kRouters = 2;
 constexpr std::uint64_t kQuestions = 6;
 constexpr Units kUsedEach = 10;
@@ -138,7 +138,7 @@
 // router as of a second ledger.
 std::vector<RecordsByKey> used_pair() {
   Pair pair({RecordsByKey{}, RecordsByKey{}});
-  pair.run(5 * kSecond);
+  pair.run(seconds(5));
   for (std::uint64_t number = 1; number <= kQuestions; ++number) {
     pair.use(number);
     pair.run(kSecond / 2);
@@ -197,7 +197,7 @@
     CHECK(pair.holder(i).stage() == Stage::entering);
     CHECK_FALSE(pair.holder(i).was_older());
   }
-  pair.run(5 * kSecond);
+  pair.run(seconds(5));
   for (std::size_t i = 0; i < kRouters; ++i) {
     CHECK(pair.holder(i).stage() == Stage::member);
     CHECK_FALSE(pair.holder(i).was_older());
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -21,7 +21,7 @@
 constexpr const char* kLedgerFile = "ledger.hex";
 constexpr const char* kRaftFile = "raft.hex";
 constexpr std::size_t kLedgerNumber = 258;
-constexpr Time kMillisecond = 1'000, kSecond = 1'000'000;
+constexpr Time kMillisecond = milliseconds(1), kSecond = seconds(1);
 
 const Process kProcess = {
     .id = 0x1122334455667788, .start = 3, .run = 0x99aabbcd, .term = 4, .last_term = 2, .last = 70'000};
@@ -186,8 +186,8 @@
   Send send_;
 };
 
-constexpr Time kStep = 50 * kMillisecond, kThirdComes = 2 * kSecond, kThirdVotes = kThirdComes + 4 * kStep,
-               kEnd = 3 * kSecond;
+constexpr Time kStep = 50 * kMillisecond, kThirdComes = seconds(2), kThirdVotes = kThirdComes + 4 * kStep,
+               kEnd = seconds(3);
 constexpr int kProposals = 6;
 
 std::string command_number(int number) { return "command " + std::to_string(number); }
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr const char* kFile = "flows.hex";
-constexpr Time kSecond = 1'000'000, kStart = 1'764'000'000 * kSecond;
+constexpr Time kSecond = seconds(1), kStart = seconds(1'764'000'000);
 
 core::RequestSummary served() {
   core::RequestSummary tally;
   tally.ending = core::Ending::served;
-  tally.arrived = kStart, tally.first_event = kStart + 120'000, tally.ended = kStart + 2 * kSecond;
+  tally.arrived = kStart, tally.first_event = kStart + 120'000, tally.ended = kStart + seconds(2);
   tally.attempts = 2;
   tally.events = 40, tally.bytes = 12'345;
   tally.usage = {.prompt = 900, .generated = 77, .kept = 512};
@@ -39,7 +39,7 @@
                             core::Ending::broken, core::Ending::client_gone}) {
     writer.add(ended_as(ending), "");
   }
-  check_written(kFile, "with-template", writer.take(kStart + 3 * kSecond, true));
+  check_written(kFile, "with-template", writer.take(kStart + seconds(3), true));
   writer.add(served(), std::string(300, 'x'));  // a name that is cut
-  check_written(kFile, "without-template", writer.take(kStart + 4 * kSecond, false));
+  check_written(kFile, "without-template", writer.take(kStart + seconds(4), false));
 }
--- a/tests/compat/handover.cpp
+++ b/tests/compat/handover.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr const char* kFile = "handover.hex";
-constexpr Time kMoment = 200'000;
+constexpr Time kMoment = milliseconds(200);
 constexpr unsigned kMostSeconds = 20;  // of a blocking call
 constexpr std::size_t kHeadBytes = 8;  // these carry the descriptors
 const std::string kListenAddress = "0.0.0.0:8080";
--- a/tests/compat/identity.cpp
+++ b/tests/compat/identity.cpp
@@ -22,7 +22,7 @@
   const Scratch scratch;
   const std::string path = scratch.path("group");
   write_bytes(path, read_bytes(data_path("group-start-41")));
-  const StartupIdentity recalled = load_identity(path);
+  const node::StartupIdentity recalled = node::load_identity(path);
   CHECK(recalled.problem.empty());
   CHECK_FALSE(recalled.empty);
   CHECK(recalled.identity.disk == kDisk);
@@ -33,6 +33,6 @@
   const Scratch scratch;
   const std::string path = scratch.path("group");
   write_bytes(path, read_bytes(data_path("group-start-41")));
-  load_identity(path);
+  node::load_identity(path);
   CHECK(read_bytes(path) == read_bytes(data_path("group-start-42")));
 }
--- a/tests/compat/learned.cpp
+++ b/tests/compat/learned.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char* kFile = "learned.hex";
-constexpr Time kNow = 1'764'000'000'000'000;
+constexpr Time kNow = seconds(1'764'000'000);
 
 LearnedState learned_state() {
   LearnedState all;
--- a/tests/compat/links.cpp
+++ b/tests/compat/links.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint32_t kGroup = 0x0badcafe;
 constexpr std::size_t kSelf = 0, kOther = 1;
 constexpr std::uint8_t kChannel = 5, kParcelChannel = 200;
-constexpr Time kNoBeat = 600'000'000, kQuickBeat = 200'000;
+constexpr Time kNoBeat = seconds(600), kQuickBeat = milliseconds(200);
 constexpr std::size_t kLast = 10;  // bytes in a parcel's last piece
 const std::string kWords("words\0\xff", 7);
 
--- a/tests/compat/store.cpp
+++ b/tests/compat/store.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr const char* kFile = "router.store";
-constexpr Time kNow = 1'764'000'000'000'000;
+constexpr Time kNow = seconds(1'764'000'000);
 constexpr std::uint64_t kSessionKey = 0x0123456789abcdef, kPrefixKey = 0xfedcba9876543210;
 constexpr affinity::Slot kFirstSlot = 0, kSecondSlot = 300;
 const std::string kAccount = "tenant|model|*|day";
--- a/tests/core/discovery_schedule.cpp
+++ b/tests/core/discovery_schedule.cpp
@@ -11,14 +11,16 @@
 #include <memory>
 #include <optional>
 
+using thornwick::milliseconds;
+using thornwick::seconds;
 using thornwick::Time;
 using thornwick::core::DiscoverySchedule;
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
-constexpr Time kStep = 10'000;
-constexpr Time kInformedWithin = 6 * kSecond;
+constexpr Time kSecond = seconds(1);
+constexpr Time kStep = milliseconds(10);
+constexpr Time kInformedWithin = seconds(6);
 
 // What becomes of a call that begins while discovery is away.
 enum class Away { refuses, errs, says_nothing };
@@ -167,7 +169,7 @@
   std::vector<Router> routers;
   std::deque<Queued> queue;
   Time latency = 0;
-  Time patience = 2 * kSecond;  // a call that waited longer fails
+  Time patience = seconds(2);  // a call that waited longer fails
   std::uint64_t last_number = 0;
   std::optional<Outage> outage;
   std::uint64_t begun = 0, counted = 0;
@@ -183,13 +185,13 @@
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, static_cast<int>(how), length, seed);
   World world(routers, 20, seed);
-  world.run_to(10 * kSecond);
+  world.run_to(seconds(10));
   CHECK(world.oldest() <= kInformedWithin);
-  const Time back = 10 * kSecond + length * kSecond;
-  world.outage = Outage{10 * kSecond, back, how};
+  const Time back = seconds(10) + length * kSecond;
+  world.outage = Outage{seconds(10), back, how};
   world.run_to(back + kInformedWithin);
   for (const auto& router : world.routers) CHECK(router.list_time > back);
-  world.run_to(back + 60 * kSecond);
+  world.run_to(back + seconds(60));
   CHECK(world.oldest() <= kInformedWithin);
 }
 
@@ -198,7 +200,7 @@
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, seed);
   World world(routers, 20, seed);
-  world.run_to(20 * kSecond);
+  world.run_to(seconds(20));
   world.break_watches(true);
   const Time silent = world.now;
   world.run_to(silent + kInformedWithin);
@@ -211,13 +213,13 @@
   const auto seed = GENERATE(1u, 2u);
   CAPTURE(routers, bears, seed);
   World world(routers, bears, seed);
-  world.run_to(60 * kSecond);
-  world.outage = Outage{60 * kSecond, 68 * kSecond, Away::refuses};
+  world.run_to(seconds(60));
+  world.outage = Outage{seconds(60), seconds(68), Away::refuses};
   // Within the time that the settings allow after a failed call, or in three times what its calls take in
   // turn.
-  world.run_to(68 * kSecond + std::max<Time>(40 * kSecond, static_cast<Time>(routers / bears * 3e6)));
+  world.run_to(seconds(68) + std::max<Time>(seconds(40), static_cast<Time>(routers / bears * 3e6)));
   int late = 0;
-  for (const auto& router : world.routers) late += router.list_time <= 68 * kSecond;
+  for (const auto& router : world.routers) late += router.list_time <= seconds(68);
   CHECK(late == 0);
   // A mean over five seconds: chance adds four deviations at the most.
   CHECK(world.most_a_second() <=
@@ -228,13 +230,13 @@
     "a discovery that needs long for each answer still informs its routers, and no call is lost to the "
     "next") {
   const auto routers = GENERATE(1u, 6u, 30u, 300u);
-  const auto latency = GENERATE(as<Time>{}, 1'300'000, 2 * kSecond, 4 * kSecond, 9 * kSecond);
+  const auto latency = GENERATE(as<Time>{}, 1'300'000, seconds(2), seconds(4), seconds(9));
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, latency, seed);
   World world(routers, 20, seed);
   world.latency = latency;
   // One round of calls, and for each router its turn.
-  const Time round = routers <= 30 ? kSecond : 24 * kSecond;
+  const Time round = routers <= 30 ? kSecond : seconds(24);
   world.run_to(round + latency + routers * kSecond / 20 + kSecond);
   for (const auto& router : world.routers) CHECK(router.list_time > 0);
 }
@@ -244,8 +246,8 @@
   const auto seed = GENERATE(1u, 2u, 3u, 4u);
   CAPTURE(bears, seed);
   World world(6, bears, seed);
-  world.patience = 3 * kSecond;
-  world.run_to(10 * kSecond);
+  world.patience = seconds(3);
+  world.run_to(seconds(10));
   CHECK(world.oldest() <= kInformedWithin);
   // All lose their watches at the same moment.
   world.break_watches(false);
@@ -256,18 +258,18 @@
 
 TEST_CASE("a call that is lost is followed by another beside it, while calls out are bounded") {
   World world(1, 20, 1);
-  world.outage = Outage{kStep, 60 * kSecond, Away::says_nothing};
-  world.run_to(60 * kSecond);
+  world.outage = Outage{kStep, seconds(60), Away::says_nothing};
+  world.run_to(seconds(60));
   CHECK(world.begun >= 60 / 3);
   CHECK(world.routers[0].out.size() <= DiscoverySchedule::kMaxCallsOut);
-  world.run_to(60 * kSecond + kInformedWithin);
-  CHECK(world.routers[0].list_time > 60 * kSecond);
+  world.run_to(seconds(60) + kInformedWithin);
+  CHECK(world.routers[0].list_time > seconds(60));
 }
 
 TEST_CASE("an agent is asked again soon, whatever became of a call") {
   DiscoverySchedule schedule({.routers = 300, .pushed = true}, [] { return 0.5; });
   CHECK(schedule.first(0) == 0);
   const auto call = schedule.begin(0);
-  CHECK(call.next < 2 * kSecond);
+  CHECK(call.next < seconds(2));
   CHECK(schedule.failed(kSecond, call) <= kSecond + kSecond / 10);
 }
--- a/tests/core/drain_tracker.cpp
+++ b/tests/core/drain_tracker.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 
 // Whoever decides: here it only remembers what it was told of the list.
 struct Listener : core::Decider {
@@ -100,7 +100,7 @@
     }));
   }
 
-  Time now = 1000 * kSecond;
+  Time now = seconds(1000);
   double lost;
   boost::random::mt19937_64 dice;
   std::vector<Router> routers;
@@ -169,7 +169,7 @@
   auto list = replicas(10);
   group.learn_whole_list(1, list);
   CHECK(group.informed(3) == 2);
-  list[2].started = 2000 * kSecond;
+  list[2].started = seconds(2000);
   group.learn_whole_list(1, list);
   CHECK(group.informed(3) == 1);
 }
@@ -179,15 +179,15 @@
   CAPTURE(seed);
   Group group(6, 10, 0.2, seed);
   group.learn(0, drained(3));
-  group.run_to(group.now + 6 * kSecond);
+  group.run_to(group.now + seconds(6));
   CHECK(group.messages == 1 + DrainTracker::kRepeats);
   CHECK(group.informed(3) >= 5);
   // Nothing is repeated for ever, nor after the drain is over.
   group.learn(0, drained(4));
   group.run_to(group.now + kSecond / 2);
-  group.learn(0, {.id = 4, .started = 4 * kSecond});
+  group.learn(0, {.id = 4, .started = seconds(4)});
   const int messages = group.messages;
-  group.run_to(group.now + 6 * kSecond);
+  group.run_to(group.now + seconds(6));
   CHECK(group.messages == messages);
 }
 
@@ -196,17 +196,17 @@
   auto list = replicas(10);
   list.erase(list.begin() + 2);
   group.learn_whole_list(0, list);
-  group.run_to(group.now + 6 * kSecond);
+  group.run_to(group.now + seconds(6));
   REQUIRE(group.messages == 1 + DrainTracker::kRepeats);  // replica 3 is gone
   group.routers[1].drains->on_endpoints(group.now, EndpointUpdate::delta, std::vector{Endpoint{.id = 11}});
   group.learn(0, {.id = 11, .state = EndpointState::draining});
   group.run_to(group.now + kSecond / 2);
   CHECK(group.routers[1].states.at(11) == EndpointState::draining);
   // It is reported once, however often a list names it.
-  group.run_to(group.now + 6 * kSecond);
+  group.run_to(group.now + seconds(6));
   const int messages = group.messages;
   group.learn(0, {.id = 11, .state = EndpointState::draining});
-  group.run_to(group.now + 6 * kSecond);
+  group.run_to(group.now + seconds(6));
   CHECK(group.messages == messages);
 }
 
@@ -233,10 +233,10 @@
   group.learn(0, drained(5));
   group.run_to(group.now + kSecond);
   REQUIRE(group.informed(5) == 2);
-  if (list_comes) group.learn(1, {.id = 6, .started = 6 * kSecond});
-  group.run_to(group.now + 30 * kSecond);
+  if (list_comes) group.learn(1, {.id = 6, .started = seconds(6)});
+  group.run_to(group.now + seconds(30));
   CHECK(group.informed(5) == (list_comes ? 1 : 2));
-  group.run_to(group.now + 30 * kSecond);
+  group.run_to(group.now + seconds(30));
   CHECK(group.informed(5) == 1);
 }
 
@@ -246,9 +246,9 @@
   group.run_to(group.now + kSecond);
   REQUIRE(group.informed(3) == 2);
   // The same list as before does not bring it back, a start anew does.
-  group.learn(1, {.id = 3, .started = 3 * kSecond});
+  group.learn(1, {.id = 3, .started = seconds(3)});
   CHECK(group.informed(3) == 2);
-  group.learn(1, {.id = 3, .started = 2000 * kSecond});
+  group.learn(1, {.id = 3, .started = seconds(2000)});
   CHECK(group.informed(3) == 1);
   // A late word of the earlier start is no news.
   group.deliver_later(0, 1, drain_report(3, 3000));
@@ -257,7 +257,7 @@
   group.learn(0, drained(5));
   group.run_to(group.now + kSecond);
   CHECK(group.informed(5) == 2);
-  group.run_to(group.now + 60 * kSecond);
+  group.run_to(group.now + seconds(60));
   CHECK(group.informed(5) == 1);  // its own list never said so
 }
 
@@ -303,7 +303,7 @@
   CHECK(out() == (renewed ? 5 : 8));
   CHECK(group.routers[1].drains->is_reported(8) == !renewed);
   // A peer's report still ends in time, whether it held or not.
-  group.run_to(group.now + 60 * kSecond);
+  group.run_to(group.now + seconds(60));
   CHECK(out() == 0);
 }
 
@@ -313,8 +313,8 @@
   group.run_to(group.now + kSecond);
   const auto out = [&] { return group.informed(1) + group.informed(2) + group.informed(3); };
   CHECK(out() == 2);
-  group.learn(1, {.id = 5, .started = 5 * kSecond});
-  group.learn(1, {.id = 6, .started = 6 * kSecond});
+  group.learn(1, {.id = 5, .started = seconds(5)});
+  group.learn(1, {.id = 6, .started = seconds(6)});
   CHECK(out() == 3);
 }
 
--- a/tests/core/slow_start_budget.cpp
+++ b/tests/core/slow_start_budget.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000, kTick = 4'000;
+constexpr Time kSecond = seconds(1), kTick = milliseconds(4);
 
 // Whoever decides: here it only waits for its sends to be looked at.
 struct Sender : core::Decider {
@@ -35,7 +35,7 @@
     settings.group_size = count;
     settings.tenants.push_back({.share = 1, .quota_per_s = quota});
     settings.warm_up = 8'700'000, settings.initial_capacity = 0.3;
-    settings.overload_multiple = 3, settings.overload_after = 2 * kSecond;
+    settings.overload_multiple = 3, settings.overload_after = seconds(2);
     for (std::uint32_t i = 0; i < count; ++i) start(i);
   }
   double chance() { return boost::random::uniform_01<double>()(dice); }
@@ -65,7 +65,7 @@
     }
   }
 
-  Time born = 100 * kSecond, now = 99 * kSecond;
+  Time born = seconds(100), now = seconds(99);
   boost::random::mt19937_64 dice;
   Settings settings;
   std::vector<std::unique_ptr<SlowStartBudget>> routers;
--- a/tests/emulator/lab.cpp
+++ b/tests/emulator/lab.cpp
@@ -5,15 +5,15 @@
 #include <fstream>
 
 #include "../store/scratch.hpp"
-#include "lab/experiment.hpp"
-#include "lab/plot.hpp"
-#include "lab/report.hpp"
-#include "lab/statistics.hpp"
-#include "lab/theory.hpp"
+#include "experiments/experiment.hpp"
+#include "experiments/plot.hpp"
+#include "experiments/report.hpp"
+#include "experiments/statistics.hpp"
+#include "experiments/theory.hpp"
 #include "settings/section.hpp"
 
 using namespace thornwick;
-using namespace thornwick::lab;
+using namespace thornwick::experiments;
 using thornwick::testing::Scratch;
 
 namespace {
--- a/tests/emulator/replicas.cpp
+++ b/tests/emulator/replicas.cpp
@@ -80,7 +80,7 @@
   whole->offer(0, work(1, 1000, 500));
   cut->offer(0, work(1, 1000, 500));
   play(*whole, a, 100'000'000);
-  for (Time at = 1'000; at < 10'000'000; at += 13'000) {
+  for (Time at = milliseconds(1); at < 10'000'000; at += 13'000) {
     play(*cut, b, at);
     cut->set_pace(at, 1);  // ends the run, changes nothing
   }
--- a/tests/faults/clock_steps.cpp
+++ b/tests/faults/clock_steps.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 constexpr std::int64_t kHour = 3'600 * std::int64_t{kSecond};
 
 }  // namespace
 
 TEST_CASE("a step of the system's clock ends no request early and leaves none without its answer") {
-  const std::int64_t step = GENERATE(kHour, -kHour, std::int64_t{5 * kSecond}, std::int64_t{-5 * kSecond});
+  const std::int64_t step = GENERATE(kHour, -kHour, std::int64_t{seconds(5)}, std::int64_t{-seconds(5)});
   CAPTURE(step);
   FaultySite site(1, "", FaultySite::Replicas::silent);
   const Time begun = net::now_us();
--- a/tests/faults/discovery_calls.cpp
+++ b/tests/faults/discovery_calls.cpp
@@ -23,7 +23,6 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
 constexpr std::size_t kRequests = 12;
 
 std::string ok_answer(const std::string& body) {
@@ -62,7 +61,7 @@
     REQUIRE(clients[i].connect_to(address));
     clients[i].send_all(testing::write_router_request(i));
   }
-  run_until([&] { return staying.requests() == kRequests; }, 3 * kSecond);
+  run_until([&] { return staying.requests() == kRequests; }, seconds(3));
   CHECK(staying.requests() == kRequests);
   CHECK(draining.requests() == 0);
 }
--- a/tests/faults/faulty_site.cpp
+++ b/tests/faults/faulty_site.cpp
@@ -9,10 +9,10 @@
 namespace thornwick::testing {
 namespace {
 
-constexpr Time kBetweenConnections = 4'000;
+constexpr Time kBetweenConnections = milliseconds(4);
 // So short that many attempts need a new connection.
 constexpr long kKeepalive = 4'000;
-constexpr Time kPatientClient = 5'000'000;
+constexpr Time kPatientClient = seconds(5);
 constexpr int kStatusOk = 200;
 
 }  // namespace
--- a/tests/faults/faulty_site.hpp
+++ b/tests/faults/faulty_site.hpp
@@ -13,9 +13,9 @@
 namespace thornwick::testing {
 
 // Above a request's own time and the half second in which a late answer is none that is lost.
-constexpr Time kMostWait = 6'000'000;
+constexpr Time kMostWait = seconds(6);
 // Of the requests of FaultySite::begin().
-constexpr Time kRequestTime = 1'500'000;
+constexpr Time kRequestTime = milliseconds(1'500);
 
 // A client with one connection, on which it sends one request after the other.
 class FaultyClient {
@@ -75,7 +75,7 @@
 
   Scratch scratch_;
   std::array<CountingReplica, 3> replicas_;
-  standins::Server silent_replica_{"127.0.0.1:0", [](standins::Server::Line&) {}};
+  testbed::Server silent_replica_{"127.0.0.1:0", [](testbed::Server::Line&) {}};
   bool replicas_are_silent_;
   SlowDiscovery discovery_;
   std::string config_, operator_file_, address_;
--- a/tests/faults/system_calls.cpp
+++ b/tests/faults/system_calls.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 // After which no connection to a replica is left.
-constexpr Time kConnectionsAreOver = 500'000;
+constexpr Time kConnectionsAreOver = milliseconds(500);
 
 struct Case {
   SystemCall call;
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -48,7 +48,7 @@
       first.up.push_back(true);
     }
     // A group that knows itself, so that the depth is spent on faults.
-    for (Time until = 30'000'000; first.now < until;) quiet_step(first);
+    for (Time until = seconds(30); first.now < until;) quiet_step(first);
     first.flying.clear();
     explore(first, 0);
     return broken_;
--- a/tests/group/fault_harness_options.hpp
+++ b/tests/group/fault_harness_options.hpp
@@ -3,19 +3,19 @@
 
 #include <string>
 
-#include "standins/fault_harness.hpp"
+#include "testbed/fault_harness.hpp"
 
 namespace thornwick::testing {
 
-inline standins::FaultHarnessOptions rig_options(const std::string& folder) {
-  standins::FaultHarnessOptions options;
+inline testbed::FaultHarnessOptions rig_options(const std::string& folder) {
+  testbed::FaultHarnessOptions options;
   options.program = THORNWICK;
   options.folder = folder;
   options.scenario = std::string(THORNWICK_EXAMPLES) + "/lab/demo.toml";
   return options;
 }
 // With what happens told line by line.
-inline standins::FaultHarnessOptions rig_options(const std::string& folder, std::string& timeline) {
+inline testbed::FaultHarnessOptions rig_options(const std::string& folder, std::string& timeline) {
   auto options = rig_options(folder);
   options.write_log = [&timeline](double at, const std::string& what) {
     timeline += std::to_string(at) + "  " + what + "\n";
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -142,9 +142,9 @@
     "own") {
   Scratch scratch;
   const std::string path = scratch.path("group");
-  const auto first = load_identity(path);
+  const auto first = node::load_identity(path);
   CHECK((first.empty && first.problem.empty() && first.identity.start == 1 && first.identity.run != 0));
-  const auto second = load_identity(path);
+  const auto second = node::load_identity(path);
   CHECK((!second.empty && second.identity.disk == first.identity.disk && second.identity.start == 2));
   CHECK((second.identity.run != 0 &&
          second.identity.run != first.identity.run));  // a run of 0 was never taken for one
@@ -153,12 +153,12 @@
     std::string bad = whole;
     bad[at] = static_cast<char>(bad[at] ^ 1);
     testing::write_bytes(path, bad);
-    const auto damaged = load_identity(path);
+    const auto damaged = node::load_identity(path);
     CHECK((damaged.empty && !damaged.problem.empty() && damaged.identity.start == 1 &&
            damaged.identity.disk != first.identity.disk));
   }
-  const auto nowhere = load_identity(scratch.path("no/such/folder"));
+  const auto nowhere = node::load_identity(scratch.path("no/such/folder"));
   CHECK((nowhere.empty && !nowhere.problem.empty()));
-  const auto none = load_identity("");
+  const auto none = node::load_identity("");
   CHECK((none.empty && none.problem.empty()));
 }
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 
 #include "emulator/group_faults.hpp"
-#include "lab/group_table.hpp"
+#include "experiments/group_table.hpp"
 
 using namespace thornwick;
 using namespace thornwick::membership;
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 
 std::span<const std::uint8_t> bytes_of(const std::string& text) {
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
@@ -40,7 +40,7 @@
       said += "r" + std::to_string(router) + "/" + std::to_string(change.member) + " " + change.text + "\n";
     };
     until([this] { return group.agree(); });
-    group.run_until(group.now() + 30 * kSecond);
+    group.run_until(group.now() + seconds(30));
     said.clear();
   }
   static GroupOptions options(std::size_t routers, std::size_t sites) {
@@ -52,7 +52,7 @@
   }
   template <typename Condition>
   void until(Condition holds) {
-    const Time limit = group.now() + 300 * kSecond;
+    const Time limit = group.now() + seconds(300);
     while (!holds() && group.now() < limit) group.run_until(group.now() + kSecond / 10);
     INFO(said << group.disagreement());
     REQUIRE(holds());
@@ -197,7 +197,7 @@
   Settled settled(5);
   settled.group.stop(3);
   settled.until([&] { return settled.all_hold(3, MemberState::gone); });
-  settled.group.run_until(settled.group.now() + 180 * kSecond);
+  settled.group.run_until(settled.group.now() + seconds(180));
   settled.said.clear();
   settled.group.go(3);
   settled.group.run_until(settled.group.now() + 2000);
@@ -211,7 +211,7 @@
   Settled settled(5);
   settled.cut_off(4);
   settled.until([&] { return settled.group.at(4).cut_off() && settled.all_hold(4, MemberState::gone); });
-  settled.group.run_until(settled.group.now() + 120 * kSecond);
+  settled.group.run_until(settled.group.now() + seconds(120));
   for (std::size_t i = 0; i < 4; ++i) {
     CHECK(!settled.group.at(i).cut_off());
     CHECK(settled.group.at(4).view(i).state != MemberState::gone);
@@ -232,7 +232,7 @@
     options.seed = seed;
     options.delay_ms = {0.2, slowest_ms};
     Group group(options);
-    group.run_until(60 * kSecond + static_cast<Time>(seed * 37'000 % 2'400'000));
+    group.run_until(seconds(60) + static_cast<Time>(seed * 37'000 % 2'400'000));
     const std::size_t last = routers - 1;
     bool gone = false;
     group.on_change = [&](std::size_t router, const Change& change) {
@@ -242,7 +242,7 @@
       group.cut(last, i, true);
       group.cut(i, last, true);
     }
-    group.run_until(group.now() + 120 * kSecond);
+    group.run_until(group.now() + seconds(120));
     if (gone) ++wrong;
   }
   CHECK(wrong == 0);
@@ -252,7 +252,7 @@
   Settled settled(3);
   settled.group.cut(0, 2, true);
   if (GENERATE(true, false)) settled.group.cut(2, 0, true);
-  settled.group.run_until(settled.group.now() + 600 * kSecond);
+  settled.group.run_until(settled.group.now() + seconds(600));
   CHECK(settled.group.agree());
   CHECK(settled.said.find("gone") == std::string::npos);
 }
@@ -265,7 +265,7 @@
   for (std::uint32_t i = 0; i < 5; ++i)
     all.emplace_back(roster, std::min<std::size_t>(i, 3), Identity{100 + i, 1, 200 + i}, options, i + 1, 0);
   std::string said;
-  for (Time now = 0; now < 200 * kSecond; now += kSecond / 50) {
+  for (Time now = 0; now < seconds(200); now += kSecond / 50) {
     for (std::size_t i = 0; i < all.size(); ++i) {
       if (all[i].next() <= now) all[i].tick(now);
       for (const auto& change : all[i].take_changes())
@@ -327,14 +327,14 @@
     "what a router sends stays under one message a second, whatever the group's size, and small at 30 % "
     "loss") {
   const std::size_t routers = GENERATE(3u, 30u);
-  lab::GroupTableOptions options;
+  experiments::GroupTableOptions options;
   options.calm_s = 300;
   options.kills = 1;
-  const auto calm = lab::measure_group("measured", routers, 0, options);
+  const auto calm = experiments::measure_group("measured", routers, 0, options);
   CHECK(calm.messages_per_s <= 1.0);
   CHECK(calm.bytes_per_s <= 256);
   CHECK((calm.false_gone_per_h == 0 && calm.not_found == 0 && calm.agreed_after_s >= 0));
-  const auto lossy = lab::measure_group("measured", routers, 0.3, options);
+  const auto lossy = experiments::measure_group("measured", routers, 0.3, options);
   CHECK(lossy.messages_per_s <= 1.3);
   CHECK((lossy.not_found == 0 && lossy.agreed_after_s >= 0));
 }
--- a/tests/group/processes.cpp
+++ b/tests/group/processes.cpp
@@ -6,10 +6,10 @@
 #include "config/operator_file.hpp"
 #include "fault_harness_options.hpp"
 #include "settings/section.hpp"
-#include "standins/fault_script.hpp"
+#include "testbed/fault_script.hpp"
 
 using namespace thornwick;
-using namespace thornwick::standins;
+using namespace thornwick::testbed;
 using thornwick::testing::rig_options;
 using thornwick::testing::Scratch;
 
@@ -272,8 +272,8 @@
   };
   const auto wrong = [&](const std::string& text) {
     try {
-      read_operator_file(file(text));
-    } catch (const BadConfig& bad) {
+      config::read_operator_file(file(text));
+    } catch (const config::BadConfig& bad) {
       return std::string(bad.what());
     }
     return std::string();
--- a/tests/incidents/drain.cpp
+++ b/tests/incidents/drain.cpp
@@ -12,10 +12,10 @@
 #include "../net/program.hpp"
 #include "router_config.hpp"
 #include "slow_discovery.hpp"
-#include "standins/faulty_link.hpp"
+#include "testbed/faulty_link.hpp"
 
 using namespace thornwick;
-using standins::FaultyLink;
+using testbed::FaultyLink;
 using testing::CountingReplica;
 using testing::Program;
 using testing::run_until;
@@ -23,12 +23,12 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 // Of the protocol: a change counts as told 6 s after discovery had it and could be reached, and 0.55 s later
 // no request may go there any more.
-constexpr Time kForbiddenAfter = 6'550'000;
-constexpr Time kBetweenRequests = 50'000;
-constexpr Time kObserved = 2 * kSecond;
+constexpr Time kForbiddenAfter = milliseconds(6'550);
+constexpr Time kBetweenRequests = milliseconds(50);
+constexpr Time kObserved = seconds(2);
 
 // Several routers as processes, in front of two replicas of which the first is going to drain. Two of them
 // can be each other's peers, over a link on which datagrams may be lost.
@@ -138,10 +138,10 @@
 }  // namespace
 
 TEST_CASE("routers whose new discovery answers after two seconds learn of a drain before it counts as told") {
-  SlowDiscovery quick(0), slow(2 * kSecond);
+  SlowDiscovery quick(0), slow(seconds(2));
   Fleet fleet(6, Fleet::Peers::off, quick);
   quick.publish(1, fleet.entries("SERVING"));
-  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, 10 * kSecond));
+  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, seconds(10)));
   fleet.load_for(kSecond);
   REQUIRE(fleet.draining.requests() > 0);
   slow.publish(2, fleet.entries("DRAINING"));
@@ -158,12 +158,12 @@
   SlowDiscovery quick(0), next(0), silent(0, SlowDiscovery::Behaviour::says_nothing);
   Fleet fleet(2, Fleet::Peers::two_over_a_link, quick);
   quick.publish(1, fleet.entries("SERVING"));
-  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, 10 * kSecond));
+  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, seconds(10)));
   next.publish(2, fleet.entries("DRAINING"));
   fleet.move_discovery(1, silent);
-  REQUIRE(run_until([&] { return silent.calls() > 0; }, 10 * kSecond));
+  REQUIRE(run_until([&] { return silent.calls() > 0; }, seconds(10)));
   fleet.move_discovery(0, next);
-  REQUIRE(run_until([&] { return next.answers() > 0; }, 10 * kSecond));
+  REQUIRE(run_until([&] { return next.answers() > 0; }, seconds(10)));
   const Time changed = net::now_us();
   run_until([] { return false; }, kForbiddenAfter);
   fleet.load_for(kObserved);
@@ -175,12 +175,12 @@
   SlowDiscovery quick(0), silent(0, SlowDiscovery::Behaviour::says_nothing);
   Fleet fleet(2, Fleet::Peers::two_over_a_link, quick);
   quick.publish(1, fleet.entries("SERVING"));
-  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, 10 * kSecond));
+  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, seconds(10)));
   fleet.move_discovery(1, silent);
-  REQUIRE(run_until([&] { return silent.calls() > 0; }, 10 * kSecond));
+  REQUIRE(run_until([&] { return silent.calls() > 0; }, seconds(10)));
   fleet.lose_datagrams(1);
   quick.publish(2, fleet.entries("DRAINING"));
-  REQUIRE(run_until([&] { return fleet.lost_datagrams() > 0; }, 10 * kSecond));
+  REQUIRE(run_until([&] { return fleet.lost_datagrams() > 0; }, seconds(10)));
   fleet.lose_datagrams(0);
   const Time changed = net::now_us();
   run_until([] { return false; }, kForbiddenAfter);
@@ -193,9 +193,9 @@
   SlowDiscovery quick(0), silent(0, SlowDiscovery::Behaviour::says_nothing);
   Fleet fleet(2, Fleet::Peers::two_over_a_link, quick, Fleet::Draining::two_of_three);
   quick.publish(1, fleet.entries("SERVING"));
-  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, 10 * kSecond));
+  REQUIRE(run_until([&] { return quick.answers() >= fleet.size(); }, seconds(10)));
   fleet.move_discovery(1, silent);
-  REQUIRE(run_until([&] { return silent.calls() > 0; }, 10 * kSecond));
+  REQUIRE(run_until([&] { return silent.calls() > 0; }, seconds(10)));
   quick.publish(2, fleet.entries("DRAINING"));
   const Time changed = net::now_us();
   run_until([] { return false; }, kForbiddenAfter);
@@ -207,7 +207,7 @@
 
 TEST_CASE(
     "routers killed and started again behind a slow discovery, with an old list, learn of a drain in time") {
-  SlowDiscovery slow(2 * kSecond);
+  SlowDiscovery slow(seconds(2));
   slow.publish(2, "");
   Fleet fleet(4, Fleet::Peers::off, slow);
   slow.publish(2, fleet.entries("DRAINING"));
--- a/tests/incidents/peer_reports.cpp
+++ b/tests/incidents/peer_reports.cpp
@@ -27,7 +27,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Time kSecond = seconds(1);
 constexpr std::size_t kRequests = 12;
 constexpr const char* kDrainingUid = "s-01";
 
@@ -83,7 +83,7 @@
                                                             .peers = {datagram_address_, peer_address},
                                                             .all_peers = peer_address,
                                                             .admin_endpoint = "127.0.0.1:0",
-                                                            .dial_limit_us = 5 * kSecond});
+                                                            .dial_limit_us = seconds(5)});
     start();
   }
 
@@ -133,7 +133,7 @@
         late.accept_all();
         return staying.requests() == kRequests;
       },
-      3 * kSecond);
+      seconds(3));
   late.accept_all();
   CHECK(late.connections() > 0);
   CHECK(late.requests() == 0);
@@ -147,7 +147,7 @@
   router.start();
   REQUIRE(router.first().says("handed-over: a successor serves") != "");
   router.request(kRequests);
-  run_until([&] { return staying.requests() == kRequests; }, 3 * kSecond);
+  run_until([&] { return staying.requests() == kRequests; }, seconds(3));
   CHECK(staying.requests() == kRequests);
   CHECK(draining.requests() == 0);
 }
--- a/tests/incidents/slow_discovery.cpp
+++ b/tests/incidents/slow_discovery.cpp
@@ -6,7 +6,7 @@
 namespace thornwick::testing {
 namespace {
 
-using standins::Server;
+using testbed::Server;
 
 constexpr Time kRenewalWithin =
     200'000;  // after an answer: the next call on the connection goes on with the watch
--- a/tests/incidents/slow_discovery.hpp
+++ b/tests/incidents/slow_discovery.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/loop.hpp"
-#include "standins/server.hpp"
+#include "testbed/server.hpp"
 
 namespace thornwick::testing {
 
@@ -30,7 +30,7 @@
   std::size_t answers() const { return answers_; }
 
  private:
-  void asked(standins::Server::Line& line);
+  void asked(testbed::Server::Line& line);
   void answer(std::uint64_t line_number);
   void answer_after(Time delay, std::uint64_t line_number);
 
@@ -42,7 +42,7 @@
   std::map<std::uint64_t, Time> answered_at_;  // the latest answer on each connection
   std::vector<std::uint64_t> watches_;         // connections whose call waits for news
   std::list<net::Timer> timers_;
-  standins::Server server_;
+  testbed::Server server_;
 };
 
 // An entry of discovery's list about a replica; `state` as SERVING or DRAINING.
@@ -62,7 +62,7 @@
 
  private:
   std::vector<Time> arrivals_;
-  standins::Server server_;
+  testbed::Server server_;
 };
 
 // Lets the main loop run until `holds`, or until the time is over. Returns whether it holds.
--- a/tests/lifecycle/handover_state.cpp
+++ b/tests/lifecycle/handover_state.cpp
@@ -54,7 +54,7 @@
 }  // namespace
 
 TEST_CASE("a successor cuts as its predecessor did and leaves out what had failed") {
-  Time now = 1'000'000;
+  Time now = seconds(1);
   RoutingPolicy first(settings(), now);
   first.on_endpoints(now, EndpointUpdate::full, replicas());
   play(first, now, 200, 3);
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("what is cut short, of another version or senseless is passed over") {
-  Time now = 1'000'000;
+  Time now = seconds(1);
   RoutingPolicy router(settings(), now);
   router.on_endpoints(now, EndpointUpdate::full, replicas());
   LearnedState bad;
--- a/tests/models/catalogue.cpp
+++ b/tests/models/catalogue.cpp
@@ -119,7 +119,7 @@
   p.set_adapters({adapter(1, "quiet"), adapter(2, "busy")});
   std::vector<ReplicaId> ids;
   for (ReplicaId id = 1; id <= 10; ++id) ids.push_back(id);
-  Time now = 1'000'000'000;
+  Time now = seconds(1'000);
   p.set_replicas(now, ids);
   CHECK(p.update(now));
   CHECK(p.replicas_of(2).size() == 1);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -236,7 +236,7 @@
   const Endpoint warm{.id = 1}, other{.id = 2};
   const std::vector<Endpoint> replicas = {warm, other};
   bearing.set_replicas(replicas);
-  Time now = 1'000'000'000'000;
+  Time now = seconds(1'000'000);
   std::vector<int> taken;
   for (int second = 0; second < 6; ++second) {
     taken.push_back(0);
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -40,7 +40,7 @@
       : settings_(settings), catalogue_(catalogue), budgets_(budgets), journal_(journal), dice_(seed) {}
 
   Faults faults;
-  Time answer_time = 20'000;
+  Time answer_time = milliseconds(20);
   std::vector<Replica> replicas;
 
   Replica& add_replica(const std::string& uid, const std::string& model, Time started = 0) {
@@ -293,7 +293,7 @@
   std::vector<std::unique_ptr<Reply>> replies_;
   std::map<std::pair<int, RequestId>, std::size_t> place_of_;
   std::unique_ptr<core::RequestManager> core_;
-  Time now_ = 1'800'000'000'000'000;
+  Time now_ = seconds(1'800'000'000);
   int incarnation_ = 0;
 };
 
--- a/tests/net/config.cpp
+++ b/tests/net/config.cpp
@@ -32,7 +32,7 @@
   simdjson::dom::parser parser;
   auto json = parser.parse(std::string(
       R"({"a":{"b":1,"c":true},"zones":["x y","z,w"],"none":[],"list":[{"n":1.5},{"n":2}],"null":null})"));
-  CHECK(flatten(json.value()) ==
+  CHECK(config::flatten(json.value()) ==
         "a.b=1\na.c=true\nzones=x_y,z_w\nnone=\nlist.0.n=1.5\nlist.1.n=2\nlist.count=2\n");
 }
 
@@ -41,7 +41,7 @@
       R"({"grades":[{"name":"chat","objective":1200000,"deadline":5000000,"streamed":true}],"groupSize":4,"rank":1,)"
       R"("tenants":[{"name":"acme","share":1.0}],"policyLimits":{"keepalive":4000000},)"
       R"("report":{"how":"inline","fields":["queue"]}})"));
-  const Config config = read_config(file.path, "");
+  const config::Config config = config::read_config(file.path, "");
   CHECK(config.settings.seed == 0xff);
   CHECK(config.settings.group_size == 4);
   CHECK(config.settings.classes.at(0).latency_objective == 1'200'000);
@@ -54,26 +54,26 @@
 TEST_CASE("a file that is read again says where discovery is, not the environment of the start") {
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
   setenv("GW_DISCOVERY", "127.0.0.1:2", 1);
-  const Config old = read_config(file.path, "");
+  const config::Config old = config::read_config(file.path, "");
   CHECK(old.discovery == "127.0.0.1:2");
-  Config fresh = read_config(file.path, "", Reading::again);
+  config::Config fresh = config::read_config(file.path, "", config::Reading::again);
   unsetenv("GW_DISCOVERY");
   CHECK(fresh.discovery == "127.0.0.1:1");
-  CHECK(needs_restart(old, fresh).empty());  // discovery needs none
+  CHECK(config::needs_restart(old, fresh).empty());  // discovery needs none
   fresh.listen = "127.0.0.1:3";
   fresh.settings_text += "rank=2\n";
-  CHECK(needs_restart(old, fresh) == "listen, settings");
+  CHECK(config::needs_restart(old, fresh) == "listen, settings");
 }
 
 TEST_CASE("a configuration that reads well is still checked as a whole") {
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
-  Config config = read_config(file.path, "");
-  CHECK_NOTHROW(check_config(config));
+  config::Config config = config::read_config(file.path, "");
+  CHECK_NOTHROW(node::check_config(config));
   config.discovery = "nowhere";
-  CHECK_THROWS_WITH(check_config(config), "configuration: discovery is not an address: nowhere");
+  CHECK_THROWS_WITH(node::check_config(config), "configuration: discovery is not an address: nowhere");
   config.discovery = "127.0.0.1:1";
   config.settings.classes.clear();
-  CHECK_THROWS(check_config(config));
+  CHECK_THROWS(node::check_config(config));
 }
 
 TEST_CASE("a bad configuration is refused with one line that says why") {
@@ -87,9 +87,9 @@
   }));
   const TempFile file(text);
   try {
-    read_config(file.path, "");
+    config::read_config(file.path, "");
     FAIL("it was taken: " << text);
-  } catch (const BadConfig& problem) {
+  } catch (const config::BadConfig& problem) {
     const std::string said = problem.what();
     CHECK(said.find(why) != std::string::npos);
     CHECK(said.find('\n') == std::string::npos);
@@ -100,12 +100,12 @@
   const TempFile file(
       "[messages]\nlisten = '127.0.0.1:9100'\n[targets.named]\n's-01' = 'messages'\n[flows]\ncollector = "
       "'c'\n");
-  const OperatorFile added = read_operator_file(file.path);
+  const config::OperatorFile added = config::read_operator_file(file.path);
   CHECK(added.messages_listen == "127.0.0.1:9100");
   CHECK(added.target_dialect == "platform");
   CHECK(added.targets.at("s-01") == "messages");
   CHECK(added.flow_collector == "c");
-  CHECK(read_operator_file("").messages_listen.empty());
+  CHECK(config::read_operator_file("").messages_listen.empty());
 }
 
 TEST_CASE("the operator's file is checked whole: a line for each error, with file, line and key") {
@@ -124,9 +124,9 @@
       "[purse]\n"
       "x = 1\n");
   try {
-    read_operator_file(file.path);
+    config::read_operator_file(file.path);
     FAIL("it was taken");
-  } catch (const BadConfig& problem) {
+  } catch (const config::BadConfig& problem) {
     const std::string at = file.path + ":";
     CHECK(problem.what() == at + "2: affinity.enabled: neither true nor false\n" + at +
                                 "3: affinity.entries: outside 16..100000000\n" + at +
@@ -140,25 +140,25 @@
 
 TEST_CASE("an operator's file that is no TOML is refused with its line") {
   const TempFile file("[affinity]\nenabled = \n");
-  CHECK_THROWS_WITH(read_operator_file(file.path), Catch::StartsWith(file.path + ":2: "));
+  CHECK_THROWS_WITH(config::read_operator_file(file.path), Catch::StartsWith(file.path + ":2: "));
 }
 
 TEST_CASE("the affinity table's bound follows the memory limit unless the operator says") {
   const TempFile file("[affinity]\nenabled = true\n");
-  Config config;
-  config.added = read_operator_file(file.path);
+  config::Config config;
+  config.added = config::read_operator_file(file.path);
   config.memory_mb = 32;
-  CHECK(affinity_options(config).table.bytes == (2u << 20));
+  CHECK(node::affinity_options(config).table.bytes == (2u << 20));
   config.memory_mb = 192;
-  CHECK(affinity_options(config).table.bytes == (12u << 20));
+  CHECK(node::affinity_options(config).table.bytes == (12u << 20));
   config.added.affinity.bytes = 100'000;
-  CHECK(affinity_options(config).table.bytes == 100'000);
+  CHECK(node::affinity_options(config).table.bytes == 100'000);
 }
 
 // The files that come with the program are good ones.
 TEST_CASE("each operator's file under deploy/ is read without an error") {
   for (const char* name : {"affinity.toml", "group.toml", "messages.toml", "models.toml", "platform.toml"}) {
-    CHECK_NOTHROW(read_operator_file(std::string(THORNWICK_DEPLOY) + "/" + name));
+    CHECK_NOTHROW(config::read_operator_file(std::string(THORNWICK_DEPLOY) + "/" + name));
   }
-  CHECK(read_operator_file(std::string(THORNWICK_DEPLOY) + "/platform.toml").store.file.empty());
+  CHECK(config::read_operator_file(std::string(THORNWICK_DEPLOY) + "/platform.toml").store.file.empty());
 }
--- a/tests/net/core.cpp
+++ b/tests/net/core.cpp
@@ -57,7 +57,7 @@
   static constexpr Time kNever = std::numeric_limits<Time>::max();
   Settings settings;
   bool there = true, written = true;
-  Time time = 1'000'000'000, wake = kNever, retry_after = 0;
+  Time time = seconds(1'000), wake = kNever, retry_after = 0;
   std::vector<AttemptId> out;
   int launched = 0, whole = 0, broken = 0, rejected = 0, failed = 0;
   std::string events;
--- a/tests/net/fleet.cpp
+++ b/tests/net/fleet.cpp
@@ -4,7 +4,7 @@
 #include <catch2/catch.hpp>
 #include <charconv>
 
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 namespace thornwick::testing {
 namespace {
@@ -203,7 +203,7 @@
   config_.name = "test";
   config_.listen = "127.0.0.1:0";
   config_.discovery = discovery_->address();
-  config_.settings = wire::parse_settings(kSettings, 7);
+  config_.settings = simulator_adapter::parse_settings(kSettings, 7);
   config_.classes = {"agent"};
   config_.tenants = {"acme"};
   config_.zones = {"a"};
@@ -235,7 +235,7 @@
 
 void Fleet::start_router() {
   config_.known = list_json();
-  node_ = std::make_unique<Node>(config_);
+  node_ = std::make_unique<node::Node>(config_);
   for (int i = 0; i < options_.clients; ++i) {
     Client* client = clients_.emplace_back(std::make_unique<Client>()).get();
     client->reader.emplace(http::MessageReader::Kind::answer);
