--- a/tests/net/fleet.hpp
+++ b/tests/net/fleet.hpp
@@ -69,8 +69,8 @@
     int replicas = 10;
     double memory_tokens = 700'000, read_per_s = 1'000'000;
     int sessions = 400, prefixes = 20, clients = 48;
-    AffinityFile affinity;
-    StoreFile store;
+    config::AffinityFile affinity;
+    config::StoreFile store;
   };
   explicit Fleet(const Options& options);
   ~Fleet();
@@ -85,7 +85,7 @@
   void restart(bool saved);  // the router only; its successor finds the same file
   void replace(int count);   // the first replicas go, new ones come
   void flush(double part);
-  const Node& node() const { return *node_; }
+  const node::Node& node() const { return *node_; }
   int rejected() const { return rejected_; }
 
  private:
@@ -114,8 +114,8 @@
   std::vector<Work> works_;
   std::vector<Session> sessions_;
   std::unique_ptr<HttpServer> discovery_;
-  Config config_;
-  std::unique_ptr<Node> node_;
+  config::Config config_;
+  std::unique_ptr<node::Node> node_;
   std::list<std::unique_ptr<Client>> clients_;
 };
 
--- a/tests/net/models.cpp
+++ b/tests/net/models.cpp
@@ -46,8 +46,8 @@
   const std::string path = scratch.path("o.toml");
   write_bytes(path, text);
   try {
-    read_operator_file(path);
-  } catch (const BadConfig& bad) {
+    config::read_operator_file(path);
+  } catch (const config::BadConfig& bad) {
     std::string what = bad.what();
     for (auto at = what.find(path); at != std::string::npos; at = what.find(path))
       what.replace(at, path.size(), "o");
--- a/tests/net/play.cpp
+++ b/tests/net/play.cpp
@@ -7,12 +7,12 @@
 #include <thread>
 
 #include "../store/scratch.hpp"
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 namespace thornwick::testing {
 namespace {
 
-constexpr Time kPatience = 20'000'000;  // far above any wait in a scenario: only a hang reaches it
+constexpr Time kPatience = seconds(20);  // far above any wait in a scenario: only a hang reaches it
 
 constexpr const char* kSettings =
     "grades.count=2\ngrades.0.name=chat\ngrades.0.credit=5\ngrades.0.objective=4000000\n"
@@ -132,7 +132,7 @@
   const auto saved = net::descriptors();
   net::descriptors().limit = std::max<std::size_t>(saved.limit, 256);
   piece_ = setup.piece;
-  Config& config = config_;
+  config::Config& config = config_;
   std::string targets;
   for (int i = 0; i < setup.replicas; ++i) {
     listen(replicas_.emplace_back(), "");
@@ -151,7 +151,7 @@
   config.discovery = list_->address();
   config.added.target_dialect = setup.box_dialect;
   config.added.flow_collector = setup.flow_collector;
-  config.settings = wire::parse_settings(kSettings + setup.settings, 7);
+  config.settings = simulator_adapter::parse_settings(kSettings + setup.settings, 7);
   config.classes = {"chat", "quick"};
   config.tenants = {"acme"};
   config.zones = {"a"};
@@ -163,14 +163,14 @@
   config.silence_limit = setup.silence_limit;
   config.known = "{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}";
   read_operator_text(setup.operator_text);
-  node_ = std::make_unique<Node>(config);
+  node_ = std::make_unique<node::Node>(config);
 }
 
 void Play::read_operator_text(const std::string& text) {
   if (text.empty()) return;
   const Scratch scratch;
   write_bytes(scratch.path("o.toml"), text);
-  const OperatorFile file = read_operator_file(scratch.path("o.toml"));
+  const config::OperatorFile file = config::read_operator_file(scratch.path("o.toml"));
   config_.added.catalogue = file.catalogue;
   config_.added.budgets = file.budgets;
   config_.added.store = file.store;
--- a/tests/net/play.hpp
+++ b/tests/net/play.hpp
@@ -29,7 +29,7 @@
 struct Setup {
   int replicas = 1;
   std::string box_dialect = "platform";
-  Time keepalive = 5'000'000, silence_limit = 3'000'000;
+  Time keepalive = seconds(5), silence_limit = seconds(3);
   std::string known_state = "SERVING";
   std::string ops = {};       // the admin endpoint
   std::string settings = {};  // more of them: path=value lines
@@ -73,12 +73,12 @@
   std::size_t piece_ = 0;
   std::vector<std::unique_ptr<net::Listener>> replicas_;
   std::unique_ptr<net::Listener> list_, new_list_;
-  Config config_;
+  config::Config config_;
   std::vector<std::shared_ptr<Line>> accepted_;
   std::map<std::string, std::shared_ptr<Line>> actors_;
   std::map<std::string, int> connections_;  // to discovery's stand-ins
   int attempts_ = 0;
-  std::unique_ptr<Node> node_;
+  std::unique_ptr<node::Node> node_;
 };
 
 }  // namespace thornwick::testing
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -4,11 +4,11 @@
 
 #include "../store/scratch.hpp"
 #include "node/node.hpp"
-#include "standins/installation.hpp"
-#include "standins/load.hpp"
+#include "testbed/installation.hpp"
+#include "testbed/load.hpp"
 
 using namespace thornwick;
-using namespace thornwick::standins;
+using namespace thornwick::testbed;
 using thornwick::testing::Scratch;
 
 namespace {
@@ -31,9 +31,9 @@
     options.router_listen = "127.0.0.1:0";
     installation = std::make_unique<Installation>(options);
     std::ofstream(scratch.path("router.json")) << installation->router_config();
-    Config config = read_config(scratch.path("router.json"), "");
+    config::Config config = config::read_config(scratch.path("router.json"), "");
     config.added.messages_listen = messages;
-    node = std::make_unique<Node>(config);
+    node = std::make_unique<node::Node>(config);
     LoadOptions asks;
     asks.scenario = scenario;
     asks.asked = emulator::asked_on(scenario, 1);
@@ -62,7 +62,7 @@
 
   Scratch scratch;
   std::unique_ptr<Installation> installation;
-  std::unique_ptr<Node> node;
+  std::unique_ptr<node::Node> node;
   std::unique_ptr<Load> load;
 };
 
--- a/tests/net/tools.cpp
+++ b/tests/net/tools.cpp
@@ -38,7 +38,7 @@
   persistence::StateStore state_store({.path = path, .holder = "n1"}, {},
                                       [](ReplicaId id) { return "s-0" + std::to_string(id); });
   affinity::AffinityTable affinity_table({.table = {.entries = 1000}});
-  const Time now = 1'000'000'000'000;
+  const Time now = seconds(1'000'000);
   state_store.load(affinity_table, now);
   const std::array<Endpoint, 2> entries{{{.id = 1}, {.id = 2}}};
   affinity_table.on_endpoints(EndpointUpdate::full, entries);
--- a/tests/policy/failures_test.cpp
+++ b/tests/policy/failures_test.cpp
@@ -30,7 +30,7 @@
   Fixture f;
   f.list_plain(3);
   EXPECT_EQ(fail_until_quiet(f, 20, Outcome::error), 2);
-  f.advance(2 * kSecond + kSecond / 2);  // past the ejection of one longest aim
+  f.advance(seconds(2) + kSecond / 2);  // past the ejection of one longest aim
   std::map<ReplicaId, int> met;
   for (int i = 0; i < 60; ++i) {
     const auto to = sent_to(f.arrive({.prompt_tokens = 100, .session = static_cast<std::uint64_t>(i + 1)}));
@@ -164,7 +164,7 @@
   Fixture f;
   f.list_plain(2);
   fail_until_quiet(f, 10, Outcome::connect_failed);
-  f.list({{.id = 10, .started = f.now - 20 * kSecond}}, EndpointUpdate::delta);
+  f.list({{.id = 10, .started = f.now - seconds(20)}}, EndpointUpdate::delta);
   std::set<ReplicaId> met;
   for (int i = 0; i < 20; ++i) {
     met.insert(sent_to(f.arrive({.prompt_tokens = 100, .session = static_cast<std::uint64_t>(i + 1)})));
@@ -232,7 +232,7 @@
 double sent_part_under_jam(Fixture& f, const Request& shape) {
   for (int i = 0; i < 40; ++i) {
     const auto to = sent_to(f.arrive_sized(100));
-    f.advance(3 * kSecond);  // past the aim
+    f.advance(seconds(3));  // past the aim
     if (to != 0) f.serve(f.last.id, to);
   }
   int sent = 0;
@@ -282,7 +282,7 @@
   for (int i = 0; i < 100; ++i) {
     const std::uint8_t cls = i % 2;
     f.arrive_sized(100);
-    f.advance(3 * kSecond);
+    f.advance(seconds(3));
     sent[cls] += sent_to(f.arrive({.cls = cls, .prompt_tokens = 100})) != 0;
   }
   EXPECT_GT(sent[1], sent[0]);
@@ -301,7 +301,7 @@
     ++asked[tenant];
     sent[tenant] += to != 0;
     if (to != 0 && i % 3 == 0) {
-      f.advance(3 * kSecond);
+      f.advance(seconds(3));
       f.serve(f.last.id, to);
     } else if (to != 0) {
       f.serve(f.last.id, to);
@@ -317,7 +317,7 @@
   int sent[2] = {0, 0};
   for (int i = 0; i < 100; ++i) {
     f.arrive_sized(100);
-    f.advance(3 * kSecond);
+    f.advance(seconds(3));
     sent[i % 2] += sent_to(f.arrive({.prompt_tokens = 100, .client_repeat = i % 2 == 1})) != 0;
   }
   EXPECT_GT(sent[0], sent[1]);
@@ -407,8 +407,8 @@
   s.zone_count = 2;
   s.overload_multiple = 4;
   Fixture f(s);
-  f.list({{.id = 1, .started = f.now - 5 * kSecond},
-          {.id = 3, .started = f.now - 5 * kSecond},
+  f.list({{.id = 1, .started = f.now - seconds(5)},
+          {.id = 3, .started = f.now - seconds(5)},
           {.id = 2, .zone = 1}});
   int home = 0;
   for (int i = 0; i < 400; ++i) {
@@ -429,20 +429,19 @@
 
 TEST(Directory, IsAskedSoonAfterTheStartAndNotAgainOnceSubscribed) {
   Fixture f(asking());
-  EXPECT_EQ(only(f.advance(2 * kSecond), ActionKind::watch_endpoints).size(), 1u);
+  EXPECT_EQ(only(f.advance(seconds(2)), ActionKind::watch_endpoints).size(), 1u);
   f.list_plain(2);
-  EXPECT_TRUE(only(f.advance(60 * kSecond), ActionKind::watch_endpoints).empty());
+  EXPECT_TRUE(only(f.advance(seconds(60)), ActionKind::watch_endpoints).empty());
 }
 
 TEST(Directory, IsAskedAgainAfterEachFailureLessAndLessOften) {
   Fixture f(asking());
-  f.advance(2 * kSecond);
+  f.advance(seconds(2));
   Time gap_before = 0;
   for (int i = 0; i < 4; ++i) {
     f.list({}, EndpointUpdate::failed);
     const Time from = f.now;
-    while (only(f.advance(10'000), ActionKind::watch_endpoints).empty())
-      ASSERT_LT(f.now - from, 10 * kSecond);
+    while (only(f.advance(10'000), ActionKind::watch_endpoints).empty()) ASSERT_LT(f.now - from, seconds(10));
     if (i % 3 == 0) {
       EXPECT_GT(f.now - from, gap_before);
       gap_before = f.now - from;
@@ -453,13 +452,14 @@
 // A directory that works through the calls of all routers in turn, 20 a second. One that has waited for 2 s
 // fails, and was work all the same. Returns the calls of each second that failed; the routers of `again`
 // start anew at 10 s.
-std::vector<int> failed_calls(std::uint32_t routers, std::uint32_t again, int seconds) {
+std::vector<int> failed_calls(std::uint32_t routers, std::uint32_t again, int duration_s) {
   auto s = asking();
   s.group_size = routers;
   std::vector<std::unique_ptr<Fixture>> fleet(routers);
   std::vector<std::pair<Time, std::uint32_t>> due;  // of calls: when they are answered or fail
-  std::vector<int> failed(static_cast<std::size_t>(seconds));
-  const Time start = 1000 * kSecond, tick = 10'000;
+  std::vector<int> failed(static_cast<std::size_t>(duration_s));
+  const Time start = seconds(1000);
+  const Time tick = milliseconds(10);
   Time free_at = start;
   const auto begin = [&](std::uint32_t r, Time now) {
     s.seed = 1000 + r + static_cast<std::uint64_t>(now);
@@ -467,8 +467,8 @@
     fleet[r] = std::make_unique<Fixture>(s, now);
   };
   for (std::uint32_t r = 0; r < routers; ++r) begin(r, start);
-  for (Time now = start; now < start + seconds * kSecond; now += tick) {
-    for (std::uint32_t r = 0; r < again && now == start + 10 * kSecond; ++r) begin(r, now);
+  for (Time now = start; now < start + seconds(duration_s); now += tick) {
+    for (std::uint32_t r = 0; r < again && now == start + seconds(10); ++r) begin(r, now);
     for (const auto& [at, r] : std::exchange(due, {})) {
       if (at > now) {
         due.emplace_back(at, r);
@@ -482,8 +482,8 @@
     for (std::uint32_t r = 0; r < routers; ++r) {
       if (only(fleet[r]->advance(now - fleet[r]->now), ActionKind::watch_endpoints).empty()) continue;
       free_at = std::max(free_at, now) + kSecond / 20;
-      const Time wait = std::min(free_at - now, 2 * kSecond) / 2 * 2;
-      due.emplace_back(now + wait + (wait == 2 * kSecond ? 1 : 0), r);
+      const Time wait = std::min(free_at - now, seconds(2)) / 2 * 2;
+      due.emplace_back(now + wait + (wait == seconds(2) ? 1 : 0), r);
     }
   }
   return failed;
@@ -506,7 +506,7 @@
     auto s = asking();
     s.seed = seed;
     Fixture f(s);
-    while (only(f.advance(1'000), ActionKind::watch_endpoints).empty()) ASSERT_LT(f.now, 1010 * kSecond);
+    while (only(f.advance(1'000), ActionKind::watch_endpoints).empty()) ASSERT_LT(f.now, seconds(1010));
     asked.insert(f.now);
   }
   EXPECT_GT(asked.size(), 10u);
@@ -523,7 +523,7 @@
   Fixture f(asking());
   f.list({{.id = 10}}, EndpointUpdate::cached);
   EXPECT_EQ(sent_to(f.arrive_sized(100)), 10u);
-  EXPECT_FALSE(only(f.advance(2 * kSecond), ActionKind::watch_endpoints).empty());
+  EXPECT_FALSE(only(f.advance(seconds(2)), ActionKind::watch_endpoints).empty());
 }
 
 }  // namespace
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -97,7 +97,7 @@
   EXPECT_GT(sent(f, 40)[20], 0);
   for (std::uint32_t peer : {10u, 11u, 12u}) receive(f, peer, {{20, Observation::silent}});
   EXPECT_EQ(sent(f, 40)[20], 0);
-  f.advance(10 * kSecond);
+  f.advance(seconds(10));
   EXPECT_GT(sent(f, 40)[20], 0);
 }
 
@@ -118,7 +118,7 @@
   for (std::uint32_t peer = 10; peer < 30; ++peer) receive(f, peer, {{20, Observation::slow}});
   const int during = sent(f, 40)[20] * 5;
   EXPECT_LT(during, before * 2 / 3);
-  f.advance(40 * kSecond);
+  f.advance(seconds(40));
   EXPECT_GT(sent(f, 200)[20], before * 3 / 4);
 }
 
--- a/tests/policy/routing_policy_test.cpp
+++ b/tests/policy/routing_policy_test.cpp
@@ -216,14 +216,14 @@
   const auto later = f.advance(f.last.due - f.now);
   actions.insert(actions.end(), later.begin(), later.end());
   EXPECT_EQ(finals(actions), 1u);
-  EXPECT_EQ(finals(f.advance(20 * kSecond)), 0u);
+  EXPECT_EQ(finals(f.advance(seconds(20))), 0u);
   EXPECT_TRUE(only(f.result(id, 0, 10, Outcome::timed_out), ActionKind::send).empty());
 }
 
 TEST(RuleNoRequestLost, WithAnEmptyListTheRequestWaitsAndIsThenRefused) {
   Fixture f;
   EXPECT_EQ(finals(f.arrive_sized(100)), 0u);
-  const auto actions = f.advance(8 * kSecond);
+  const auto actions = f.advance(seconds(8));
   EXPECT_EQ(finals(actions), 1u);
   EXPECT_TRUE(only(actions, ActionKind::send).empty());
 }
@@ -247,7 +247,7 @@
   const auto to = sent_to(f.arrive_sized(100));
   f.router.on_client_gone(f.now, f.last.id);
   EXPECT_TRUE(f.result(f.last.id, 0, to, Outcome::connect_failed).empty());
-  EXPECT_TRUE(f.advance(20 * kSecond).empty());
+  EXPECT_TRUE(f.advance(seconds(20)).empty());
 }
 
 TEST(RuleNoRequestLost, OddButLegalEventsArePassedOver) {
@@ -300,7 +300,7 @@
   Fixture f(effect_settings(Effect::unsafe));
   f.list_plain(3);
   f.arrive_sized(100);
-  const auto actions = f.advance(8 * kSecond);
+  const auto actions = f.advance(seconds(8));
   EXPECT_TRUE(only(actions, ActionKind::send).empty());
   EXPECT_TRUE(only(actions, ActionKind::reject).empty());
   EXPECT_EQ(only(actions, ActionKind::fail).size(), 1u);
@@ -320,7 +320,7 @@
       EXPECT_EQ(second == 1, to == 1);
       f.serve(f.last.id, second, 1);
     }
-    f.advance(20 * kSecond);
+    f.advance(seconds(20));
   }
 }
 
@@ -345,7 +345,7 @@
     std::size_t copies = 0;
     for (int i = 0; i < 6; ++i) {
       f.arrive_sized(100);
-      copies += only(f.advance(10 * kSecond), ActionKind::send).size();
+      copies += only(f.advance(seconds(10)), ActionKind::send).size();
     }
     EXPECT_EQ(copies > 0, allowed);
   }
@@ -387,11 +387,11 @@
     return to_newcomer / 400.0;
   };
   EXPECT_LT(share_at(kSecond / 10), 0.05);
-  const double early = share_at(2 * kSecond), late = share_at(8 * kSecond);
+  const double early = share_at(seconds(2)), late = share_at(seconds(8));
   EXPECT_GT(early, 0.05);
   EXPECT_LT(early, 0.25);
   EXPECT_GT(late, early);
-  EXPECT_NEAR(share_at(11 * kSecond), 0.5, 0.1);
+  EXPECT_NEAR(share_at(seconds(11)), 0.5, 0.1);
 }
 
 TEST(RuleColdReplicas, WhenAllAreColdMostIsRefusedAtFirst) {
@@ -411,7 +411,7 @@
 // was warm.
 TEST(RuleColdReplicas, WhenAllAreColdNoSessionIsRefusedThroughout) {
   Fixture f;
-  f.list({{.id = 10, .started = f.now - 3 * kSecond}, {.id = 20, .started = f.now - 3 * kSecond}});
+  f.list({{.id = 10, .started = f.now - seconds(3)}, {.id = 20, .started = f.now - seconds(3)}});
   int throughout = 0, sent = 0;
   for (std::uint64_t session = 1; session <= 50; ++session) {
     int served = 0;
@@ -436,7 +436,7 @@
 
 TEST(RuleColdReplicas, AHeavyRequestDoesNotGoToAColdOne) {
   Fixture f;
-  f.list({{.id = 10}, {.id = 20, .started = f.now - 3 * kSecond}});
+  f.list({{.id = 10}, {.id = 20, .started = f.now - seconds(3)}});
   int light = 0, heavy = 0;
   for (std::uint64_t i = 1; i <= 400; ++i) {
     const bool is_heavy = i % 10 == 0;
@@ -452,7 +452,7 @@
 
 TEST(RuleColdReplicas, AClientsRepeatDoesNotGoBackToAColdOne) {
   Fixture f;
-  f.list({{.id = 10}, {.id = 20, .started = f.now - 5 * kSecond}});
+  f.list({{.id = 10}, {.id = 20, .started = f.now - seconds(5)}});
   int first = 0, again = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
     const auto to = sent_to(f.arrive({.prompt_tokens = 100, .session = i}));
@@ -471,8 +471,7 @@
   s.weights = WeightSource::live;
   Fixture f(s);
   // Overloaded replicas list a tenth of their size; the idle newcomer lists its full size.
-  f.list(
-      {{.id = 10, .weight = 0.1f}, {.id = 20, .started = f.now - 2 * kSecond}, {.id = 30, .weight = 0.1f}});
+  f.list({{.id = 10, .weight = 0.1f}, {.id = 20, .started = f.now - seconds(2)}, {.id = 30, .weight = 0.1f}});
   int to_cold = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
     const auto to = sent_to(f.arrive({.prompt_tokens = 100, .session = i}));
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -9,24 +9,24 @@
 
 namespace thornwick::testing {
 
-inline constexpr Time kSecond = 1'000'000;
+inline constexpr Time kSecond = seconds(1);
 
 inline Settings plain_settings() {
   Settings s;
   s.seed = 7;
-  s.classes.push_back({.priority_weight = 1, .latency_objective = 2 * kSecond, .deadline = 10 * kSecond});
+  s.classes.push_back({.priority_weight = 1, .latency_objective = seconds(2), .deadline = seconds(10)});
   s.may_cancel = true;
   s.hedging = true;
   s.max_attempts = 4;
   s.initial_capacity = 0.2;
-  s.warm_up = 10 * kSecond;
+  s.warm_up = seconds(10);
   s.drain_grace = 500'000;
   return s;
 }
 
 class Fixture {
  public:
-  explicit Fixture(const Settings& settings = plain_settings(), Time start = 1000 * kSecond)
+  explicit Fixture(const Settings& settings = plain_settings(), Time start = seconds(1000))
       : now(start), router(settings, start) {
     absorb();
   }
@@ -46,7 +46,7 @@
   // Returns the actions that follow the arrival.
   std::vector<Action> arrive(Request request) {
     if (request.id == 0) request.id = ++last_id;
-    if (request.due == 0) request.due = now + 8 * kSecond;
+    if (request.due == 0) request.due = now + seconds(8);
     last = request;
     router.on_request(now, request);
     return absorb();
--- a/tests/recordings/decisions.cpp
+++ b/tests/recordings/decisions.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-constexpr Time kMillisecond = 1000;
-constexpr Time kSecond = 1'000'000;
+constexpr Time kMillisecond = milliseconds(1);
+constexpr Time kSecond = seconds(1);
 
 ClassSettings safe_class() {
   return {.priority_weight = 3,
           .late_weight = 0.25,
           .latency_objective = 1500 * kMillisecond,
           .latency_objective_per_1000_prompt_tokens = 60 * kMillisecond,
-          .deadline = 6 * kSecond};
+          .deadline = seconds(6)};
 }
 
 ClassSettings keyed_class(DedupScope scope) {
   return {.priority_weight = 1,
-          .latency_objective = 2 * kSecond,
+          .latency_objective = seconds(2),
           .latency_objective_stretch = 0.5,
-          .deadline = 8 * kSecond,
+          .deadline = seconds(8),
           .effect = Effect::keyed,
           .dedup_scope = scope,
           .dedup_window = 400 * kMillisecond};
@@ -35,10 +35,10 @@
 ClassSettings unsafe_class() {
   return {.priority_weight = 2,
           .latency_objective = kSecond,
-          .deadline = 5 * kSecond,
+          .deadline = seconds(5),
           .streamed = false,
           .effect = Effect::unsafe,
-          .dedup_window = 3 * kSecond};
+          .dedup_window = seconds(3)};
 }
 
 // Three routers, six replicas in one zone.
@@ -56,7 +56,7 @@
   settings.max_attempts = 4;
   settings.drain_grace = 500 * kMillisecond;
   settings.initial_capacity = 0.3;
-  settings.warm_up = 6 * kSecond;
+  settings.warm_up = seconds(6);
   return settings;
 }
 
@@ -81,7 +81,7 @@
   settings.may_message_peers = true;
   settings.max_attempts = 3;
   settings.initial_capacity = 0.5;
-  settings.warm_up = 5 * kSecond;
+  settings.warm_up = seconds(5);
   settings.overload_multiple = 3;
   return settings;
 }
@@ -96,15 +96,15 @@
   settings.tenants = {{.share = 0.6}, {.share = 0.4}};
   settings.over_share_weight = 0.05;
   settings.discovery_by_polling = true;
-  settings.max_poll_interval = 4 * kSecond;
+  settings.max_poll_interval = seconds(4);
   settings.weights = WeightSource::live;
   settings.may_cancel = true;
   settings.hedging = true;
   settings.retry_after = true;
-  settings.max_retry_after = 3 * kSecond;
+  settings.max_retry_after = seconds(3);
   settings.max_attempts = 3;
   settings.initial_capacity = 0.2;
-  settings.warm_up = 12 * kSecond;
+  settings.warm_up = seconds(12);
   return settings;
 }
 
--- a/tests/recordings/emulated_days.cpp
+++ b/tests/recordings/emulated_days.cpp
@@ -17,7 +17,7 @@
 #include "emulator/group_faults.hpp"
 #include "emulator/replication_simulation.hpp"
 #include "emulator/world.hpp"
-#include "lab/group_table.hpp"
+#include "experiments/group_table.hpp"
 
 using namespace thornwick;
 using namespace thornwick::emulator;
@@ -346,7 +346,7 @@
   return {played.faults, played.words_of_gone, lines, played.agreed_after};
 }
 
-std::uint64_t digest_of(const lab::GroupRow& row) {
+std::uint64_t digest_of(const experiments::GroupRow& row) {
   Digest digest;
   add(digest, {row.routers, row.kills, row.not_found});
   for (const double figure :
@@ -670,8 +670,8 @@
 }
 
 TEST_CASE("a group's time to find a death") {
-  const lab::GroupTableOptions options{.calm_s = 120, .kills = 3, .seed = 71};
-  CHECK(digest_of(lab::measure_group("measured", 9, 0.1, options)) == 0xf7c2afe3c8984e45);
-  CHECK(digest_of(lab::measure_group("plain", 9, 0.3, options)) == 0x3c8472ccfe72f73);
-  CHECK(digest_of(lab::measure_group("lifeguard", 9, 0.1, options)) == 0x421a4c286f3b42a1);
+  const experiments::GroupTableOptions options{.calm_s = 120, .kills = 3, .seed = 71};
+  CHECK(digest_of(experiments::measure_group("measured", 9, 0.1, options)) == 0xf7c2afe3c8984e45);
+  CHECK(digest_of(experiments::measure_group("plain", 9, 0.3, options)) == 0x3c8472ccfe72f73);
+  CHECK(digest_of(experiments::measure_group("lifeguard", 9, 0.1, options)) == 0x421a4c286f3b42a1);
 }
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -9,13 +9,13 @@
 namespace thornwick::recordings {
 namespace {
 
-constexpr Time kMillisecond = 1000;
-constexpr Time kSecond = 1'000'000;
+constexpr Time kMillisecond = milliseconds(1);
+constexpr Time kSecond = seconds(1);
 constexpr Time kTimeStep = 100;  // coarser than what another math library changes in a computed time
 constexpr std::size_t kEventsPerBlock = 2000;
 constexpr std::size_t kEventsPerLeftOut = 25;
 constexpr std::size_t kEventsPerRestart = 3500;
-constexpr Time kPeriod = 8 * kSecond;  // a slow period is the end of each
+constexpr Time kPeriod = seconds(8);  // a slow period is the end of each
 constexpr std::uint64_t kSessions = 300, kPrefixes = 40, kRarePrefixes = 3000;
 constexpr std::uint32_t kTooHighRank = 5000;
 constexpr char kMessageMark = 0x54, kMessageVersion = 1;
@@ -39,7 +39,7 @@
 }
 
 RouterPlayer::RouterPlayer(const Settings& settings, const PlayOptions& options)
-    : settings_(settings), options_(options), random_(options.seed), now_(1000 * kSecond) {
+    : settings_(settings), options_(options), random_(options.seed), now_(seconds(1000)) {
   for (std::size_t i = 0; i < options_.replicas; ++i) {
     listings_.push_back({.id = static_cast<ReplicaId>(10 * (i + 1)),
                          .started = options_.all_cold ? now_ : 0,
--- a/tests/recordings/router_player.hpp
+++ b/tests/recordings/router_player.hpp
@@ -28,9 +28,9 @@
   std::size_t events = 12'000;
   std::size_t replicas = 6;
   std::uint16_t zones = 1, cells = 1, kinds = 1;
-  bool all_cold = false;         // every replica has just started
-  Time longest_gap = 40'000;     // between two events
-  std::uint64_t slow_part = 25;  // percent of the time in which replicas answer little
+  bool all_cold = false;                // every replica has just started
+  Time longest_gap = milliseconds(40);  // between two events
+  std::uint64_t slow_part = 25;         // percent of the time in which replicas answer little
 };
 
 // What a play came to, in plain numbers.
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Time kSecond = 1'000'000, kLease = 6 * kSecond;
+constexpr Time kSecond = seconds(1), kLease = seconds(6);
 
 AskLine line(Units used, Units hold, Units need = 0, std::uint8_t span = 1, std::int64_t window = 7) {
   AskLine l;
@@ -78,7 +78,7 @@
     }
     return all;
   }
-  Time now = 1'800'000'000 * kSecond, told = now;
+  Time now = seconds(1'800'000'000), told = now;
   std::shared_ptr<membership::Roster> roster;
   Ledger ledger;
   std::unique_ptr<QuotaLeaseClient> purses[2];
@@ -95,9 +95,9 @@
   pair.turn(0);
   pair.now += static_cast<Time>(1.03 * kLease);
   pair.expire(0);
-  pair.now += 60 * kSecond;  // the burst is full again
+  pair.now += seconds(60);  // the burst is full again
   const Time began = pair.now;
-  Units all = pair.take_all(1, 10 * kSecond);
+  Units all = pair.take_all(1, seconds(10));
   while (pair.purses[0]->reserve(0, 1'000, pair.now)) all += 1'000;
   return all - 100'000 - 1'000 * ((pair.now - began) / kSecond + 1);
 }
--- a/tests/replication/processes.cpp
+++ b/tests/replication/processes.cpp
@@ -4,9 +4,9 @@
 
 #include "../group/fault_harness_options.hpp"
 #include "../store/scratch.hpp"
-#include "standins/replication_play.hpp"
+#include "testbed/replication_play.hpp"
 
-using namespace thornwick::standins;
+using namespace thornwick::testbed;
 using thornwick::testing::rig_options;
 using thornwick::testing::Scratch;
 
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,5 +1,5 @@
 // The codec on the hex of its description, on settings text and on malformed frames.
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 }
 
 TEST(Codec, ReadsTheQueryOfTheDescription) {
-  const auto batch = wire::decode_batch(batch_of(
+  const auto batch = simulator_adapter::decode_batch(batch_of(
       "0201 0300 c4913a5df7e60500 00009644 e02e0000 640ad2557c3bf091 0000e144 01 107cf3d901648e2b 0000 00 "
       "da05840000000000 00008043",
       1));
@@ -41,51 +41,53 @@
 }
 
 TEST(Codec, ReadsTheOtherEventsOfTheDescription) {
-  const auto batch =
-      wire::decode_batch(batch_of("0601 0300 4d000000"
-                                  "0501 0500 192b6f0ec9c10700"
-                                  "0401 0300 c4913a5df7e60500 00 074a1203 0000 44480000 01 00000000 00"
-                                  "0a01 00 02000000"
-                                  "0000000000000000 02 0000 074a1203 0000803f 0000 0000"
-                                  "20145d0000000000 02 0000 f211902c 0000c03f 0000 0100"
-                                  "0101 0300 02 2900000000000000 00",
-                                  5));
+  const auto batch = simulator_adapter::decode_batch(
+      batch_of("0601 0300 4d000000"
+               "0501 0500 192b6f0ec9c10700"
+               "0401 0300 c4913a5df7e60500 00 074a1203 0000 44480000 01 00000000 00"
+               "0a01 00 02000000"
+               "0000000000000000 02 0000 074a1203 0000803f 0000 0000"
+               "20145d0000000000 02 0000 f211902c 0000c03f 0000 0100"
+               "0101 0300 02 2900000000000000 00",
+               5));
   ASSERT_EQ(batch.events.size(), 5u);
-  EXPECT_EQ(std::get<wire::Timer>(batch.events[0].body).token, 77u);
+  EXPECT_EQ(std::get<simulator_adapter::Timer>(batch.events[0].body).token, 77u);
   EXPECT_EQ(batch.events[1].instance, 5);
-  EXPECT_EQ(std::get<wire::ClientGone>(batch.events[1].body).id, 0x0007c1c90e6f2b19u);
-  const auto& result = std::get<wire::Result>(batch.events[2].body).result;
+  EXPECT_EQ(std::get<simulator_adapter::ClientGone>(batch.events[1].body).id, 0x0007c1c90e6f2b19u);
+  const auto& result = std::get<simulator_adapter::Result>(batch.events[2].body).result;
   EXPECT_EQ(result.replica, 0x03124a07u);
   EXPECT_EQ(result.outcome, Outcome::served);
   EXPECT_EQ(result.elapsed, 0x4844);
   EXPECT_TRUE(result.concluded);
-  const auto& roster = std::get<wire::Roster>(batch.events[3].body);
+  const auto& roster = std::get<simulator_adapter::Roster>(batch.events[3].body);
   ASSERT_EQ(roster.members.size(), 2u);
   EXPECT_EQ(roster.members[1].started, 0x5d1420);
   EXPECT_EQ(roster.members[1].weight, 1.5f);
   EXPECT_EQ(roster.members[1].zone, 1);
   EXPECT_EQ(roster.members[1].state, EndpointState::ready);
-  EXPECT_EQ(std::get<wire::EndpointListUpdate>(batch.events[4].body).scope, EndpointUpdate::cached);
+  EXPECT_EQ(std::get<simulator_adapter::EndpointListUpdate>(batch.events[4].body).scope,
+            EndpointUpdate::cached);
 }
 
 TEST(Codec, WritesTheActionsOfTheDescription) {
   Bytes out;
-  wire::encode_action(
+  simulator_adapter::encode_action(
       3, {.kind = ActionKind::send, .id = 0x0005e6f75d3a91c4, .replica = 0x03124a07, .time = 80'000}, 0, out);
   EXPECT_EQ(out, from_hex("0001 0300 c4913a5df7e60500 80380100 074a1203"));
   out.clear();
-  wire::encode_action(3, {.kind = ActionKind::set_timer, .time = 0x87fd7a, .token = 77}, 0, out);
+  simulator_adapter::encode_action(3, {.kind = ActionKind::set_timer, .time = 0x87fd7a, .token = 77}, 0, out);
   EXPECT_EQ(out, from_hex("0401 0300 7afd870000000000 4d000000"));
   out.clear();
-  wire::encode_action(3, {.kind = ActionKind::message_peer, .token = 0xffffffff, .message = "hi 7"}, 0, out);
+  simulator_adapter::encode_action(
+      3, {.kind = ActionKind::message_peer, .token = 0xffffffff, .message = "hi 7"}, 0, out);
   EXPECT_EQ(out, from_hex("0701 0300 ffffffff 0400 68692037"));
-  EXPECT_EQ(wire::frame({}), from_hex("00000000"));
+  EXPECT_EQ(simulator_adapter::frame({}), from_hex("00000000"));
 }
 
 TEST(Codec, WritesTheRemainingActions) {
   const auto coded = [](const Action& action) {
     Bytes out;
-    wire::encode_action(1, action, 0, out);
+    simulator_adapter::encode_action(1, action, 0, out);
     return out;
   };
   EXPECT_EQ(coded({.kind = ActionKind::reject, .id = 2, .time = 9}),
@@ -99,7 +101,7 @@
 }
 
 TEST(Codec, ReadsAnEmptyBatch) {
-  const auto batch = wire::decode_batch(from_hex("5a5c800000000000 00000000"));
+  const auto batch = simulator_adapter::decode_batch(from_hex("5a5c800000000000 00000000"));
   EXPECT_EQ(batch.now, 8'412'250);
   EXPECT_TRUE(batch.events.empty());
 }
@@ -107,8 +109,8 @@
 // The message names the record and the byte.
 std::string refusal(const Bytes& payload) {
   try {
-    wire::decode_batch(payload);
-  } catch (const wire::Malformed& problem) {
+    simulator_adapter::decode_batch(payload);
+  } catch (const simulator_adapter::Malformed& problem) {
     return problem.what();
   }
   return "";
@@ -118,7 +120,7 @@
   FrameBuilder b;
   b.start(1, kParams).roster(0, {7, 8}).directory(1, 1, 0).query(1, 5, 99);
   const auto whole = b.payload(1000);
-  ASSERT_NO_THROW(wire::decode_batch(whole));
+  ASSERT_NO_THROW(simulator_adapter::decode_batch(whole));
   for (std::size_t size = 0; size < whole.size(); ++size) {
     EXPECT_NE(refusal(Bytes(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(size))), "") << size;
   }
@@ -157,11 +159,12 @@
       damaged[random() % damaged.size()] = static_cast<std::uint8_t>(random());
     }
     try {
-      for (const auto& event : wire::decode_batch(damaged).events) {
-        if (const auto* start = std::get_if<wire::Start>(&event.body)) wire::parse_settings(start->params, 1);
+      for (const auto& event : simulator_adapter::decode_batch(damaged).events) {
+        if (const auto* start = std::get_if<simulator_adapter::Start>(&event.body))
+          simulator_adapter::parse_settings(start->params, 1);
       }
       ++read;
-    } catch (const wire::Malformed&) {
+    } catch (const simulator_adapter::Malformed&) {
       ++rejected;
     }
   }
@@ -170,7 +173,7 @@
 }
 
 TEST(SettingsText, IsReadAndUnknownKeysAreDisregarded) {
-  const auto s = wire::parse_settings(
+  const auto s = simulator_adapter::parse_settings(
       "grades.count=2\ngrades.0.credit=1.0\ngrades.0.objective=3000000\ngrades.0.deadline=15000000\n"
       "grades.1.effect=keyed\ngrades.1.dedupScope=cell\ngrades.1.window=5000000\nlocality=2\nzones=a,b,c\n"
       "extra.aimUsPer1000PromptTokens=30000.0,60000.0\nregistryMode=ask\nweights=live\n"
@@ -197,8 +200,8 @@
 TEST(SettingsText, ThatIsNoNumberOrNoWordIsRefusedByName) {
   const auto refusal_of = [](const char* text) -> std::string {
     try {
-      wire::parse_settings(text, 0);
-    } catch (const wire::Malformed& problem) {
+      simulator_adapter::parse_settings(text, 0);
+    } catch (const simulator_adapter::Malformed& problem) {
       return problem.what();
     }
     return "";
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -89,7 +89,7 @@
     entries.push_back(
         {.id = 2, .state = state, .started = 9, .zone = 1, .cell = 4, .kind = 3, .weight = 0.5F});
   }
-  Time now = 1'000'000;
+  Time now = seconds(1);
   for (const auto scope :
        {EndpointUpdate::delta, EndpointUpdate::full, EndpointUpdate::cached, EndpointUpdate::failed}) {
     decider.on_endpoints(now++, scope, entries);
@@ -142,7 +142,7 @@
   const auto saved = net::descriptors();
   net::descriptors().limit = 256;
   {
-    const Node node(read_config(scratch.path("c"), scratch.path("o")));
+    const node::Node node(config::read_config(scratch.path("c"), scratch.path("o")));
     std::ostringstream line;
     node.print_counters(line);
     check_expected("counter_names.txt", names_in(line.str()));
--- a/tests/wording/settings.cpp
+++ b/tests/wording/settings.cpp
@@ -5,7 +5,7 @@
 #include "expected.hpp"
 #include "node/config_validation.hpp"
 #include "settings_dump.hpp"
-#include "simulator/wire.hpp"
+#include "simulator_adapter/wire.hpp"
 
 using namespace thornwick;
 using namespace thornwick::testing;
@@ -37,8 +37,8 @@
 std::string effect_on_operator(const std::string& text, const Fields& before) {
   const NamedFile file("o", text);
   try {
-    return changes(before, fields_of(read_operator_file(file.path())));
-  } catch (const BadConfig& problem) {
+    return changes(before, fields_of(config::read_operator_file(file.path())));
+  } catch (const config::BadConfig& problem) {
     return indented(file.without_folder(problem.what()));
   }
 }
@@ -46,8 +46,8 @@
 std::string effect_on_config(const std::string& text, const Fields& before) {
   const NamedFile file("c", text);
   try {
-    return changes(before, fields_of(read_config(file.path(), "")));
-  } catch (const BadConfig& problem) {
+    return changes(before, fields_of(config::read_config(file.path(), "")));
+  } catch (const config::BadConfig& problem) {
     return indented(file.without_folder(problem.what()));
   }
 }
@@ -94,21 +94,22 @@
 
 TEST_CASE("an operator's file with every table and key is read as it was") {
   const NamedFile file("o", read_expected("operator.toml"));
-  check_expected("operator_fields.txt", text_of_fields(fields_of(read_operator_file(file.path()))));
+  check_expected("operator_fields.txt", text_of_fields(fields_of(config::read_operator_file(file.path()))));
 }
 
 TEST_CASE("each key of the operator's file sets what it did, and is refused misspelt") {
   const std::string text = read_expected("operator.toml");
   const NamedFile file("o", text);
-  const Fields whole = fields_of(read_operator_file(file.path()));
+  const Fields whole = fields_of(config::read_operator_file(file.path()));
   check_expected("operator_keys.txt", key_by_key(text, true, [&](const std::string& changed) {
                    return effect_on_operator(changed, whole);
                  }));
 }
 
 TEST_CASE("what is wrong in an operator's file is told as it was") {
-  check_table("operator_errors.txt",
-              [](const std::string& text) { return effect_on_operator(text, fields_of(OperatorFile())); });
+  check_table("operator_errors.txt", [](const std::string& text) {
+    return effect_on_operator(text, fields_of(config::OperatorFile()));
+  });
 }
 
 TEST_CASE("an operator's file that does not go with the configuration is refused as it was") {
@@ -117,7 +118,7 @@
   check_table("operator_mismatches.txt", [&](const std::string& text) {
     const NamedFile file("o", text);
     try {
-      check_config(read_config(settings.path(), file.path()));
+      node::check_config(config::read_config(settings.path(), file.path()));
       return std::string("  it is taken\n");
     } catch (const std::exception& problem) {
       return indented(file.without_folder(problem.what()));
@@ -128,14 +129,14 @@
 TEST_CASE("a configuration with every key is read as it was") {
   forget_environment();
   const NamedFile file("c", read_expected("config.json"));
-  check_expected("config_fields.txt", text_of_fields(fields_of(read_config(file.path(), ""))));
+  check_expected("config_fields.txt", text_of_fields(fields_of(config::read_config(file.path(), ""))));
 }
 
 TEST_CASE("each key of the configuration and of the settings in it sets what it did") {
   forget_environment();
   const std::string text = read_expected("config.json");
   const NamedFile file("c", text);
-  const Fields whole = fields_of(read_config(file.path(), ""));
+  const Fields whole = fields_of(config::read_config(file.path(), ""));
   check_expected("config_keys.txt", key_by_key(text, false, [&](const std::string& changed) {
                    return effect_on_config(changed, whole);
                  }));
@@ -144,13 +145,13 @@
 TEST_CASE("what is wrong in a configuration is told as it was") {
   forget_environment();
   check_table("config_errors.txt",
-              [](const std::string& text) { return effect_on_config(text, fields_of(Config())); });
+              [](const std::string& text) { return effect_on_config(text, fields_of(config::Config())); });
 }
 
 TEST_CASE("each variable of the environment sets what it did") {
   forget_environment();
   const NamedFile file("c", read_expected("config.json"));
-  const Fields whole = fields_of(read_config(file.path(), ""));
+  const Fields whole = fields_of(config::read_config(file.path(), ""));
   check_table("environment.txt", [&](const std::string& text) {
     const std::string line = lines_of(text).at(0);
     const auto equals = line.find('=');
@@ -166,18 +167,18 @@
   forget_environment();
   const NamedFile file("c", read_expected("config.json"));
   setenv("GW_CONFIG", file.path().c_str(), 1);
-  CHECK(read_config("", "").name == "n1");
+  CHECK(config::read_config("", "").name == "n1");
   forget_environment();
-  CHECK_THROWS_WITH(read_config("", ""), lines_of(read_expected("no_config.txt")).at(0));
+  CHECK_THROWS_WITH(config::read_config("", ""), lines_of(read_expected("no_config.txt")).at(0));
 }
 
 TEST_CASE("each value of the settings means what it did, and what is wrong with one is told as it was") {
   const std::string base = "grades.count=1\n";
-  const Fields plain = fields_of(wire::parse_settings(base, 1));
+  const Fields plain = fields_of(simulator_adapter::parse_settings(base, 1));
   check_table("settings_values.txt", [&](const std::string& text) {
     try {
-      return changes(plain, fields_of(wire::parse_settings(base + text, 1)));
-    } catch (const wire::Malformed& problem) {
+      return changes(plain, fields_of(simulator_adapter::parse_settings(base + text, 1)));
+    } catch (const simulator_adapter::Malformed& problem) {
       return indented(problem.what());
     }
   });
--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -103,7 +103,7 @@
 }
 
 // All but the operator's file.
-inline Fields fields_of(const Config& config) {
+inline Fields fields_of(const config::Config& config) {
   Fields fields;
   FieldWriter(fields, "router")
       .add("name", config.name)
@@ -165,7 +165,7 @@
   }
 }
 
-inline void add_budgets(const BudgetsFile& file, Fields& fields) {
+inline void add_budgets(const config::BudgetsFile& file, Fields& fields) {
   FieldWriter(fields, "budgets")
       .add("fair", file.fair)
       .add("charges", file.charges)
@@ -173,7 +173,7 @@
       .add("soft worth", file.soft_worth)
       .add("accounts", file.accounts);
   for (std::size_t i = 0; i < file.budgets.size(); ++i) {
-    const BudgetEntry& budget = file.budgets[i];
+    const config::BudgetEntry& budget = file.budgets[i];
     FieldWriter(fields, numbered("budget", i))
         .add("name", budget.name)
         .add("member", budget.member)
@@ -186,7 +186,7 @@
   }
 }
 
-inline void add_group(const GroupFile& file, Fields& fields) {
+inline void add_group(const config::GroupFile& file, Fields& fields) {
   FieldWriter(fields, "group")
       .add("name", file.name)
       .add("sites", file.sites)
@@ -205,7 +205,7 @@
   }
 }
 
-inline Fields fields_of(const OperatorFile& file) {
+inline Fields fields_of(const config::OperatorFile& file) {
   Fields fields;
   std::vector<std::string> named;
   for (const auto& [uid, dialect] : file.targets) named.push_back(uid + ": " + dialect);
