--- a/include/thornwick/time.hpp
+++ b/include/thornwick/time.hpp
@@ -5,7 +5,8 @@
 
 namespace thornwick {
 
-// Microseconds: a point on a clock that only advances, or a span. Where a value is wall time, its name says so.
+// Microseconds: a point on a clock that only advances, or a span. Where a value is wall time, its name says
+// so.
 using Time = std::int64_t;
 
 // Spans of whole units; `milliseconds(250)` reads as what it is and costs nothing at run time.
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -20,7 +20,9 @@
 constexpr double kHoldersPerShare = 2;       // holders wanted for each replica's fair share of the requests
 constexpr double kWorthASession = 0.5;  // of the prefix' tokens: a surer beginning beats a doubtful session
 
-std::uint32_t whole_seconds(Time now) { return static_cast<std::uint32_t>(std::max<Time>(0, now) / 1'000'000); }
+std::uint32_t whole_seconds(Time now) {
+  return static_cast<std::uint32_t>(std::max<Time>(0, now) / 1'000'000);
+}
 std::uint32_t whole(double tokens) { return static_cast<std::uint32_t>(std::clamp(tokens, 0.0, 4e9)); }
 std::uint32_t odometer(double sent) {
   return static_cast<std::uint32_t>(static_cast<std::uint64_t>(std::max(0.0, sent) / kUnit));
