--- a/tests/faults/discovery_calls.cpp
+++ b/tests/faults/discovery_calls.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a call that discovery has is not given up because new connections fail at once") {
+TEST_CASE("a call that discovery has received is not given up when new connections fail at once") {
   const int error = GENERATE(EADDRNOTAVAIL, ENETUNREACH, ENOBUFS);
   CAPTURE(error);
   FaultControl faults(1);
--- a/tests/faults/system_calls.cpp
+++ b/tests/faults/system_calls.cpp
@@ -81,7 +81,7 @@
   CHECK(site.end(SIGTERM) == 0);
 }
 
-TEST_CASE("what the router itself lacks for a connection is held against no replica") {
+TEST_CASE("a router's own lack of sockets counts as no replica's failure") {
   const Fault fault = GENERATE(Fault{.call = SystemCall::connect, .error = EADDRNOTAVAIL},
                                Fault{.call = SystemCall::connect, .error = EAGAIN},
                                Fault{.call = SystemCall::connect, .error = ENOBUFS},
--- a/tests/incidents/drain.cpp
+++ b/tests/incidents/drain.cpp
@@ -137,7 +137,8 @@
 
 }  // namespace
 
-TEST_CASE("routers whose new discovery answers after two seconds learn of a drain before it counts as told") {
+TEST_CASE(
+    "routers whose new discovery answers after two seconds learn of a drain before they count as informed") {
   SlowDiscovery quick(0), slow(seconds(2));
   Fleet fleet(6, Fleet::Peers::off, quick);
   quick.publish(1, fleet.entries("SERVING"));
@@ -154,7 +155,7 @@
   CHECK(fleet.draining.requests_after(changed + kForbiddenAfter) == 0);
 }
 
-TEST_CASE("a drain that one router has from a whole list reaches a peer whose discovery is silent") {
+TEST_CASE("a drain that one router learns of from a whole list reaches a peer whose discovery is silent") {
   SlowDiscovery quick(0), next(0), silent(0, SlowDiscovery::Behaviour::says_nothing);
   Fleet fleet(2, Fleet::Peers::two_over_a_link, quick);
   quick.publish(1, fleet.entries("SERVING"));
@@ -171,7 +172,7 @@
   CHECK(fleet.draining.requests_after(changed + kForbiddenAfter) == 0);
 }
 
-TEST_CASE("a report that the network loses reaches the peer all the same") {
+TEST_CASE("a drain report whose first datagram is lost still reaches the peer") {
   SlowDiscovery quick(0), silent(0, SlowDiscovery::Behaviour::says_nothing);
   Fleet fleet(2, Fleet::Peers::two_over_a_link, quick);
   quick.publish(1, fleet.entries("SERVING"));
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -155,7 +155,7 @@
 
 }  // namespace
 
-TEST_CASE("each refusal has its status, type and body in both dialects") {
+TEST_CASE("each rejection has its status, type and body in both dialects") {
   using fronts::Rejection;
   const std::vector<std::pair<const char*, Rejection>> refusals = {
       {"bad request", Rejection::bad_request}, {"too large", Rejection::too_large},
@@ -174,7 +174,7 @@
   check_expected("refusals.txt", text);
 }
 
-TEST_CASE("each status has its line") {
+TEST_CASE("each HTTP status has its status line") {
   std::string text;
   for (const int status : {200, 400, 404, 405, 408, 409, 413, 429, 431, 500, 502, 503, 504, 529}) {
     text += http::status_line(status) + "\n";
@@ -182,7 +182,7 @@
   check_expected("status_lines.txt", text);
 }
 
-TEST_CASE("the headers that tell what is left of a limit are as they were") {
+TEST_CASE("the headers with the remaining quota of a limit are unchanged") {
   Allowance allowance;
   allowance.limit = 1000.9;
   allowance.left = 250.5;
@@ -193,7 +193,7 @@
   check_expected("limit_headers.txt", text);
 }
 
-TEST_CASE("each event is written as it was in both dialects") {
+TEST_CASE("each event is written unchanged in both dialects") {
   using core::EventKind;
   std::string text;
   for (const auto* dialect : kDialects) {
@@ -207,7 +207,7 @@
   check_expected("events_written.txt", text);
 }
 
-TEST_CASE("each event is read as it was in both dialects") {
+TEST_CASE("each event is read unchanged in both dialects") {
   check_table("events_read.txt", [](const std::string& input) {
     const auto first = input.find('\n');
     const auto reader = dialect_of(input.substr(0, first)).reader();
@@ -219,7 +219,7 @@
   });
 }
 
-TEST_CASE("requests are read, and refused, as they were") {
+TEST_CASE("requests are read, and malformed ones rejected, as before") {
   check_table("requests.txt", [](const std::string& input) {
     fronts::Call call;
     const bool other = input.find(" /v1/messages ") != std::string::npos;
@@ -235,7 +235,7 @@
   });
 }
 
-TEST_CASE("what an attempt sends to a replica of either dialect is as it was") {
+TEST_CASE("the request of an attempt is unchanged for replicas of both dialects") {
   check_table("attempts.txt", [](const std::string& input) {
     fronts::Call call;
     const bool other = input.find(" /v1/messages ") != std::string::npos;
@@ -256,7 +256,7 @@
   });
 }
 
-TEST_CASE("messages that break the rules of HTTP are refused in the words that they were") {
+TEST_CASE("malformed HTTP messages are rejected with the same texts") {
   check_table("http_errors.txt", [](const std::string& input) {
     const bool answer = input.starts_with("answer ");
     const auto kind = answer ? http::MessageReader::Kind::answer : http::MessageReader::Kind::request;
@@ -277,7 +277,7 @@
 
 // The first line of a case names the set-up, the others are a scenario of net/play.hpp; what is compared is
 // all that came to the actor of the last line.
-TEST_CASE("whole answers of both fronts and of the operators' door are as they were") {
+TEST_CASE("whole answers of both fronts and of the admin endpoint are unchanged") {
   check_table("conversations.txt", [](const std::string& input) {
     const auto lines = lines_of(input);
     Play play(setup_of(lines.at(0)));
@@ -289,7 +289,7 @@
   });
 }
 
-TEST_CASE("each phase of a router's life has the name that it had") {
+TEST_CASE("each lifecycle phase keeps its name") {
   using lifecycle::Phase;
   std::string text;
   for (const Phase phase :
--- a/tests/wording/command_line.cpp
+++ b/tests/wording/command_line.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("the help page of each command is as it was") {
+TEST_CASE("the help page of each command is unchanged") {
   const Scratch folder;
   std::set<std::string> files;
   const std::function<void(const std::string&)> check_page = [&](const std::string& command) {
@@ -53,14 +53,14 @@
   CHECK(files == committed);  // no command more and none less
 }
 
-TEST_CASE("the command help prints the page of --help") {
+TEST_CASE("the help command prints the page of --help") {
   const Scratch folder;
   const ProgramResult result = run_program("help", folder);
   CHECK(result.status == 0);
   CHECK(result.output == read_expected(file_of("")));
 }
 
-TEST_CASE("exit statuses and what the command line says are as they were") {
+TEST_CASE("exit statuses and error messages of the command line are unchanged") {
   const Scratch folder;
   write_bytes(folder.path("good.json"), read_expected("config.json"));
   write_bytes(folder.path("good.toml"), read_expected("operator.toml"));
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -135,7 +135,7 @@
 
 }  // namespace
 
-TEST_CASE("the counters of a router with everything have the names that they had") {
+TEST_CASE("the counters of a router with every part configured keep their names") {
   const Scratch scratch;
   write_bytes(scratch.path("c"), served_config());
   write_bytes(scratch.path("o"), read_expected("counted.toml"));
@@ -169,7 +169,7 @@
   CHECK(program.status() == 0);
 }
 
-TEST_CASE("trace lines have the fields that they had, and scripts/fleet_counts reads them") {
+TEST_CASE("trace lines keep their fields, and scripts/fleet_counts reads them") {
   const std::string text = trace_text();
   check_expected("trace.log", text);
   const Scratch scratch;
