--- a/src/experiments/closed_forms.cpp
+++ b/src/experiments/closed_forms.cpp
@@ -2,72 +2,85 @@
 
 #include <boost/math/tools/roots.hpp>
 #include <cmath>
-#include <stdexcept>
+
+#include "experiments/error.hpp"
 
 namespace thornwick::experiments {
 namespace {
 
-constexpr double kEnough = 10;  // of a size and above, to have seen it
+constexpr double kObservedJobs = 10;     // of a size and above, for it to count as observable
+constexpr double kZeroExponent = 1e-12;  // nearer to 0, an integral of x^(exponent-1) is taken as a logarithm
+constexpr double kSmallestLeastSize = 1e-9;  // of the mean, where the search for the least size begins
+constexpr std::uintmax_t kMaxSolverSteps = 200;
+constexpr int kSolverBits = 50;
+
+bool is_zero(double exponent) { return std::abs(exponent) < kZeroExponent; }
 
 }  // namespace
 
 double BoundedPareto::moment(double power, double low, double high) const {
   const double scale = alpha * std::pow(least, alpha) / (1 - std::pow(least / most, alpha));
-  const double b = power - alpha;
-  if (std::abs(b) < 1e-12) return scale * std::log(high / low);
-  return scale * (std::pow(high, b) - std::pow(low, b)) / b;
+  const double exponent = power - alpha;
+  if (is_zero(exponent)) return scale * std::log(high / low);
+  return scale * (std::pow(high, exponent) - std::pow(low, exponent)) / exponent;
 }
 
-BoundedPareto with_mean(double alpha, double most, double mean) {
-  const auto off = [&](double log_least) {
+BoundedPareto bounded_pareto_with_mean(double alpha, double most, double mean) {
+  const auto mean_error = [&](double log_least) {
     return BoundedPareto{alpha, std::exp(log_least), most}.moment(1) - mean;
   };
-  const double low = std::log(mean * 1e-9), high = std::log(mean);
-  if (!(mean > 0 && mean < most) || off(low) > 0)
-    throw std::invalid_argument("no Bounded Pareto with this mean");
-  std::uintmax_t steps = 200;
-  const auto found =
-      boost::math::tools::toms748_solve(off, low, high, boost::math::tools::eps_tolerance<double>(50), steps);
-  return {alpha, std::exp((found.first + found.second) / 2), most};
+  const double low = std::log(mean * kSmallestLeastSize);
+  const double high = std::log(mean);
+  const bool in_range = mean > 0 && mean < most;
+  if (!in_range || mean_error(low) > 0) {
+    throw ExperimentError(ErrorKind::bad_sizes, "no Bounded Pareto with this mean");
+  }
+  std::uintmax_t steps = kMaxSolverSteps;
+  const boost::math::tools::eps_tolerance<double> tolerance(kSolverBits);
+  const auto bracket = boost::math::tools::toms748_solve(mean_error, low, high, tolerance, steps);
+  return {alpha, std::exp((bracket.first + bracket.second) / 2), most};
 }
 
 std::vector<double> equal_work_edges(const BoundedPareto& sizes, int hosts) {
   std::vector<double> edges{sizes.least};
-  const double b = 1 - sizes.alpha;
-  const double low = std::pow(sizes.least, b), high = std::pow(sizes.most, b);
+  const double exponent = 1 - sizes.alpha;
+  const double low = std::pow(sizes.least, exponent);
+  const double high = std::pow(sizes.most, exponent);
   for (int i = 1; i < hosts; ++i) {
-    const double part = static_cast<double>(i) / hosts;
-    edges.push_back(std::abs(b) < 1e-12 ? sizes.least * std::pow(sizes.most / sizes.least, part)
-                                        : std::pow(low + part * (high - low), 1 / b));
+    const double share = static_cast<double>(i) / hosts;
+    const double edge = is_zero(exponent) ? sizes.least * std::pow(sizes.most / sizes.least, share)
+                                          : std::pow(low + share * (high - low), 1 / exponent);
+    edges.push_back(edge);
   }
   edges.push_back(sizes.most);
   return edges;
 }
 
-Expected random_splitting(const BoundedPareto& sizes, double load) {
-  const double arrivals = load / sizes.moment(1);
-  const double wait = arrivals * sizes.moment(2) / (2 * (1 - load));
+ExpectedDelay random_splitting(const BoundedPareto& sizes, double load) {
+  const double arrival_rate = load / sizes.moment(1);
+  const double wait = arrival_rate * sizes.moment(2) / (2 * (1 - load));
   return {wait, wait * sizes.moment(-1)};
 }
 
-Expected sita_e(const BoundedPareto& sizes, double load, int hosts) {
+ExpectedDelay sita_e(const BoundedPareto& sizes, double load, int hosts) {
   const auto edges = equal_work_edges(sizes, hosts);
-  const double arrivals = hosts * load / sizes.moment(1);
-  Expected all;
-  for (int i = 0; i < hosts; ++i) {
-    const double low = edges[static_cast<std::size_t>(i)], high = edges[static_cast<std::size_t>(i) + 1];
-    // The host's arrivals times its second moment: the part of all that is its own cancels out.
-    const double wait = arrivals * sizes.moment(2, low, high) / (2 * (1 - load));
-    all.wait += sizes.moment(0, low, high) * wait;
-    all.slowdown += sizes.moment(-1, low, high) * wait;
+  const double arrival_rate = hosts * load / sizes.moment(1);
+  ExpectedDelay total;
+  for (std::size_t i = 0; i + 1 < edges.size(); ++i) {
+    const double low = edges[i];
+    const double high = edges[i + 1];
+    // The host's arrival rate times its second moment: the probability of its interval cancels out.
+    const double wait = arrival_rate * sizes.moment(2, low, high) / (2 * (1 - load));
+    total.wait += sizes.moment(0, low, high) * wait;
+    total.slowdown += sizes.moment(-1, low, high) * wait;
   }
-  return all;
+  return total;
 }
 
-double part_in_sight(const BoundedPareto& sizes, double jobs) {
-  // The size that only so many of the jobs exceed.
-  const double tail = kEnough / jobs * (1 - std::pow(sizes.least / sizes.most, sizes.alpha)) +
-                      std::pow(sizes.least / sizes.most, sizes.alpha);
+double observable_share(const BoundedPareto& sizes, double jobs) {
+  // The largest size that kObservedJobs of the jobs exceed in the mean.
+  const double cut_off = std::pow(sizes.least / sizes.most, sizes.alpha);
+  const double tail = kObservedJobs / jobs * (1 - cut_off) + cut_off;
   const double size = std::min(sizes.most, sizes.least * std::pow(tail, -1 / sizes.alpha));
   return size <= sizes.least ? 0 : sizes.moment(2, sizes.least, size) / sizes.moment(2);
 }
--- a/src/experiments/closed_forms.hpp
+++ b/src/experiments/closed_forms.hpp
@@ -1,6 +1,7 @@
-// What queueing theory says of hosts in arrival order under two policies, to hold the emulator against: M/G/1
-// with Bounded Pareto sizes (Harchol-Balter, Crovella and Murta 1999, sections 4 and 5; Pollaczek and
-// Khinchine's formula). Slowdown is waiting over size, as the paper has it.
+// What queueing theory says of hosts in arrival order under two policies, as a reference for the emulator:
+// M/G/1 with Bounded Pareto sizes (Harchol-Balter, Crovella and Murta 1999, sections 4 and 5; the
+// Pollaczek-Khinchine formula). Slowdown is waiting time over size, as in the paper. Sizes and times are in
+// the same unit.
 #pragma once
 
 #include <vector>
@@ -9,27 +10,33 @@
 
 // Sizes on [least, most] with density proportional to x^(-alpha-1).
 struct BoundedPareto {
-  double alpha = 1.5, least = 1, most = 1e10;
-  // The integral of x^power over the sizes between low and high: not divided by how many there are.
+  double alpha = 1.5;
+  double least = 1;
+  double most = 1e10;
+
+  // The integral of x^power times the density between low and high; not divided by the probability of that
+  // interval.
   double moment(double power, double low, double high) const;
   double moment(double power) const { return moment(power, least, most); }
 };
-// With this mean; throws std::invalid_argument if there is none below `most`.
-BoundedPareto with_mean(double alpha, double most, double mean);
 
-// Edges between `hosts` intervals of equal work.
+// The distribution with this mean. Throws ExperimentError(bad_sizes) if there is none below `most`.
+BoundedPareto bounded_pareto_with_mean(double alpha, double most, double mean);
+
+// The hosts + 1 edges of `hosts` intervals of equal work, ascending.
 std::vector<double> equal_work_edges(const BoundedPareto& sizes, int hosts);
 
-struct Expected {
-  double wait = 0, slowdown = 0;
+struct ExpectedDelay {
+  double wait = 0;
+  double slowdown = 0;
 };
-// Each of `hosts` has the load (0..1) of its capacity.
-Expected random_splitting(const BoundedPareto& sizes, double load);
-Expected sita_e(const BoundedPareto& sizes, double load, int hosts);
-
-// The part of the second moment (and so of the wait under random splitting) that comes of sizes which a run
-// of so many jobs has at least ten of. Where it is small a run says nothing of the mean, and its interval is
-// an illusion.
-double part_in_sight(const BoundedPareto& sizes, double jobs);
+// `load` is the share (0..1) of its capacity that each host has to work for.
+ExpectedDelay random_splitting(const BoundedPareto& sizes, double load);
+ExpectedDelay sita_e(const BoundedPareto& sizes, double load, int hosts);
+
+// The share of the second moment that is due to sizes of which `jobs` jobs have at least ten in the mean. The
+// mean wait under random splitting is proportional to the second moment: where the share is small, a run says
+// nothing about the mean, and its confidence interval is too narrow.
+double observable_share(const BoundedPareto& sizes, double jobs);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/command.hpp
+++ b/src/experiments/command.hpp
@@ -5,8 +5,8 @@
 
 namespace thornwick::experiments {
 
-// Adds the sub-command; when it was parsed, `status` is the program's. Errors of scenarios come as
-// exceptions.
+// Adds the command with its sub-commands; when one was parsed, `status` is the program's. Errors of scenarios
+// and of experiments (ExperimentError) leave the parsing as exceptions.
 CLI::App* add_command(CLI::App& app, int& status);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -7,32 +7,79 @@
 #include <fstream>
 #include <mutex>
 #include <sstream>
-#include <stdexcept>
+#include <utility>
 
+#include "experiments/error.hpp"
 #include "experiments/statistics.hpp"
 #include "experiments/worker_pool.hpp"
 
 namespace thornwick::experiments {
 namespace {
 
-// What a row's key is made of: two texts of a scenario must not share their days.
+using Overrides = std::vector<emulator::Override>;
+
+// The key of a cell's rows. It covers the scenario's text, so that two texts of one scenario never share
+// their days.
 std::string key_of(const std::string& text, const std::string& settings, const std::string& policy) {
-  const std::string all = text + '\0' + settings + '\0' + policy;
-  return fmt::format("{:016x}", XXH3_64bits(all.data(), all.size()));
+  const std::string content = text + '\0' + settings + '\0' + policy;
+  return fmt::format("{:016x}", XXH3_64bits(content.data(), content.size()));
 }
 
-std::string whole_file(const std::string& path) {
-  std::ifstream in(path);
+std::string read_text(const std::string& path) {
+  std::ifstream file(path);
   std::ostringstream text;
-  text << in.rdbuf();
+  text << file.rdbuf();
   return text.str();
 }
 
-bool sure_enough(const Plan& plan, const std::vector<Row>& rows) {
-  if (plan.until <= 0 || rows.size() < std::max(2u, plan.least)) return false;
+// Splits at the commas that are in no brackets.
+std::vector<std::string> split_values(const std::string& text) {
+  std::vector<std::string> values;
+  std::string value;
+  int depth = 0;
+  for (const char letter : text) {
+    if (letter == '[') ++depth;
+    if (letter == ']') --depth;
+    if (letter == ',' && depth == 0) {
+      values.push_back(std::exchange(value, {}));
+    } else {
+      value += letter;
+    }
+  }
+  values.push_back(value);
+  return values;
+}
+
+// Every combination of the axes' values; the last axis changes fastest.
+std::vector<Overrides> combinations(const std::vector<GridAxis>& axes) {
+  std::vector<Overrides> grid{{}};
+  for (const auto& axis : axes) {
+    std::vector<Overrides> extended;
+    for (const auto& cell : grid) {
+      for (const auto& value : axis.values) {
+        extended.push_back(cell);
+        extended.back().push_back({axis.key, value});
+      }
+    }
+    grid = std::move(extended);
+  }
+  return grid;
+}
+
+std::string settings_text(const Overrides& overrides) {
+  std::string text;
+  for (const auto& setting : overrides) {
+    text += (text.empty() ? "" : " ") + setting.key + "=" + setting.value;
+  }
+  return text;
+}
+
+bool is_precise_enough(const Plan& plan, const std::vector<ResultRow>& rows) {
+  if (plan.target_half_width <= 0 || rows.size() < std::max(2u, plan.min_days)) return false;
   std::vector<double> scores;
+  scores.reserve(rows.size());
   for (const auto& row : rows) scores.push_back(row.score);
-  return estimate(scores).half <= plan.until;
+  return estimate(scores).half_width <= plan.target_half_width;
 }
 
 struct Job {
@@ -42,48 +89,26 @@
 
 }  // namespace
 
-Axis parse_axis(const std::string& text) {
+GridAxis parse_axis(const std::string& text) {
   const auto equals = text.find('=');
   if (equals == std::string::npos || equals == 0 || equals + 1 == text.size()) {
-    throw std::invalid_argument("--set " + text + ": not KEY=VALUE,VALUE");
-  }
-  Axis axis{text.substr(0, equals), {}};
-  int depth = 0;
-  std::string value;
-  for (const char c : text.substr(equals + 1)) {
-    depth += c == '[' ? 1 : c == ']' ? -1 : 0;
-    if (c == ',' && depth == 0) {
-      axis.values.push_back(std::exchange(value, {}));
-    } else {
-      value += c;
-    }
+    throw ExperimentError(ErrorKind::bad_axis, "--set " + text + ": not KEY=VALUE,VALUE");
   }
-  axis.values.push_back(value);
-  if (std::any_of(axis.values.begin(), axis.values.end(), [](auto& v) { return v.empty(); })) {
-    throw std::invalid_argument("--set " + text + ": an empty value");
+  GridAxis axis{text.substr(0, equals), split_values(text.substr(equals + 1))};
+  if (std::find(axis.values.begin(), axis.values.end(), "") != axis.values.end()) {
+    throw ExperimentError(ErrorKind::bad_axis, "--set " + text + ": an empty value");
   }
   return axis;
 }
 
 std::vector<Cell> cells_of(const Plan& plan) {
-  std::vector<std::vector<emulator::Override>> grid{{}};
-  for (const auto& axis : plan.axes) {
-    std::vector<std::vector<emulator::Override>> wider;
-    for (const auto& cell : grid) {
-      for (const auto& value : axis.values) {
-        wider.push_back(cell);
-        wider.back().push_back({axis.key, value});
-      }
-    }
-    grid = std::move(wider);
-  }
-  const std::string text = whole_file(plan.file);
+  const std::string text = read_text(plan.file);
   std::vector<Cell> cells;
-  for (const auto& overrides : grid) {
-    std::string settings;
-    for (const auto& o : overrides) settings += (settings.empty() ? "" : " ") + o.key + "=" + o.value;
+  for (const auto& overrides : combinations(plan.axes)) {
+    const std::string settings = settings_text(overrides);
     emulator::Scenario scenario = emulator::read_scenario(plan.file, overrides);
-    for (const auto& policy : plan.policies.empty() ? std::vector{scenario.policy} : plan.policies) {
+    const auto policies = plan.policies.empty() ? std::vector{scenario.policy} : plan.policies;
+    for (const auto& policy : policies) {
       scenario.policy = policy;
       cells.push_back({{scenario.name, settings, policy}, key_of(text, settings, policy), scenario});
     }
@@ -91,31 +116,34 @@
   return cells;
 }
 
-// In rounds over all cells, so that a sweep that is stopped has something of each; a cell that is sure enough
-// drops out between two rounds, never in the middle of one: which days count must not depend on who was
-// faster.
+// Plays in rounds, one day of every cell in each, so that a sweep that is stopped has something of every
+// cell. A cell that is precise enough leaves out the next rounds, never a part of one: which days count must
+// not depend on which thread was faster.
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
-          const std::function<void(std::size_t, std::size_t)>& told) {
-  const unsigned threads = plan.time ? 1 : plan.threads;
-  const std::size_t all = cells.size() * plan.days;
-  std::size_t done = 0;
-  std::mutex one_writer;
-  for (unsigned day = 0; day < plan.days; ++day) {
+          const ProgressObserver& on_progress) {
+  const unsigned threads = plan.measure_time ? 1 : plan.threads;
+  const std::size_t at_most = cells.size() * plan.max_days;
+  std::size_t finished = 0;
+  std::mutex results_mutex;
+  for (unsigned day = 0; day < plan.max_days; ++day) {
+    const std::uint64_t seed = plan.first_seed + day;
     std::vector<Job> jobs;
     for (std::size_t i = 0; i < cells.size(); ++i) {
-      const std::uint64_t seed = plan.first_seed + day;
-      if (results.has(cells[i].key, seed) || sure_enough(plan, results.of(cells[i].key))) {
-        told(++done, all);
+      const std::string& key = cells[i].key;
+      if (results.has(key, seed) || is_precise_enough(plan, results.rows_of(key))) {
+        on_progress(++finished, at_most);
       } else {
         jobs.push_back({i, seed});
       }
     }
-    over_all(jobs.size(), threads, [&](std::size_t at) {
-      const Cell& cell = cells[jobs[at].cell];
-      const auto result = emulator::play_day(cell.scenario, jobs[at].seed, {.time_module = plan.time});
-      const std::lock_guard writing(one_writer);
-      results.add(cell.key, summarise(cell.point, result, day == 0));
-      told(++done, all);
+    for_each_index(jobs.size(), threads, [&](std::size_t index) {
+      const Cell& cell = cells[jobs[index].cell];
+      const auto result =
+          emulator::play_day(cell.scenario, jobs[index].seed, {.time_module = plan.measure_time});
+      const std::lock_guard lock(results_mutex);
+      const Detail detail = day == 0 ? Detail::whole_result : Detail::figures;
+      results.add(cell.key, summarise(cell.point, result, detail));
+      on_progress(++finished, at_most);
     });
   }
 }
--- a/src/experiments/experiment.hpp
+++ b/src/experiments/experiment.hpp
@@ -1,9 +1,9 @@
-// Grids of settings and policies, played on the same days until the answer is sure enough.
+// Grids of settings and policies, each cell played on the same days until its score is known well enough.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "emulator/scenario.hpp"
@@ -12,37 +12,43 @@
 
 namespace thornwick::experiments {
 
-struct Axis {
-  std::string key;                  // "fleet.replicas", "class.0.share"
-  std::vector<std::string> values;  // TOML values
+// One setting that a grid varies.
+struct GridAxis {
+  std::string key;                  // a scenario's key: "fleet.boxes", "class.0.share"
+  std::vector<std::string> values;  // as TOML writes them
 };
-// Reads "KEY=VALUE,VALUE". Throws std::invalid_argument for anything else. A list is one value:
-// "day.load=[0.3,0.4]".
-Axis parse_axis(const std::string& text);
+// Reads "KEY=VALUE,VALUE"; a list in brackets is one value: "day.load=[0.3,0.4]". Throws
+// ExperimentError(bad_axis) for anything else.
+GridAxis parse_axis(const std::string& text);
 
 struct Plan {
   std::string file;  // a scenario
-  std::vector<Axis> axes;
+  std::vector<GridAxis> axes;
   std::vector<std::string> policies;  // empty: the scenario's
   std::uint64_t first_seed = 1;
-  unsigned days = 8;   // of each cell, at most
-  double until = 0;    // a cell is done once the 95 % interval of its score is at most this wide to each side
-  unsigned least = 4;  // days before that is believed
-  unsigned threads = 0;  // 0: as many as there are cores
-  bool time = false;     // measure the costs: one day after the other
+  unsigned max_days = 8;  // of each cell
+  // A cell is finished once the 95 % interval of its score reaches at most this far to each side; 0: after
+  // max_days.
+  double target_half_width = 0;
+  unsigned min_days = 4;      // before the interval is used
+  unsigned threads = 0;       // 0: one for each core
+  bool measure_time = false;  // of decisions and machine; plays one day after the other
 };
 
 struct Cell {
-  Point point;
+  GridPoint point;
   std::string key;  // in the results
   emulator::Scenario scenario;
 };
-// Every cell of the grid, checked. Throws settings::BadFile.
+// Every cell of the grid, checked. Throws the errors of emulator::read_scenario.
 std::vector<Cell> cells_of(const Plan& plan);
 
-// Plays what the results do not have yet. `told` hears of each day that is done: how many of how many at
-// most.
+// Called when a day is finished, with the number of finished days and the number of days if no cell finishes
+// early.
+using ProgressObserver = std::function<void(std::size_t finished, std::size_t at_most)>;
+
+// Plays the days that the results do not have yet, and adds them.
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
-          const std::function<void(std::size_t, std::size_t)>& told);
+          const ProgressObserver& on_progress);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -3,25 +3,27 @@
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <stdexcept>
+#include <cmath>
+
+#include "experiments/error.hpp"
 
 namespace thornwick::experiments {
 namespace {
 
-using emulator::Disk, emulator::Group;
+using emulator::Disk;
+using emulator::Group;
 using membership::MemberState;
 
-constexpr Time kSecond = seconds(1);
 constexpr Time kStep = milliseconds(100);
-constexpr Time kMostWait = seconds(600);
+constexpr Time kMaxWait = seconds(600);
 constexpr Time kPartition = seconds(60);
 
-// The time until `holds`, which is asked after every step; negative if it does not hold within kMostWait.
+// The time until `holds`, which is asked after every step; negative if it does not hold within kMaxWait.
 template <typename Condition>
 Time wait_for(Group& group, Time step, Condition holds) {
   const Time from = group.now();
   while (!holds()) {
-    if (group.now() - from >= kMostWait) return -1;
+    if (group.now() - from >= kMaxWait) return -1;
     group.run_until(group.now() + step);
   }
   return group.now() - from;
@@ -31,7 +33,7 @@
 double quantile_s(std::vector<Time> times, double fraction) {
   if (times.empty()) return 0;
   std::sort(times.begin(), times.end());
-  const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(times.size() - 1) + 0.5);
+  const auto rank = static_cast<std::size_t>(std::lround(fraction * static_cast<double>(times.size() - 1)));
   return static_cast<double>(times[rank]) / 1e6;
 }
 
@@ -94,7 +96,7 @@
     const std::size_t victim = i * kStride % group.size();
     row.not_found += measure_kill(group, victim, detection_times);
     group.start(victim, Disk::kept);
-    wait_for(group, kSecond, [&] { return group.agree(); });
+    wait_for(group, seconds(1), [&] { return group.agree(); });
   }
   row.kills = kills;
   row.found_p50_s = quantile_s(detection_times, 0.5);
@@ -111,7 +113,7 @@
   }
   group.run_until(group.now() + kPartition);
   group.heal();
-  const Time agreed = wait_for(group, kSecond / 4, [&] { return group.agree(); });
+  const Time agreed = wait_for(group, milliseconds(250), [&] { return group.agree(); });
   row.agreed_after_s = static_cast<double>(agreed) / 1e6;
 }
 
@@ -126,7 +128,7 @@
   } else if (way == "lifeguard") {
     options.local_health = true;
   } else {
-    throw std::invalid_argument("no such way: " + way);
+    throw ExperimentError(ErrorKind::bad_arguments, "no such way: " + way);
   }
   return options;
 }
@@ -144,7 +146,7 @@
   row.way = way;
   row.routers = routers;
   row.loss = loss;
-  wait_for(group, kSecond, [&] { return group.agree(); });
+  wait_for(group, seconds(1), [&] { return group.agree(); });
   measure_calm(group, row, options.calm_s);
   measure_kills(group, row, options.kills);
   measure_partition(group, row);
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -9,118 +9,179 @@
 namespace thornwick::experiments {
 namespace {
 
-constexpr double kWidth = 620, kHeight = 360, kLeft = 70, kRight = 150, kTop = 34, kBottom = 48;
+// Pixels.
+constexpr double kWidth = 620;
+constexpr double kHeight = 360;
+constexpr double kLeft = 70;
+constexpr double kRight = 150;
+constexpr double kTop = 34;
+constexpr double kBottom = 48;
+constexpr double kPlotRight = kWidth - kRight;
+constexpr double kPlotBottom = kHeight - kBottom;
+constexpr double kTitleY = 18;
+constexpr double kLegendLine = 14;
 constexpr int kTicks = 5;
+constexpr const char* kGridColour = "#eee";
 constexpr const char* kColours[] = {"#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad",
                                     "#d68910", "#34495e", "#16a085", "#7f8c8d"};
 
-// Values to places on one side of the picture.
-class Axis {
+// Maps the values of one axis to pixels between `from` and `to`.
+class AxisScale {
  public:
-  Axis(bool log, double from, double to) : log_(log), from_(from), to_(to) {}
-  void take(double value) {
+  AxisScale(Scale scale, double from, double to) : scale_(scale), from_(from), to_(to) {}
+
+  // Extends the axis to the value, if it can be drawn.
+  void include(double value) {
     if (!drawable(value)) return;
-    low_ = std::min(low_, of(value)), high_ = std::max(high_, of(value));
+    low_ = std::min(low_, scaled(value));
+    high_ = std::max(high_, scaled(value));
   }
-  bool drawable(double value) const { return std::isfinite(value) && (!log_ || value > 0); }
-  // From zero where that is near, and never without extent.
-  void settle() {
-    if (low_ > high_) low_ = 0, high_ = 1;
-    if (!log_ && low_ > 0 && low_ < 0.5 * high_) low_ = 0;
-    if (high_ - low_ < 1e-9) high_ += 0.5, low_ -= 0.5;
+
+  bool drawable(double value) const { return std::isfinite(value) && (scale_ == Scale::linear || value > 0); }
+
+  // To be called after the last include(): a linear axis begins at zero where that is near, and no axis is
+  // without extent.
+  void finish() {
+    if (low_ > high_) {
+      low_ = 0;
+      high_ = 1;
+    }
+    if (scale_ == Scale::linear && low_ > 0 && low_ < kNearZero * high_) low_ = 0;
+    if (high_ - low_ < kLeastExtent) {
+      high_ += 0.5;
+      low_ -= 0.5;
+    }
   }
-  double place(double value) const { return from_ + (of(value) - low_) / (high_ - low_) * (to_ - from_); }
+
+  double pixel(double value) const { return from_ + (scaled(value) - low_) / (high_ - low_) * (to_ - from_); }
+
   std::vector<double> ticks() const {
-    std::vector<double> all;
+    std::vector<double> values;
     for (int i = 0; i <= kTicks; ++i) {
       const double at = low_ + (high_ - low_) * i / kTicks;
-      all.push_back(log_ ? std::pow(10, at) : at);
+      values.push_back(scale_ == Scale::logarithmic ? std::pow(10, at) : at);
     }
-    return all;
+    return values;
   }
 
  private:
-  double of(double value) const { return log_ ? std::log10(value) : value; }
-  bool log_;
-  double from_, to_;
-  double low_ = std::numeric_limits<double>::infinity(), high_ = -std::numeric_limits<double>::infinity();
+  static constexpr double kNearZero = 0.5;  // of the largest value
+  static constexpr double kLeastExtent = 1e-9;
+
+  double scaled(double value) const { return scale_ == Scale::logarithmic ? std::log10(value) : value; }
+
+  Scale scale_;
+  double from_;
+  double to_;
+  double low_ = std::numeric_limits<double>::infinity();
+  double high_ = -std::numeric_limits<double>::infinity();
+};
+
+struct Axes {
+  AxisScale x;
+  AxisScale y;
+
+  bool drawable(const PlotPoint& point) const { return x.drawable(point.x) && y.drawable(point.y); }
 };
 
-std::string text(double x, double y, const char* anchor, const std::string& words) {
-  return fmt::format("<text x=\"{:.1f}\" y=\"{:.1f}\" text-anchor=\"{}\">{}</text>\n", x, y, anchor,
-                     escaped(words));
+std::string draw_text(double pixel_x, double pixel_y, const char* anchor, const std::string& text) {
+  return fmt::format("<text x=\"{:.1f}\" y=\"{:.1f}\" text-anchor=\"{}\">{}</text>\n", pixel_x, pixel_y,
+                     anchor, escape_html(text));
 }
 
-std::string line(double x1, double y1, double x2, double y2, const char* colour) {
+std::string draw_line(double x1, double y1, double x2, double y2, const char* colour) {
   return fmt::format("<line x1=\"{:.1f}\" y1=\"{:.1f}\" x2=\"{:.1f}\" y2=\"{:.1f}\" stroke=\"{}\"/>\n", x1,
                      y1, x2, y2, colour);
 }
 
-std::string drawn(const Curve& curve, const Axis& x, const Axis& y, const char* colour) {
-  std::string path, marks;
-  for (const auto& p : curve.points) {
-    if (!x.drawable(p.x) || !y.drawable(p.y)) continue;
-    path += fmt::format("{:.1f},{:.1f} ", x.place(p.x), y.place(p.y));
-    if (p.half > 0 && std::isfinite(p.half) && y.drawable(p.y - p.half)) {
-      marks += line(x.place(p.x), y.place(p.y - p.half), x.place(p.x), y.place(p.y + p.half), colour);
+std::string draw_curve(const Curve& curve, const Axes& axes, const char* colour) {
+  std::string path;
+  std::string intervals;
+  for (const auto& point : curve.points) {
+    if (!axes.drawable(point)) continue;
+    const double pixel_x = axes.x.pixel(point.x);
+    path += fmt::format("{:.1f},{:.1f} ", pixel_x, axes.y.pixel(point.y));
+    const double low = point.y - point.half_width;
+    if (point.half_width > 0 && std::isfinite(point.half_width) && axes.y.drawable(low)) {
+      intervals +=
+          draw_line(pixel_x, axes.y.pixel(low), pixel_x, axes.y.pixel(point.y + point.half_width), colour);
     }
   }
-  return fmt::format("<polyline points=\"{}\" fill=\"none\" stroke=\"{}\" stroke-width=\"1.5\"/>\n", path,
-                     colour) +
-         marks;
+  const std::string line = fmt::format(
+      "<polyline points=\"{}\" fill=\"none\" stroke=\"{}\" stroke-width=\"1.5\"/>\n", path, colour);
+  return line + intervals;
 }
 
-}  // namespace
-
-std::string escaped(const std::string& words) {
-  std::string safe;
-  for (const char c : words) {
-    switch (c) {
-      case '<': safe += "&lt;"; break;
-      case '>': safe += "&gt;"; break;
-      case '&': safe += "&amp;"; break;
-      case '"': safe += "&quot;"; break;
-      default: safe += c;
+// Axes that show all points with their intervals.
+Axes axes_for(const Plot& plot) {
+  Axes axes{AxisScale(plot.x_scale, kLeft, kPlotRight), AxisScale(plot.y_scale, kPlotBottom, kTop)};
+  for (const auto& curve : plot.curves) {
+    for (const auto& point : curve.points) {
+      if (!axes.drawable(point)) continue;
+      axes.x.include(point.x);
+      axes.y.include(point.y);
+      if (!std::isfinite(point.half_width)) continue;
+      axes.y.include(point.y - point.half_width);
+      axes.y.include(point.y + point.half_width);
     }
   }
-  return safe;
+  axes.x.finish();
+  axes.y.finish();
+  return axes;
 }
 
-std::string svg(const Plot& plot) {
-  Axis x(plot.x_log, kLeft, kWidth - kRight), y(plot.y_log, kHeight - kBottom, kTop);
-  for (const auto& curve : plot.curves) {
-    for (const auto& p : curve.points) {
-      if (!x.drawable(p.x) || !y.drawable(p.y)) continue;
-      x.take(p.x), y.take(p.y);
-      if (std::isfinite(p.half)) y.take(p.y - p.half), y.take(p.y + p.half);
+std::string draw_grid(const Axes& axes) {
+  std::string out;
+  for (const double tick : axes.x.ticks()) {
+    const double pixel_x = axes.x.pixel(tick);
+    out += draw_line(pixel_x, kTop, pixel_x, kPlotBottom, kGridColour);
+    out += draw_text(pixel_x, kPlotBottom + 14, "middle", fmt::format("{:.3g}", tick));
+  }
+  for (const double tick : axes.y.ticks()) {
+    const double pixel_y = axes.y.pixel(tick);
+    out += draw_line(kLeft, pixel_y, kPlotRight, pixel_y, kGridColour);
+    out += draw_text(kLeft - 6, pixel_y + 4, "end", fmt::format("{:.3g}", tick));
+  }
+  return out;
+}
+
+std::string draw_legend_entry(std::size_t number, const std::string& name, const char* colour) {
+  const double pixel_y = kTop + kLegendLine * static_cast<double>(number);
+  return draw_line(kPlotRight + 8, pixel_y, kPlotRight + 22, pixel_y, colour) +
+         draw_text(kPlotRight + 26, pixel_y + 4, "start", name);
+}
+
+}  // namespace
+
+std::string escape_html(const std::string& text) {
+  std::string escaped;
+  for (const char letter : text) {
+    switch (letter) {
+      case '<': escaped += "&lt;"; break;
+      case '>': escaped += "&gt;"; break;
+      case '&': escaped += "&amp;"; break;
+      case '"': escaped += "&quot;"; break;
+      default: escaped += letter;
     }
   }
-  x.settle(), y.settle();
+  return escaped;
+}
+
+std::string draw_svg(const Plot& plot) {
+  const Axes axes = axes_for(plot);
   std::string out = fmt::format(
       "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {0} {1}\" width=\"{0}\" height=\"{1}\" "
       "font-family=\"sans-serif\" font-size=\"11\">\n",
       kWidth, kHeight);
-  out += text(kLeft, 18, "start", plot.title);
-  for (const double tick : x.ticks()) {
-    out += line(x.place(tick), kTop, x.place(tick), kHeight - kBottom, "#eee");
-    out += text(x.place(tick), kHeight - kBottom + 14, "middle", fmt::format("{:.3g}", tick));
-  }
-  for (const double tick : y.ticks()) {
-    out += line(kLeft, y.place(tick), kWidth - kRight, y.place(tick), "#eee");
-    out += text(kLeft - 6, y.place(tick) + 4, "end", fmt::format("{:.3g}", tick));
-  }
-  out += text((kLeft + kWidth - kRight) / 2, kHeight - 12, "middle", plot.x_name);
-  out += text(8, kTop - 4, "start", plot.y_name);
-  std::size_t number = 0;
-  for (const auto& curve : plot.curves) {
+  out += draw_text(kLeft, kTitleY, "start", plot.title);
+  out += draw_grid(axes);
+  out += draw_text((kLeft + kPlotRight) / 2, kHeight - 12, "middle", plot.x_name);
+  out += draw_text(8, kTop - 4, "start", plot.y_name);
+  for (std::size_t number = 0; number < plot.curves.size(); ++number) {
+    const Curve& curve = plot.curves[number];
     const char* colour = kColours[number % std::size(kColours)];
-    out += drawn(curve, x, y, colour);
-    if (plot.legend) {
-      const double at = kTop + 14 * static_cast<double>(number);
-      out += line(kWidth - kRight + 8, at, kWidth - kRight + 22, at, colour);
-      out += text(kWidth - kRight + 26, at + 4, "start", curve.name);
-    }
-    ++number;
+    out += draw_curve(curve, axes, colour);
+    if (plot.legend == Legend::shown) out += draw_legend_entry(number, curve.name, colour);
   }
   return out + "</svg>\n";
 }
--- a/src/experiments/plot.hpp
+++ b/src/experiments/plot.hpp
@@ -7,21 +7,33 @@
 namespace thornwick::experiments {
 
 struct PlotPoint {
-  double x = 0, y = 0, half = 0;  // half: of an interval drawn around y; 0: none
+  double x = 0;
+  double y = 0;
+  double half_width = 0;  // of an interval that is drawn around y; 0 or infinite: none
 };
+
 struct Curve {
   std::string name;
   std::vector<PlotPoint> points;
 };
+
+// On a logarithmic scale only values above 0 are drawn.
+enum class Scale { linear, logarithmic };
+enum class Legend { shown, hidden };
+
 struct Plot {
-  std::string title, x_name, y_name;
-  bool x_log = false, y_log = false;  // only values above 0 are drawn then
+  std::string title;
+  std::string x_name;
+  std::string y_name;
+  Scale x_scale = Scale::linear;
+  Scale y_scale = Scale::linear;
   std::vector<Curve> curves;
-  bool legend = true;
+  Legend legend = Legend::shown;
 };
 
-// Text for HTML, where it could mean something.
-std::string escaped(const std::string& text);
-std::string svg(const Plot& plot);
+// The text with the characters that HTML and SVG give a meaning as entities.
+std::string escape_html(const std::string& text);
+// One <svg> element. Points that are not finite are left out.
+std::string draw_svg(const Plot& plot);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/report.cpp
+++ b/src/experiments/report.cpp
@@ -2,8 +2,8 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <cstdlib>
-#include <functional>
 #include <map>
 #include <nlohmann/json.hpp>
 
@@ -13,23 +13,28 @@
 namespace thornwick::experiments {
 namespace {
 
-constexpr std::size_t kMostLines = 32;  // replicas drawn in one plot
+constexpr std::size_t kMaxReplicaCurves = 32;  // in one plot
+constexpr double kMicrosecondsPerMillisecond = 1000;
 
+// All days of one grid point.
 struct Group {
-  Point point;
-  std::vector<const Row*> rows;
-  Estimate of(double Row::*field) const {
+  GridPoint point;
+  std::vector<const ResultRow*> rows;
+
+  Estimate estimate_of(double ResultRow::*field) const {
     std::vector<double> values;
-    for (const Row* row : rows) values.push_back(row->*field);
+    values.reserve(rows.size());
+    for (const ResultRow* row : rows) values.push_back(row->*field);
     return estimate(values);
   }
 };
 
-// By the order in which they come.
-std::vector<Group> grouped(const std::vector<Row>& rows) {
+// In the order in which the points come first.
+std::vector<Group> group_by_point(const std::vector<ResultRow>& rows) {
   std::vector<Group> groups;
   for (const auto& row : rows) {
-    auto found = std::find_if(groups.begin(), groups.end(), [&](auto& g) { return g.point == row.point; });
+    const auto same_point = [&](const Group& group) { return group.point == row.point; };
+    auto found = std::find_if(groups.begin(), groups.end(), same_point);
     if (found == groups.end()) found = groups.insert(groups.end(), {row.point, {}});
     found->rows.push_back(&row);
   }
@@ -38,147 +43,190 @@
 
 struct Measure {
   const char* name;
-  double Row::*field;
+  double ResultRow::*field;
 };
-constexpr Measure kMeasures[] = {{"score", &Row::score},
-                                 {"in time", &Row::in_time},
-                                 {"prompt tokens found kept", &Row::kept},
-                                 {"shed", &Row::rejected},
-                                 {"attempts a request", &Row::attempts},
-                                 {"decisions, us a request", &Row::module_us},
-                                 {"emulated requests a second", &Row::requests_per_s}};
-
-std::string shown(const Estimate& e) {
-  return e.count < 2 ? fmt::format("{:.4g}", e.mean) : fmt::format("{:.4g} &plusmn; {:.2g}", e.mean, e.half);
+constexpr Measure kMeasures[] = {{"score", &ResultRow::score},
+                                 {"in time", &ResultRow::in_time_share},
+                                 {"prompt tokens found kept", &ResultRow::cached_share},
+                                 {"shed", &ResultRow::rejected_share},
+                                 {"attempts a request", &ResultRow::attempts_per_turn},
+                                 {"decisions, us a request", &ResultRow::decision_us},
+                                 {"emulated requests a second", &ResultRow::requests_per_s}};
+
+std::string format_estimate(const Estimate& value) {
+  if (value.count < 2) return fmt::format("{:.4g}", value.mean);
+  return fmt::format("{:.4g} &plusmn; {:.2g}", value.mean, value.half_width);
 }
 
-std::string table(const std::vector<Group>& groups) {
+std::string write_table(const std::vector<Group>& groups) {
   std::string out = "<table><tr><th>scenario</th><th>settings</th><th>policy</th><th>days</th>";
-  for (const auto& m : kMeasures) out += fmt::format("<th>{}</th>", m.name);
+  for (const auto& measure : kMeasures) out += fmt::format("<th>{}</th>", measure.name);
   out += "<th>rules broken</th></tr>\n";
-  for (const auto& g : groups) {
-    out += fmt::format("<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td>", escaped(g.point.scenario),
-                       escaped(g.point.settings), escaped(g.point.policy), g.rows.size());
-    for (const auto& m : kMeasures) out += fmt::format("<td>{}</td>", shown(g.of(m.field)));
-    std::uint64_t broken = 0;
-    for (const Row* row : g.rows) broken += row->rules;
-    out += fmt::format("<td>{}</td></tr>\n", broken);
+  for (const auto& group : groups) {
+    out += fmt::format("<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td>", escape_html(group.point.scenario),
+                       escape_html(group.point.settings), escape_html(group.point.policy), group.rows.size());
+    for (const auto& measure : kMeasures) {
+      out += fmt::format("<td>{}</td>", format_estimate(group.estimate_of(measure.field)));
+    }
+    std::uint64_t rules_broken = 0;
+    for (const ResultRow* row : group.rows) rules_broken += row->rules_broken;
+    out += fmt::format("<td>{}</td></tr>\n", rules_broken);
   }
   return out + "</table>\n";
 }
 
-// "fleet.replicas=48 day.load=0.6" with one key taken out: its value and what is left.
-struct Split {
+struct Setting {
+  std::string key;
+  std::string value;
+};
+
+// Of "fleet.boxes=48 day.load=0.6".
+std::vector<Setting> parse_settings(const std::string& text) {
+  std::vector<Setting> settings;
+  for (std::size_t begin = 0; begin < text.size();) {
+    const auto end = std::min(text.find(' ', begin), text.size());
+    const std::string setting = text.substr(begin, end - begin);
+    const auto equals = setting.find('=');
+    settings.push_back({setting.substr(0, equals), setting.substr(equals + 1)});
+    begin = end + 1;
+  }
+  return settings;
+}
+
+// The value of one key, and the text of the other settings.
+struct Position {
   double value = 0;
-  std::string rest;
-  bool numeric = false;
+  bool is_number = false;
+  std::string other_settings;
 };
-Split split(const std::string& settings, const std::string& key) {
-  Split s;
-  for (std::size_t at = 0; at < settings.size();) {
-    const auto end = std::min(settings.find(' ', at), settings.size());
-    const std::string one = settings.substr(at, end - at);
-    const auto equals = one.find('=');
-    if (one.substr(0, equals) == key) {
-      char* stop = nullptr;
-      s.value = std::strtod(one.c_str() + equals + 1, &stop);
-      s.numeric = stop != nullptr && *stop == '\0';
+Position position_on_axis(const std::string& settings, const std::string& key) {
+  Position position;
+  for (const auto& setting : parse_settings(settings)) {
+    if (setting.key == key) {
+      char* end = nullptr;
+      position.value = std::strtod(setting.value.c_str(), &end);
+      position.is_number = *end == '\0';
     } else {
-      s.rest += (s.rest.empty() ? "" : " ") + one;
+      position.other_settings +=
+          (position.other_settings.empty() ? "" : " ") + setting.key + "=" + setting.value;
     }
-    at = end + 1;
   }
-  return s;
+  return position;
 }
 
-std::vector<std::string> keys_of(const std::string& settings) {
-  std::vector<std::string> keys;
-  for (std::size_t at = 0; at < settings.size();) {
-    const auto end = std::min(settings.find(' ', at), settings.size());
-    keys.push_back(settings.substr(at, settings.find('=', at) - at));
-    at = end + 1;
+// One measure by one setting: a curve for each policy and each combination of the other settings. Empty
+// without a curve of two points or more.
+std::string plot_measure(const std::vector<Group>& groups, const std::string& scenario,
+                         const std::string& key, const Measure& measure) {
+  std::map<std::string, Curve> curves;
+  for (const auto& group : groups) {
+    const Position position = position_on_axis(group.point.settings, key);
+    if (group.point.scenario != scenario || !position.is_number) continue;
+    const Estimate value = group.estimate_of(measure.field);
+    const bool measured = value.mean != 0 || measure.field == &ResultRow::rejected_share;
+    if (!measured) continue;
+    std::string name = group.point.policy;
+    if (!position.other_settings.empty()) name += " " + position.other_settings;
+    curves[name].name = name;
+    curves[name].points.push_back({position.value, value.mean, value.half_width});
   }
-  return keys;
+  Plot plot;
+  plot.title = fmt::format("{}: {} by {}", scenario, measure.name, key);
+  plot.x_name = key;
+  plot.y_name = measure.name;
+  plot.x_scale = Scale::logarithmic;
+  for (auto& [name, curve] : curves) {
+    const auto by_x = [](const PlotPoint& left, const PlotPoint& right) { return left.x < right.x; };
+    std::sort(curve.points.begin(), curve.points.end(), by_x);
+    if (curve.points.size() > 1) plot.curves.push_back(curve);
+  }
+  return plot.curves.empty() ? "" : draw_svg(plot);
 }
 
-// How each measure goes with a setting, a curve for each policy and each value of the others.
-std::string scale_curves(const std::vector<Group>& groups) {
+// Every measure by every setting of every scenario.
+std::string plot_by_setting(const std::vector<Group>& groups) {
   std::string out;
-  std::vector<std::string> seen;
-  for (const auto& first : groups) {
-    for (const auto& key : keys_of(first.point.settings)) {
-      if (std::find(seen.begin(), seen.end(), first.point.scenario + key) != seen.end()) continue;
-      seen.push_back(first.point.scenario + key);
-      for (const auto& m : kMeasures) {
-        std::map<std::string, Curve> curves;
-        for (const auto& g : groups) {
-          const Split s = split(g.point.settings, key);
-          if (g.point.scenario != first.point.scenario || !s.numeric) continue;
-          const std::string name = g.point.policy + (s.rest.empty() ? "" : " " + s.rest);
-          const Estimate e = g.of(m.field);
-          if (e.mean == 0 && m.field != &Row::rejected) continue;  // not measured
-          curves[name].name = name;
-          curves[name].points.push_back({s.value, e.mean, e.half});
-        }
-        Plot plot{fmt::format("{}: {} by {}", first.point.scenario, m.name, key),
-                  key,
-                  m.name,
-                  true,
-                  false,
-                  {},
-                  true};
-        for (auto& [name, curve] : curves) {
-          std::sort(curve.points.begin(), curve.points.end(), [](auto& a, auto& b) { return a.x < b.x; });
-          if (curve.points.size() > 1) plot.curves.push_back(curve);
-        }
-        if (!plot.curves.empty()) out += svg(plot);
+  std::vector<std::string> drawn;
+  for (const auto& group : groups) {
+    for (const auto& setting : parse_settings(group.point.settings)) {
+      const std::string subject = group.point.scenario + setting.key;
+      if (std::find(drawn.begin(), drawn.end(), subject) != drawn.end()) continue;
+      drawn.push_back(subject);
+      for (const auto& measure : kMeasures) {
+        out += plot_measure(groups, group.point.scenario, setting.key, measure);
       }
     }
   }
   return out;
 }
 
-std::string day_plots(const Row& row) {
-  const auto json = nlohmann::json::parse(row.json, nullptr, false);
-  if (json.is_discarded()) return "";
-  const std::string name =
-      fmt::format("{} {} {}, seed {}", row.point.scenario, row.point.settings, row.point.policy, row.seed);
-  Plot latency{
-      name + ": time to the first token", "part of the answers that took longer", "ms", true, true, {}, true};
-  for (const auto& c : json["classes"]) {
-    Curve curve{c["name"], {}};
-    for (const auto& [percentile, longer] :
-         {std::pair{"p50", 0.5}, {"p90", 0.1}, {"p99", 0.01}, {"p999", 0.001}}) {
-      curve.points.push_back({longer, c["first_us"][percentile].get<double>() / 1000, 0});
+struct Percentile {
+  const char* name;
+  double longer_share;  // of the answers that took longer
+};
+constexpr Percentile kPercentiles[] = {{"p50", 0.5}, {"p90", 0.1}, {"p99", 0.01}, {"p999", 0.001}};
+
+std::string plot_first_token(const std::string& day, const nlohmann::json& result) {
+  Plot plot;
+  plot.title = day + ": time to the first token";
+  plot.x_name = "part of the answers that took longer";
+  plot.y_name = "ms";
+  plot.x_scale = Scale::logarithmic;
+  plot.y_scale = Scale::logarithmic;
+  for (const auto& request_class : result["classes"]) {
+    Curve curve{request_class["name"], {}};
+    for (const auto& percentile : kPercentiles) {
+      const double time_us = request_class["first_us"][percentile.name].get<double>();
+      curve.points.push_back({percentile.longer_share, time_us / kMicrosecondsPerMillisecond, 0});
     }
-    latency.curves.push_back(curve);
+    plot.curves.push_back(curve);
   }
-  Plot load{name + ": requests in each box", "s", "requests", false, false, {}, false};
-  const double step = json.value("sample_s", 1.0);
-  for (const auto& replica : json["fleet"]) {
-    if (load.curves.size() == kMostLines) break;
+  return draw_svg(plot);
+}
+
+std::string plot_requests_in_flight(const std::string& day, const nlohmann::json& result) {
+  Plot plot;
+  plot.title = day + ": requests in each box";
+  plot.x_name = "s";
+  plot.y_name = "requests";
+  plot.legend = Legend::hidden;
+  const double sample_s = result.value("sample_s", 1.0);
+  for (const auto& replica : result["fleet"]) {
+    if (plot.curves.size() == kMaxReplicaCurves) break;
     Curve curve{std::to_string(replica["id"].get<std::uint64_t>()), {}};
-    double at = 0;
-    for (const auto& held : replica["held"]) curve.points.push_back({at, held.get<double>(), 0}), at += step;
-    load.curves.push_back(curve);
+    double time_s = 0;
+    for (const auto& in_flight : replica["held"]) {
+      curve.points.push_back({time_s, in_flight.get<double>(), 0});
+      time_s += sample_s;
+    }
+    plot.curves.push_back(curve);
   }
-  return svg(latency) + svg(load);
+  return draw_svg(plot);
 }
 
+std::string plot_day(const ResultRow& row) {
+  const auto result = nlohmann::json::parse(row.json, nullptr, false);
+  if (result.is_discarded()) return "";
+  const std::string day =
+      fmt::format("{} {} {}, seed {}", row.point.scenario, row.point.settings, row.point.policy, row.seed);
+  return plot_first_token(day, result) + plot_requests_in_flight(day, result);
+}
+
+constexpr const char* kStyle =
+    "<style>body{font-family:sans-serif;margin:2em;max-width:1300px}table{border-collapse:collapse;"
+    "font-size:13px}td,th{border:1px solid #ccc;padding:3px "
+    "7px;text-align:left}svg{margin:8px}</style>\n";
+
 }  // namespace
 
-std::string report(const std::string& title, const std::vector<Row>& rows) {
-  const auto groups = grouped(rows);
-  std::string out =
-      "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>" + escaped(title) +
-      "</title><style>body{font-family:sans-serif;margin:2em;max-width:1300px}table{border-collapse:collapse;"
-      "font-size:13px}td,th{border:1px solid #ccc;padding:3px "
-      "7px;text-align:left}svg{margin:8px}</style>\n<h1>" +
-      escaped(title) + "</h1>\n<p>Means over days with 95 % confidence intervals (Student's t).</p>\n" +
-      table(groups);
-  out += "<h2>By setting</h2>\n" + scale_curves(groups) + "<h2>Single days</h2>\n";
+std::string write_report(const std::string& title, const std::vector<ResultRow>& rows) {
+  const auto groups = group_by_point(rows);
+  std::string out = R"(<!doctype html><html lang="en"><meta charset="utf-8"><title>)" + escape_html(title) +
+                    "</title>" + kStyle + "<h1>" + escape_html(title) + "</h1>\n";
+  out += "<p>Means over days with 95 % confidence intervals (Student's t).</p>\n" + write_table(groups);
+  out += "<h2>By setting</h2>\n" + plot_by_setting(groups) + "<h2>Single days</h2>\n";
   for (const auto& row : rows) {
-    if (!row.json.empty()) out += day_plots(row);
+    if (!row.json.empty()) out += plot_day(row);
   }
   return out + "</html>\n";
 }
--- a/src/experiments/report.hpp
+++ b/src/experiments/report.hpp
@@ -1,4 +1,4 @@
-// One HTML file with tables and plots of what a results file holds, readable without a network.
+// The report of a results file as one HTML page.
 #pragma once
 
 #include <string>
@@ -8,6 +8,8 @@
 
 namespace thornwick::experiments {
 
-std::string report(const std::string& title, const std::vector<Row>& rows);
+// Tables with means and confidence intervals, a plot of each measure by each setting, and plots of the days
+// whose whole result is kept. The page refers to nothing outside itself.
+std::string write_report(const std::string& title, const std::vector<ResultRow>& rows);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/results.cpp
+++ b/src/experiments/results.cpp
@@ -2,108 +2,124 @@
 
 #include <SQLiteCpp/SQLiteCpp.h>
 
-#include <algorithm>
-#include <stdexcept>
+#include "experiments/error.hpp"
 
 namespace thornwick::experiments {
 namespace {
 
 constexpr int kVersion = 1;
+constexpr int kBusyTimeoutMs = 5000;
 constexpr const char* kColumns =
     "scenario, settings, policy, seed, score, in_time, kept, shed, hops, module_us, requests_per_s, turns, "
     "rules, json";
 
-Row read(const SQLite::Statement& q) {
-  Row row;
-  row.point = {q.getColumn(0).getString(), q.getColumn(1).getString(), q.getColumn(2).getString()};
-  row.seed = static_cast<std::uint64_t>(q.getColumn(3).getInt64());
-  double* const numbers[] = {&row.score,    &row.in_time,   &row.kept,          &row.rejected,
-                             &row.attempts, &row.module_us, &row.requests_per_s};
-  for (int i = 0; i < 7; ++i) *numbers[i] = q.getColumn(4 + i).getDouble();
-  row.turns = static_cast<std::uint64_t>(q.getColumn(11).getInt64());
-  row.rules = static_cast<std::uint64_t>(q.getColumn(12).getInt64());
-  row.json = q.getColumn(13).getString();
+// The columns with a number, in the file's order.
+constexpr double ResultRow::*kNumbers[] = {
+    &ResultRow::score,          &ResultRow::in_time_share,     &ResultRow::cached_share,
+    &ResultRow::rejected_share, &ResultRow::attempts_per_turn, &ResultRow::decision_us,
+    &ResultRow::requests_per_s};
+
+ResultRow read_row(const SQLite::Statement& query) {
+  ResultRow row;
+  int column = 0;
+  row.point.scenario = query.getColumn(column++).getString();
+  row.point.settings = query.getColumn(column++).getString();
+  row.point.policy = query.getColumn(column++).getString();
+  row.seed = static_cast<std::uint64_t>(query.getColumn(column++).getInt64());
+  for (const auto number : kNumbers) row.*number = query.getColumn(column++).getDouble();
+  row.turns = static_cast<std::uint64_t>(query.getColumn(column++).getInt64());
+  row.rules_broken = static_cast<std::uint64_t>(query.getColumn(column++).getInt64());
+  row.json = query.getColumn(column++).getString();
   return row;
 }
 
+std::vector<ResultRow> read_rows(SQLite::Statement& query) {
+  std::vector<ResultRow> rows;
+  while (query.executeStep()) rows.push_back(read_row(query));
+  return rows;
+}
+
+template <typename Part, typename Whole>
+double quotient(Part part, Whole whole) {
+  return whole > 0 ? static_cast<double>(part) / static_cast<double>(whole) : 0.0;
+}
+
 }  // namespace
 
-Row summarise(const Point& point, const emulator::Result& r, bool whole) {
-  const auto part = [](auto a, auto b) {
-    return b > 0 ? static_cast<double>(a) / static_cast<double>(b) : 0.0;
-  };
-  Row row;
+ResultRow summarise(const GridPoint& point, const emulator::Result& result, Detail detail) {
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  ResultRow row;
   row.point = point;
-  row.seed = r.seed;
-  row.score = r.score, row.in_time = r.whole.share(), row.kept = r.cached_share();
-  row.rejected = part(r.sum.rejected, r.sum.taken), row.attempts = part(r.attempts, r.turns);
-  row.module_us = 1e6 * part(r.module_s, r.turns), row.requests_per_s = part(r.turns, r.wall_s);
-  row.turns = r.turns, row.rules = r.broken.all();
-  if (whole) row.json = emulator::to_json(r, false);
+  row.seed = result.seed;
+  row.score = result.score;
+  row.in_time_share = result.whole.share();
+  row.cached_share = result.cached_share();
+  row.rejected_share = quotient(result.sum.rejected, result.sum.taken);
+  row.attempts_per_turn = quotient(result.attempts, result.turns);
+  row.decision_us = kMicrosecondsPerSecond * quotient(result.module_s, result.turns);
+  row.requests_per_s = quotient(result.turns, result.wall_s);
+  row.turns = result.turns;
+  row.rules_broken = result.broken.all();
+  if (detail == Detail::whole_result) row.json = emulator::to_json(result, false);
   return row;
 }
 
 struct Results::File {
-  SQLite::Database db;
+  SQLite::Database database;
 };
 
 Results::Results(const std::string& path) try
     : file_(new File{SQLite::Database(path, SQLite::OPEN_READWRITE | SQLite::OPEN_CREATE)}) {
-  SQLite::Database& db = file_->db;
-  db.setBusyTimeout(5000);
-  const int version = db.execAndGet("PRAGMA user_version").getInt();
-  if (version > kVersion) throw std::runtime_error("written by a newer version");
-  db.exec("PRAGMA journal_mode = WAL");
-  db.exec("CREATE TABLE IF NOT EXISTS days (key TEXT, " + std::string(kColumns) +
-          ", PRIMARY KEY (key, seed))");
-  db.exec("PRAGMA user_version = " + std::to_string(kVersion));
+  SQLite::Database& database = file_->database;
+  database.setBusyTimeout(kBusyTimeoutMs);
+  const int version = database.execAndGet("PRAGMA user_version").getInt();
+  if (version > kVersion) throw ExperimentError(ErrorKind::results_file, "written by a newer version");
+  database.exec("PRAGMA journal_mode = WAL");
+  database.exec("CREATE TABLE IF NOT EXISTS days (key TEXT, " + std::string(kColumns) +
+                ", PRIMARY KEY (key, seed))");
+  database.exec("PRAGMA user_version = " + std::to_string(kVersion));
 } catch (const std::exception& problem) {
-  throw std::runtime_error(path + ": " + problem.what());
+  throw ExperimentError(ErrorKind::results_file, path + ": " + problem.what());
 }
 
 Results::~Results() = default;
 
 bool Results::has(const std::string& key, std::uint64_t seed) const {
-  SQLite::Statement q(file_->db, "SELECT 1 FROM days WHERE key = ? AND seed = ?");
-  q.bind(1, key);
-  q.bind(2, static_cast<std::int64_t>(seed));
-  return q.executeStep();
+  SQLite::Statement query(file_->database, "SELECT 1 FROM days WHERE key = ? AND seed = ?");
+  query.bind(1, key);
+  query.bind(2, static_cast<std::int64_t>(seed));
+  return query.executeStep();
 }
 
-void Results::add(const std::string& key, const Row& row) {
-  SQLite::Statement q(file_->db, "INSERT OR REPLACE INTO days (key, " + std::string(kColumns) +
-                                     ") VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)");
-  q.bind(1, key);
-  q.bind(2, row.point.scenario);
-  q.bind(3, row.point.settings);
-  q.bind(4, row.point.policy);
-  q.bind(5, static_cast<std::int64_t>(row.seed));
-  const double numbers[] = {row.score,    row.in_time,   row.kept,          row.rejected,
-                            row.attempts, row.module_us, row.requests_per_s};
-  for (int i = 0; i < 7; ++i) q.bind(6 + i, numbers[i]);
-  q.bind(13, static_cast<std::int64_t>(row.turns));
-  q.bind(14, static_cast<std::int64_t>(row.rules));
-  q.bind(15, row.json);
-  q.exec();
+void Results::add(const std::string& key, const ResultRow& row) {
+  SQLite::Statement query(file_->database, "INSERT OR REPLACE INTO days (key, " + std::string(kColumns) +
+                                               ") VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)");
+  int column = 1;
+  query.bind(column++, key);
+  query.bind(column++, row.point.scenario);
+  query.bind(column++, row.point.settings);
+  query.bind(column++, row.point.policy);
+  query.bind(column++, static_cast<std::int64_t>(row.seed));
+  for (const auto number : kNumbers) query.bind(column++, row.*number);
+  query.bind(column++, static_cast<std::int64_t>(row.turns));
+  query.bind(column++, static_cast<std::int64_t>(row.rules_broken));
+  query.bind(column++, row.json);
+  query.exec();
 }
 
-std::vector<Row> Results::of(const std::string& key) const {
-  std::vector<Row> rows;
-  SQLite::Statement q(file_->db,
-                      "SELECT " + std::string(kColumns) + " FROM days WHERE key = ? ORDER BY seed");
-  q.bind(1, key);
-  while (q.executeStep()) rows.push_back(read(q));
-  return rows;
+std::vector<ResultRow> Results::rows_of(const std::string& key) const {
+  SQLite::Statement query(file_->database,
+                          "SELECT " + std::string(kColumns) + " FROM days WHERE key = ? ORDER BY seed");
+  query.bind(1, key);
+  return read_rows(query);
 }
 
-std::vector<Row> Results::all() const {
-  std::vector<Row> rows;
-  SQLite::Statement q(file_->db,
-                      "SELECT " + std::string(kColumns) +
-                          ", (SELECT MIN(rowid) FROM days d WHERE d.key = days.key) AS first FROM days "
-                          "ORDER BY first, seed");
-  while (q.executeStep()) rows.push_back(read(q));
-  return rows;
+std::vector<ResultRow> Results::all_rows() const {
+  SQLite::Statement query(file_->database,
+                          "SELECT " + std::string(kColumns) +
+                              ", (SELECT MIN(rowid) FROM days d WHERE d.key = days.key) AS first FROM days "
+                              "ORDER BY first, seed");
+  return read_rows(query);
 }
 
 }  // namespace thornwick::experiments
--- /dev/null
+++ b/src/experiments/run_command.hpp
@@ -0,0 +1,11 @@
+// `thornwick lab run`: days of one scenario.
+#pragma once
+
+#include <CLI/CLI.hpp>
+
+namespace thornwick::experiments {
+
+// Adds the sub-command; when it was parsed, `status` is the program's: 0, or 1 if a day's counts don't add up.
+void add_run_command(CLI::App& lab, int& status);
+
+}  // namespace thornwick::experiments
--- a/src/experiments/statistics.hpp
+++ b/src/experiments/statistics.hpp
@@ -1,7 +1,7 @@
-// Means with their confidence, and paired differences of two policies on the same days.
+// Means with their confidence intervals, and paired differences of two policies on the same days.
 #pragma once
 
-#include <string>
+#include <cstddef>
 #include <vector>
 
 namespace thornwick::experiments {
@@ -9,15 +9,17 @@
 struct Estimate {
   std::size_t count = 0;
   double mean = 0;
-  double half = 0;  // of the 95 % confidence interval (Student's t); infinite with fewer than two values
+  // Half the width of the 95 % confidence interval (Student's t); infinite with fewer than two values.
+  double half_width = 0;
 };
 Estimate estimate(const std::vector<double>& values);
 
 struct Difference {
-  Estimate by;        // second less first, day by day
-  double chance = 1;  // that a difference so large comes up between equals (paired t test, two sides)
+  Estimate mean_difference;  // second less first, day by day
+  double p_value = 1;        // of the paired t test, two-sided
 };
-// Both in the order of the same days. Throws std::invalid_argument if they are not as many.
-Difference paired(const std::vector<double>& first, const std::vector<double>& second);
+// Both samples are in the order of the same days. Throws ExperimentError(unequal_samples) if their lengths
+// differ.
+Difference paired_difference(const std::vector<double>& first, const std::vector<double>& second);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/theory.hpp
+++ b/src/experiments/theory.hpp
@@ -1,7 +1,8 @@
-// The emulator against queueing theory: hosts in arrival order, Bounded Pareto sizes, random splitting and
-// SITA-E.
+// The emulator compared with queueing theory: hosts in arrival order and Bounded Pareto sizes, under random
+// splitting and SITA-E.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -13,24 +14,29 @@
 struct TheoryPlan {
   std::vector<double> alphas{1.1, 1.3, 1.5, 1.7, 1.9};
   std::vector<double> loads{0.5, 0.8};
-  double most = 1e10, mean = 3000;
+  double largest_size = 1e10;
+  double mean_size = 3000;
   int hosts = 8;
   double jobs = 200'000;  // of each run
-  unsigned runs = 8, threads = 0;
+  unsigned runs = 8;
+  unsigned threads = 0;  // 0: one for each core
   std::uint64_t seed = 1;
 };
 
 struct TheoryRow {
-  std::string policy;
-  double alpha = 0, load = 0;
-  Estimate slowdown;    // over the runs
-  double expected = 0;  // by the closed form
-  double in_sight = 0;  // of the second moment, to all runs together
-  bool agrees() const;  // the closed form lies within the interval
+  std::string policy;  // "random" or "sita"
+  double alpha = 0;
+  double load = 0;
+  Estimate slowdown;             // over the runs
+  double expected_slowdown = 0;  // by the closed form
+  double observable_share = 0;   // of the second moment, by all runs together
+
+  // The closed form lies within the confidence interval.
+  bool agrees() const;
 };
 
 std::vector<TheoryRow> play_theory(const TheoryPlan& plan);
-// A table and a plot, as one HTML page.
-std::string theory_page(const TheoryPlan& plan, const std::vector<TheoryRow>& rows);
+// A table and plots as one HTML page.
+std::string write_theory_page(const TheoryPlan& plan, const std::vector<TheoryRow>& rows);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/worker_pool.hpp
+++ b/src/experiments/worker_pool.hpp
@@ -1,4 +1,4 @@
-// Jobs over threads.
+// Independent jobs over several threads.
 #pragma once
 
 #include <algorithm>
@@ -8,16 +8,18 @@
 
 namespace thornwick::experiments {
 
-// Calls work(i) for each i below `count`, on so many threads (0: as many as there are cores), and waits for
-// all. Who does what is left open: results belong into places of their own.
+// Calls work(index) once for each index below `count`, on up to `threads` threads (0: one for each core), and
+// returns when all calls have. The order of the calls is not defined, so each must write to a place of its
+// own.
 template <typename Work>
-void over_all(std::size_t count, unsigned threads, Work work) {
+void for_each_index(std::size_t count, unsigned threads, Work work) {
+  const unsigned cores = std::max(1u, std::thread::hardware_concurrency());
+  const std::size_t wanted = threads > 0 ? threads : cores;
   std::atomic<std::size_t> next{0};
-  std::vector<std::jthread> crew;
-  const unsigned most = threads > 0 ? threads : std::max(1u, std::thread::hardware_concurrency());
-  for (std::size_t i = 0; i < std::min<std::size_t>(most, count); ++i) {
-    crew.emplace_back([&] {
-      for (std::size_t at = next++; at < count; at = next++) work(at);
+  std::vector<std::jthread> workers;
+  for (std::size_t i = 0; i < std::min(wanted, count); ++i) {
+    workers.emplace_back([&] {
+      for (std::size_t index = next++; index < count; index = next++) work(index);
     });
   }
 }
--- a/tests/emulator/lab.cpp
+++ b/tests/emulator/lab.cpp
@@ -5,6 +5,7 @@
 #include <fstream>
 
 #include "../store/scratch.hpp"
+#include "experiments/error.hpp"
 #include "experiments/experiment.hpp"
 #include "experiments/plot.hpp"
 #include "experiments/report.hpp"
@@ -23,14 +24,14 @@
   plan.file = std::string(THORNWICK_EXAMPLES) + "/lab/suva-calm.toml";
   plan.axes = {{"day.seconds", {"8"}}, {"day.warm_up_s", {"2"}}, {"fleet.boxes", {"4", "6"}}};
   plan.policies = {"module", "random"};
-  plan.days = 3;
+  plan.max_days = 3;
   return plan;
 }
 
 std::size_t played(const Plan& plan, Results& results) {
-  const auto before = results.all().size();
+  const auto before = results.all_rows().size();
   play(plan, cells_of(plan), results, [](std::size_t, std::size_t) {});
-  return results.all().size() - before;
+  return results.all_rows().size() - before;
 }
 
 }  // namespace
@@ -39,23 +40,23 @@
 TEST_CASE("a mean comes with the interval of Student's law") {
   const Estimate three = estimate({1, 2, 3});
   CHECK(three.mean == Approx(2));
-  CHECK(three.half == Approx(4.302653 / std::sqrt(3.0)));
-  CHECK(estimate({1, 2, 3, 4, 5}).half == Approx(2.776445 * std::sqrt(2.5 / 5)));
-  CHECK(std::isinf(estimate({7}).half));
-  const Difference same = paired({1, 2, 3}, {1, 2, 3});
-  CHECK(same.chance == 1);
-  const Difference up = paired({1, 2, 3, 4}, {2, 2.9, 4.1, 5});
-  CHECK(up.by.mean == Approx(1));
-  CHECK(up.chance < 0.001);
-  CHECK_THROWS_AS(paired({1}, {1, 2}), std::invalid_argument);
+  CHECK(three.half_width == Approx(4.302653 / std::sqrt(3.0)));
+  CHECK(estimate({1, 2, 3, 4, 5}).half_width == Approx(2.776445 * std::sqrt(2.5 / 5)));
+  CHECK(std::isinf(estimate({7}).half_width));
+  const Difference same = paired_difference({1, 2, 3}, {1, 2, 3});
+  CHECK(same.p_value == 1);
+  const Difference up = paired_difference({1, 2, 3, 4}, {2, 2.9, 4.1, 5});
+  CHECK(up.mean_difference.mean == Approx(1));
+  CHECK(up.p_value < 0.001);
+  CHECK_THROWS_AS(paired_difference({1}, {1, 2}), ExperimentError);
 }
 
 TEST_CASE("an axis is a key with values, and a list is one value") {
-  const Axis axis = parse_axis("day.load=[0.3,0.4],0.5");
+  const GridAxis axis = parse_axis("day.load=[0.3,0.4],0.5");
   CHECK(axis.key == "day.load");
   CHECK(axis.values == std::vector<std::string>{"[0.3,0.4]", "0.5"});
   for (const char* bad : {"day.load", "=3", "day.load=", "day.load=1,,2"}) {
-    CHECK_THROWS_AS(parse_axis(bad), std::invalid_argument);
+    CHECK_THROWS_AS(parse_axis(bad), ExperimentError);
   }
 }
 
@@ -83,18 +84,18 @@
 TEST_CASE("a sweep goes on where it was stopped, and gives the same whatever the number of threads") {
   const Scratch scratch;
   Plan plan = small_plan();
-  std::vector<std::vector<Row>> all;
+  std::vector<std::vector<ResultRow>> all;
   for (const unsigned threads : {1u, 4u}) {
     Results results(scratch.path("r" + std::to_string(threads)));
     plan.threads = threads;
-    plan.days = 2;
+    plan.max_days = 2;
     CHECK(played(plan, results) == 8);
-    plan.days = 3;
+    plan.max_days = 3;
     CHECK(played(plan, results) == 4);
     CHECK(played(plan, results) == 0);
-    std::vector<Row> rows;
+    std::vector<ResultRow> rows;
     for (const auto& cell : cells_of(plan)) {
-      for (auto& row : results.of(cell.key)) rows.push_back(row);
+      for (auto& row : results.rows_of(cell.key)) rows.push_back(row);
     }
     all.push_back(rows);
   }
@@ -109,9 +110,9 @@
   const Scratch scratch;
   Results results(scratch.path("r"));
   Plan plan = small_plan();
-  plan.days = 10;
-  plan.until = 5;  // any two days are that sure
-  plan.least = 3;
+  plan.max_days = 10;
+  plan.target_half_width = 5;  // any two days are that sure
+  plan.min_days = 3;
   CHECK(played(plan, results) == 4 * 3);
 }
 
@@ -124,14 +125,14 @@
     db.exec("PRAGMA user_version = 99");
   }
   CHECK_THROWS_WITH(Results(scratch.path("new")), Catch::Contains("newer version"));
-  CHECK_THROWS_AS(Results(scratch.path("no/folder")), std::runtime_error);
+  CHECK_THROWS_AS(Results(scratch.path("no/folder")), ExperimentError);
 }
 
 TEST_CASE("a report holds each cell, a curve for each setting, and nothing from elsewhere") {
   const Scratch scratch;
   Results results(scratch.path("r"));
   played(small_plan(), results);
-  const std::string page = report("a < b", results.all());
+  const std::string page = write_report("a < b", results.all_rows());
   CHECK(page.find("a &lt; b") != std::string::npos);
   CHECK(page.find("score by fleet.boxes") != std::string::npos);
   CHECK(page.find("time to the first token") != std::string::npos);
@@ -142,10 +143,17 @@
 }
 
 TEST_CASE("a plot draws what can be drawn") {
-  Plot plot{"t", "x", "y", true, true, {{"c", {{0, 1, 0}, {1, 0, 0}, {10, 5, 0}, {100, 50, 0}}}}, true};
-  const std::string out = svg(plot);
+  Plot plot{"t",
+            "x",
+            "y",
+            Scale::logarithmic,
+            Scale::logarithmic,
+            {{"c", {{0, 1, 0}, {1, 0, 0}, {10, 5, 0}, {100, 50, 0}}}},
+            Legend::shown};
+  const std::string out = draw_svg(plot);
   CHECK(out.find("points=\"70.0,312.0 470.0,34.0 \"") != std::string::npos);
-  CHECK(svg({"empty", "x", "y", false, false, {}, true}).find("</svg>") != std::string::npos);
+  CHECK(draw_svg({"empty", "x", "y", Scale::linear, Scale::linear, {}, Legend::shown}).find("</svg>") !=
+        std::string::npos);
 }
 
 // ---------------------------------------------------------------- theory
@@ -167,18 +175,18 @@
     }
     CHECK(sizes.moment(0) == Approx(1));
   }
-  CHECK(with_mean(1.3, 1e10, 3000).moment(1) == Approx(3000));
-  CHECK_THROWS_AS(with_mean(1.3, 1000, 3000), std::invalid_argument);
+  CHECK(bounded_pareto_with_mean(1.3, 1e10, 3000).moment(1) == Approx(3000));
+  CHECK_THROWS_AS(bounded_pareto_with_mean(1.3, 1000, 3000), ExperimentError);
 }
 
 TEST_CASE("hosts under SITA-E have equal work, and one host is one host under either policy") {
-  const BoundedPareto sizes = with_mean(1.4, 1e8, 3000);
+  const BoundedPareto sizes = bounded_pareto_with_mean(1.4, 1e8, 3000);
   const auto edges = equal_work_edges(sizes, 8);
   for (std::size_t i = 0; i < 8; ++i) CHECK(sizes.moment(1, edges[i], edges[i + 1]) == Approx(3000.0 / 8));
   CHECK(sita_e(sizes, 0.5, 1).slowdown == Approx(random_splitting(sizes, 0.5).slowdown));
   CHECK(sita_e(sizes, 0.5, 8).slowdown < random_splitting(sizes, 0.5).slowdown);
-  CHECK(part_in_sight(sizes, 1e12) > 0.999);
-  CHECK(part_in_sight(sizes, 1e4) < 0.2);
+  CHECK(observable_share(sizes, 1e12) > 0.999);
+  CHECK(observable_share(sizes, 1e4) < 0.2);
 }
 
 // Sizes whose second moment a short run sees; seeds are fixed, and so is the verdict.
@@ -186,13 +194,13 @@
   TheoryPlan plan;
   plan.alphas = {1.1, 1.9};
   plan.loads = {0.5, 0.8};
-  plan.most = 1e5;
+  plan.largest_size = 1e5;
   plan.jobs = 20'000;
   for (const auto& row : play_theory(plan)) {
     INFO(row.policy << " load " << row.load << " alpha " << row.alpha << ": " << row.slowdown.mean << " +- "
-                    << row.slowdown.half << ", expected " << row.expected);
-    CHECK(row.in_sight > 0.9);
-    CHECK(std::abs(row.slowdown.mean - row.expected) <= 1.5 * row.slowdown.half);
-    CHECK(row.slowdown.half < 0.2 * row.expected);
+                    << row.slowdown.half_width << ", expected " << row.expected_slowdown);
+    CHECK(row.observable_share > 0.9);
+    CHECK(std::abs(row.slowdown.mean - row.expected_slowdown) <= 1.5 * row.slowdown.half_width);
+    CHECK(row.slowdown.half_width < 0.2 * row.expected_slowdown);
   }
 }
