--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -90,15 +90,15 @@
   } catch (const simulator_adapter::Malformed& problem) {
     throw BadConfig(std::string("configuration: ") + problem.what());
   }
-  config.classes = texts_at(settings, "/grades");
-  config.tenants = texts_at(settings, "/tenants");
-  config.zones = texts_at(settings, "/zones");
-  config.kinds = texts_at(settings, "/kinds");
+  config.names.classes = texts_at(settings, "/grades");
+  config.names.tenants = texts_at(settings, "/tenants");
+  config.names.zones = texts_at(settings, "/zones");
+  config.names.kinds = texts_at(settings, "/kinds");
   if (fronts::text_at(settings, "/report/how") == "inline") {
-    config.report_fields = texts_at(settings, "/report/fields");
+    config.names.report_fields = texts_at(settings, "/report/fields");
   }
-  config.keepalive = time_at(settings, "/policyLimits/keepalive", config.keepalive);
-  config.dial_limit = time_at(settings, "/policyLimits/dialTimeout", config.dial_limit);
+  config.timeouts.keepalive = time_at(settings, "/policyLimits/keepalive", config.timeouts.keepalive);
+  config.timeouts.connect = time_at(settings, "/policyLimits/dialTimeout", config.timeouts.connect);
 }
 
 }  // namespace
@@ -120,23 +120,25 @@
   }
   if (!json.is_object()) throw BadConfig(path + ": not an object");
   config.name = from_environment("GW_NAME", fronts::text_at(json, "/name"));
-  config.listen = from_environment("GW_LISTEN", fronts::text_at(json, "/listen"));
-  config.ops = from_environment("GW_OPS", fronts::text_at(json, "/ops"));
+  config.listeners.requests = from_environment("GW_LISTEN", fronts::text_at(json, "/listen"));
+  config.listeners.operators = from_environment("GW_OPS", fronts::text_at(json, "/ops"));
   const std::string told = fronts::text_at(json, "/discovery");
-  config.discovery =
+  config.discovery.address =
       reading == Reading::again && !told.empty() ? told : from_environment("GW_DISCOVERY", told);
-  if (config.listen.empty()) throw BadConfig("configuration: no address to listen on");
-  if (config.discovery.empty()) throw BadConfig("configuration: no discovery");
-  config.peer_listen = fronts::text_at(json, "/peer_listen");
-  config.peers_all = fronts::text_at(json, "/peers_all");
-  config.peers = texts_at(json, "/peers");
-  if (const auto sockets = fronts::count_at(json, "/limits/sockets"); sockets > 0) config.sockets = sockets;
-  if (const auto memory = fronts::count_at(json, "/limits/memory_mb"); memory > 0) config.memory_mb = memory;
+  if (config.listeners.requests.empty()) throw BadConfig("configuration: no address to listen on");
+  if (config.discovery.address.empty()) throw BadConfig("configuration: no discovery");
+  config.listeners.peers = fronts::text_at(json, "/peer_listen");
+  config.peers.all = fronts::text_at(json, "/peers_all");
+  config.peers.each = texts_at(json, "/peers");
+  if (const auto sockets = fronts::count_at(json, "/limits/sockets"); sockets > 0)
+    config.limits.sockets = sockets;
+  if (const auto memory = fronts::count_at(json, "/limits/memory_mb"); memory > 0)
+    config.limits.memory_mb = memory;
   read_settings(json, config);
   if (element known; json.at_key("known").get(known) == simdjson::SUCCESS) {
-    config.known = simdjson::to_string(known);
+    config.discovery.known_endpoints = simdjson::to_string(known);
   }
-  config.added = read_operator_file(operator_path);
+  config.operator_file = read_operator_file(operator_path);
   return config;
 }
 
@@ -146,13 +148,13 @@
     if (!same) names += (names.empty() ? "" : ", ") + std::string(name);
   };
   compare("name", old.name == fresh.name);
-  compare("listen", old.listen == fresh.listen);
-  compare("ops", old.ops == fresh.ops);
-  compare("peers", old.peer_listen == fresh.peer_listen && old.peers_all == fresh.peers_all &&
-                       old.peers == fresh.peers);
-  compare("limits", old.sockets == fresh.sockets);
+  compare("listen", old.listeners.requests == fresh.listeners.requests);
+  compare("ops", old.listeners.operators == fresh.listeners.operators);
+  compare("peers", old.listeners.peers == fresh.listeners.peers && old.peers.all == fresh.peers.all &&
+                       old.peers.each == fresh.peers.each);
+  compare("limits", old.limits.sockets == fresh.limits.sockets);
   compare("settings", old.settings_text == fresh.settings_text);
-  compare("the operator's file", old.added.same_but_models(fresh.added));
+  compare("the operator's file", old.operator_file.same_but_models(fresh.operator_file));
   return names;
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -166,7 +166,7 @@
   if (!file.self.empty() && !named) group.reject("self", "no router is called '" + file.self + "'");
 }
 
-void read_copies(Root& all, CopiesFile& file, const GroupFile& group, Problems& problems) {
+void read_copies(Root& all, ReplicationFile& file, const GroupFile& group, Problems& problems) {
   const auto* table = all.table("copies");
   Section section(table, "copies", problems);
   file.line = section.line();
@@ -223,7 +223,7 @@
   read_catalogue(all, file.catalogue, problems);
   read_budgets(all, file.budgets, file.catalogue, problems);
   read_group(all, file.group, problems);
-  read_copies(all, file.copies, file.group, problems);
+  read_copies(all, file.replication, file.group, problems);
 }
 
 }  // namespace
@@ -232,7 +232,8 @@
   return messages_listen == o.messages_listen && target_dialect == o.target_dialect && targets == o.targets &&
          flow_collector == o.flow_collector && flow_domain == o.flow_domain && affinity == o.affinity &&
          store == o.store && catalogue.empty() == o.catalogue.empty() && budgets.fair == o.budgets.fair &&
-         budgets.budgets.empty() == o.budgets.budgets.empty() && group == o.group && copies == o.copies;
+         budgets.budgets.empty() == o.budgets.budgets.empty() && group == o.group &&
+         replication == o.replication;
 }
 
 OperatorFile read_operator_file(const std::string& path) {
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -79,7 +79,7 @@
 };
 
 // [copies]: what this router holds for others is copied to further routers (docs/replication.md).
-struct CopiesFile {
+struct ReplicationFile {
   bool enabled = false;
   std::string file;              // of this router's copies; the ledgers' records
   std::uint64_t megabytes = 64;  // its largest size
@@ -90,7 +90,7 @@
   double overdraft = 0.01;                  // of each limit, for each router
   std::uint32_t line = 0;
 
-  bool operator==(const CopiesFile&) const = default;
+  bool operator==(const ReplicationFile&) const = default;
 };
 
 struct OperatorFile {
@@ -104,7 +104,7 @@
   models::Catalogue catalogue;
   BudgetsFile budgets;
   GroupFile group;
-  CopiesFile copies;
+  ReplicationFile replication;
   std::string path;  // of the file itself, for what is found wrong later
 
   // All that only a restart can change.
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -19,9 +19,9 @@
   using logging::field;
   const auto& subject = charge.subject;
   logging::info("charge").with("exchange", charge.request_id).with("attempt", charge.attempt + 1)
-      << "member=" << field("member", name_at(config.tenants, subject.member))
-      << " class=" << field("class", name_at(config.classes, subject.cls))
-      << " model=" << field("model", config.added.catalogue.name_of(subject.model))
+      << "member=" << field("member", name_at(config.names.tenants, subject.member))
+      << " class=" << field("class", name_at(config.names.classes, subject.cls))
+      << " model=" << field("model", config.operator_file.catalogue.name_of(subject.model))
       << " target=" << field("target", replica_uid) << " prompt=" << field("prompt", charge.tokens.prompt)
       << " kept=" << field("kept", charge.tokens.cached) << " made=" << field("made", charge.tokens.generated)
       << " thousandths=" << field("thousandths", charge.units)
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -26,7 +26,7 @@
 
 Cluster::Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy)
     : membership_(membership_of(config)),
-      file_(config.added.group),
+      file_(config.operator_file.group),
       started_(net::now_us()),
       period_(static_cast<Time>(file_.period_s * 1e6)) {
   const StartupIdentity startup = load_identity(file_.state);
@@ -35,7 +35,7 @@
   open_datagrams();
   start_failure_detection(startup.identity);
   open_links();
-  if (config.added.copies.enabled && quota_proxy != nullptr)
+  if (config.operator_file.replication.enabled && quota_proxy != nullptr)
     open_replication(config, *quota_proxy, startup.identity.run);
   open_status_socket();
   log_start(startup);
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -26,7 +26,7 @@
 
 replication::Options replication_options(const config::Config& config, const Membership& membership,
                                          std::uint32_t run) {
-  const config::CopiesFile& file = config.added.copies;
+  const config::ReplicationFile& file = config.operator_file.replication;
   const auto lease = static_cast<Time>(file.lease_s * 1e6);
   const auto heartbeat = static_cast<Time>(file.heartbeat_s * 1e6);
   replication::Options options;
@@ -43,7 +43,7 @@
   options.quota_client.lease = lease;
   options.quota_client.ledgers = replication::ledgers_for(membership.roster->size());
   options.quota_client.run = run;
-  options.quota_client.block = config.added.budgets.block;
+  options.quota_client.block = config.operator_file.budgets.block;
   options.quota_client.patience = std::max(kMinInterval, kPatienceHeartbeats * heartbeat);
   options.quota_client.overdraft = file.without_majority == "lenient" ? file.overdraft : 0;
   return options;
@@ -68,7 +68,7 @@
 ClusterReplication::ClusterReplication(const config::Config& config, const Membership& membership,
                                        net::Links& links, LocalQuotaProxy& quota_proxy, std::uint8_t channel,
                                        std::uint32_t run)
-    : file_(config.added.copies),
+    : file_(config.operator_file.replication),
       roster_(membership.roster),
       self_(membership.self),
       links_(links),
@@ -86,7 +86,7 @@
 ClusterReplication::~ClusterReplication() { quota_proxy_.attach(nullptr); }
 
 void ClusterReplication::open_store(const config::Config& config) {
-  const std::size_t memory = config.memory_mb * 1024 * 1024;
+  const std::size_t memory = config.limits.memory_mb * 1024 * 1024;
   store_ = std::make_unique<persistence::LedgerStore>(
       store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.megabytes},
       std::max(kMinStoreMemory, memory / kStoreMemoryDivisor), store_notifier_.trigger());
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -59,7 +59,7 @@
   std::string begin_correction(const BudgetCorrection& correction);
   void on_decided(std::uint64_t id, bool accepted, const std::string& reason);
 
-  config::CopiesFile file_;
+  config::ReplicationFile file_;
   std::shared_ptr<const membership::Roster> roster_;
   std::size_t self_;
   net::Links& links_;
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -73,9 +73,9 @@
                           ErrorLines& errors) {
   budgets::Budget budget;
   budget.name = entry.name;
-  budget.member = subject_number(entry, "member", entry.member, config.tenants, errors);
-  budget.cls = subject_number(entry, "class", entry.cls, config.classes, errors);
-  budget.model = model_number(entry.model, config.added.catalogue);
+  budget.member = subject_number(entry, "member", entry.member, config.names.tenants, errors);
+  budget.cls = subject_number(entry, "class", entry.cls, config.names.classes, errors);
+  budget.model = model_number(entry.model, config.operator_file.catalogue);
   budget.hard = entry.hard;
   budget.rule = rule_of(entry);
   return budget;
@@ -100,10 +100,11 @@
       {"lru", affinity::Eviction::lru},
       {"segmented", affinity::Eviction::segmented},
       {"tinylfu", affinity::Eviction::tinylfu}};
-  const config::AffinityFile& file = config.added.affinity;
+  const config::AffinityFile& file = config.operator_file.affinity;
   affinity::Options options;
   options.table.entries = file.entries;
-  options.table.bytes = file.bytes > 0 ? file.bytes : config.memory_mb * 1024 * 1024 / kAffinityMemoryDivisor;
+  options.table.bytes =
+      file.bytes > 0 ? file.bytes : config.limits.memory_mb * 1024 * 1024 / kAffinityMemoryDivisor;
   options.table.eviction = evictions.at(file.eviction);
   options.table.seed = config.settings.seed;
   options.max_replicas = file.replicas;
@@ -113,14 +114,14 @@
 }
 
 budgets::Options budget_options(const config::Config& config) {
-  const config::BudgetsFile& file = config.added.budgets;
+  const config::BudgetsFile& file = config.operator_file.budgets;
   budgets::Options options;
-  options.members = config.tenants;
-  options.classes = config.classes;
-  options.models = config.added.catalogue.names();
+  options.members = config.names.tenants;
+  options.classes = config.names.classes;
+  options.models = config.operator_file.catalogue.names();
   options.router_index = config.settings.rank + 1;
   options.router_count = std::max(config.settings.group_size, options.router_index);
-  if (config.added.copies.enabled) {
+  if (config.operator_file.replication.enabled) {
     // The group grants from whole limits; they are not split among its routers.
     options.router_index = 1;
     options.router_count = 1;
@@ -128,15 +129,15 @@
   options.block_ratio = file.block;
   options.soft_limit_weight = file.soft_worth;
   options.max_accounts = file.accounts;
-  ErrorLines errors(config.added.path);
+  ErrorLines errors(config.operator_file.path);
   for (const auto& entry : file.budgets) options.budgets.push_back(budget_of(entry, config, errors));
   errors.throw_if_any();
   return options;
 }
 
 Membership membership_of(const config::Config& config) {
-  const config::GroupFile& file = config.added.group;
-  ErrorLines errors(config.added.path);
+  const config::GroupFile& file = config.operator_file.group;
+  ErrorLines errors(config.operator_file.path);
   for (const auto& router : file.routers) {
     if (!net::parse_address(router.address))
       errors.add(router.line, "router.address: not an address: '" + router.address + "'");
@@ -156,18 +157,18 @@
 }
 
 std::string handover_path(const config::Config& config) {
-  const char* folder = config.ops.empty() ? nullptr : std::getenv("TMPDIR");
-  return net::handover_path(folder == nullptr ? "" : folder, config.name, config.listen);
+  const char* folder = config.listeners.operators.empty() ? nullptr : std::getenv("TMPDIR");
+  return net::handover_path(folder == nullptr ? "" : folder, config.name, config.listeners.requests);
 }
 
 void check_config(const config::Config& config) {
   budget_options(config);
-  if (!config.added.group.name.empty()) membership_of(config);
-  dialect_named(config.added.target_dialect);
-  for (const auto& [uid, name] : config.added.targets) dialect_named(name);
-  check_address("listen", config.listen);
-  check_address("discovery", config.discovery);
-  if (!config.ops.empty()) check_address("ops", config.ops);
+  if (!config.operator_file.group.name.empty()) membership_of(config);
+  dialect_named(config.operator_file.target_dialect);
+  for (const auto& [uid, name] : config.operator_file.targets) dialect_named(name);
+  check_address("listen", config.listeners.requests);
+  check_address("discovery", config.discovery.address);
+  if (!config.listeners.operators.empty()) check_address("ops", config.listeners.operators);
   // The routing policy checks the settings as it is built.
   [[maybe_unused]] const RoutingPolicy checked(config.settings, 0);
 }
--- a/src/node/connection_options.cpp
+++ b/src/node/connection_options.cpp
@@ -23,7 +23,7 @@
   return static_cast<std::size_t>(share * static_cast<double>(net::descriptors().limit));
 }
 
-std::size_t memory_bytes(const config::Config& config) { return config.memory_mb * 1024 * 1024; }
+std::size_t memory_bytes(const config::Config& config) { return config.limits.memory_mb * 1024 * 1024; }
 
 std::size_t bytes_in_flight(const config::Config& config, std::size_t connections) {
   return std::clamp(memory_bytes(config) / kInFlightDivisor / connections, kMinInFlight, kMaxInFlight);
@@ -40,17 +40,17 @@
 
 net::UpstreamPool::Options upstream_options(const config::Config& config) {
   net::UpstreamPool::Options options;
-  options.keepalive = config.keepalive;
-  options.dial_limit = config.dial_limit;
-  options.silence_limit = config.silence_limit;
-  options.report_names = config.report_fields;
+  options.keepalive = config.timeouts.keepalive;
+  options.dial_limit = config.timeouts.connect;
+  options.silence_limit = config.timeouts.stream_silence;
+  options.report_names = config.names.report_fields;
   options.most_connections = share_of_descriptors(kUpstreamShare);
   options.most_frame = bytes_in_flight(config, options.most_connections);
-  options.dialect = &dialect_named(config.added.target_dialect);
-  for (const auto& [uid, name] : config.added.targets) options.by_name[uid] = &dialect_named(name);
-  if (!config.added.catalogue.empty()) {
+  options.dialect = &dialect_named(config.operator_file.target_dialect);
+  for (const auto& [uid, name] : config.operator_file.targets) options.by_name[uid] = &dialect_named(name);
+  if (!config.operator_file.catalogue.empty()) {
     options.model_name = [&config](std::uint16_t number) {
-      return upstream_model_name(config.added.catalogue, number);
+      return upstream_model_name(config.operator_file.catalogue, number);
     };
   }
   return options;
@@ -58,8 +58,8 @@
 
 net::DownstreamServer::Options downstream_options(const config::Config& config) {
   net::DownstreamServer::Options options;
-  options.most_connections = config.most_clients > 0
-                                 ? config.most_clients
+  options.most_connections = config.limits.max_client_connections > 0
+                                 ? config.limits.max_client_connections
                                  : std::max<std::size_t>(1, share_of_descriptors(kDownstreamShare));
   const std::size_t not_upstream = std::max<std::size_t>(1, share_of_descriptors(1 - kUpstreamShare));
   options.most_lines = std::max(not_upstream, options.most_connections + 1);
@@ -67,9 +67,11 @@
   options.congested = bytes_in_flight(config, options.most_connections);
   options.crowded_absence =
       config.settings.retry_after ? std::min(kCrowdedRetryAfter, config.settings.max_retry_after) : 0;
-  options.shared = !config.ops.empty();
-  if (!config.added.catalogue.empty()) {
-    options.model_name = [&config](std::uint16_t number) { return config.added.catalogue.name_of(number); };
+  options.shared = !config.listeners.operators.empty();
+  if (!config.operator_file.catalogue.empty()) {
+    options.model_name = [&config](std::uint16_t number) {
+      return config.operator_file.catalogue.name_of(number);
+    };
   }
   return options;
 }
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -25,7 +25,7 @@
                                            const DurableState& durable_state) {
   models::Pools::Options options;
   options.settings = config.settings;
-  options.catalogue = config.added.catalogue;
+  options.catalogue = config.operator_file.catalogue;
   options.names_of = [&endpoints](ReplicaId replica) { return replica_names(endpoints, replica); };
   options.make = [&durable_state](const Settings& settings, Time created, models::Number) {
     return build_policy(settings, created, durable_state);
@@ -68,7 +68,7 @@
   const Settings& settings = config.settings;
   const Time now = net::now_us();
   DeciderChain chain;
-  if (config.added.catalogue.empty()) {
+  if (config.operator_file.catalogue.empty()) {
     chain.decider = build_policy(settings, now, durable_state);
   } else {
     auto pools = build_pools(config, now, endpoints, durable_state);
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -10,9 +10,9 @@
 
 void DownstreamFronts::open(core::RequestManager& core, net::HandoverState& handover_state) {
   const config::Config& config = dependencies_.config;
-  open_one(config.listen, fronts::platform(), core, handover_state);
-  if (!config.added.messages_listen.empty())
-    open_one(config.added.messages_listen, fronts::messages(), core, handover_state);
+  open_one(config.listeners.requests, fronts::platform(), core, handover_state);
+  if (!config.operator_file.messages_listen.empty())
+    open_one(config.operator_file.messages_listen, fronts::messages(), core, handover_state);
 }
 
 void DownstreamFronts::open_one(const std::string& address, const fronts::Dialect& dialect,
@@ -32,9 +32,9 @@
 
 void DownstreamFronts::lend_sockets(net::HandoverState& handover_state) const {
   const config::Config& config = dependencies_.config;
-  lend_socket(handover_state, config.listen, servers_.front()->socket());
+  lend_socket(handover_state, config.listeners.requests, servers_.front()->socket());
   if (servers_.size() > 1)
-    lend_socket(handover_state, config.added.messages_listen, servers_.back()->socket());
+    lend_socket(handover_state, config.operator_file.messages_listen, servers_.back()->socket());
 }
 
 void DownstreamFronts::phase_changed() {
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -22,7 +22,7 @@
 
 DurableState::DurableState(const config::Config& config, ReplicaUid uid_of)
     : config_(config), uid_of_(std::move(uid_of)), affinity_log_(uid_of_) {
-  if (config.added.affinity.enabled)
+  if (config.operator_file.affinity.enabled)
     affinity_table_ = std::make_unique<affinity::AffinityTable>(affinity_options(config), &affinity_log_);
   open_store();
   open_quota_service();
@@ -32,8 +32,8 @@
 // ---------------------------------------------------------------- the store
 
 void DurableState::open_store() {
-  const bool budgets = !config_.added.budgets.budgets.empty();
-  if (config_.added.store.file.empty() || (!affinity_table_ && !budgets)) return;
+  const bool budgets = !config_.operator_file.budgets.budgets.empty();
+  if (config_.operator_file.store.file.empty() || (!affinity_table_ && !budgets)) return;
   try {
     state_store_ = make_state_store();
     if (affinity_table_) load_affinity_table();
@@ -45,11 +45,11 @@
 }
 
 std::unique_ptr<persistence::StateStore> DurableState::make_state_store() {
-  const config::StoreFile& file = config_.added.store;
+  const config::StoreFile& file = config_.operator_file.store;
   store::WriterOptions options;
   options.max_undurable_changes = file.changes;
   options.max_gathered_records = std::max<std::size_t>(options.max_gathered_records, 2 * file.changes);
-  options.max_gathered_bytes = config_.memory_mb * 1024 * 1024 / kStoreMemoryDivisor / kStoreBatches;
+  options.max_gathered_bytes = config_.limits.memory_mb * 1024 * 1024 / kStoreMemoryDivisor / kStoreBatches;
   auto state_store = std::make_unique<persistence::StateStore>(
       store::FileOptions{.path = file.file, .holder = config_.name, .megabytes = file.megabytes}, options,
       [this](ReplicaId replica) { return uid_of_(replica); });
@@ -62,7 +62,7 @@
 
 void DurableState::load_affinity_table() {
   const auto loaded = state_store_->load(*affinity_table_, net::now_us());
-  logging::info("store") << config_.added.store.file << " gave " << loaded.sessions << " sessions, "
+  logging::info("store") << config_.operator_file.store.file << " gave " << loaded.sessions << " sessions, "
                          << loaded.prefixes << " prefixes and " << loaded.replicas << " boxes; "
                          << loaded.unreadable << " unreadable, " << loaded.no_room << " without room";
 }
@@ -70,7 +70,7 @@
 // Twice within the time in which changes are to be durable: a change waits for one flush to be gathered, and
 // is written by the next.
 void DurableState::schedule_store_flush() {
-  const auto half = static_cast<Time>(config_.added.store.sync_s * 1e6 / 2);
+  const auto half = static_cast<Time>(config_.operator_file.store.sync_s * 1e6 / 2);
   flush_timer_.start(std::max(half, kMinFlushInterval), [this] { flush_store(); });
 }
 
@@ -94,7 +94,7 @@
 // ---------------------------------------------------------------- budgets
 
 void DurableState::open_quota_service() {
-  const config::BudgetsFile& file = config_.added.budgets;
+  const config::BudgetsFile& file = config_.operator_file.budgets;
   if (file.budgets.empty() && !file.fair) return;
   if (!file.budgets.empty()) open_quota_backend();
   quota_service_ = std::make_unique<budgets::QuotaService>(budget_options(config_), quota_state_store_.get(),
@@ -111,7 +111,7 @@
 
 // Accounts are the group's, or this router's own in its store, or lost with the process.
 void DurableState::open_quota_backend() {
-  if (config_.added.copies.enabled) {
+  if (config_.operator_file.replication.enabled) {
     quota_proxy_ = std::make_unique<LocalQuotaProxy>();
   } else if (state_store_) {
     quota_state_store_ =
@@ -121,12 +121,12 @@
 
 void DurableState::load_accounts() {
   const auto loaded = quota_state_store_->load(quota_service_->accounts);
-  logging::info("budgets") << config_.added.store.file << " gave " << loaded.accounts << " accounts; "
+  logging::info("budgets") << config_.operator_file.store.file << " gave " << loaded.accounts << " accounts; "
                            << loaded.unreadable << " unreadable";
 }
 
 void DurableState::open_fair_share() {
-  if (!config_.added.budgets.fair) return;
+  if (!config_.operator_file.budgets.fair) return;
   budgets::FairOptions options;
   for (const auto& tenant : config_.settings.tenants)
     options.weights.push_back(std::max(kMinShare, tenant.share));
@@ -135,7 +135,8 @@
 
 void DurableState::update_prices() {
   quota_service_->prices.clear();
-  for (const auto& model : config_.added.catalogue.models) quota_service_->prices.push_back(model.price);
+  for (const auto& model : config_.operator_file.catalogue.models)
+    quota_service_->prices.push_back(model.price);
 }
 
 void DurableState::budgets_changed(Time now) {
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -81,7 +81,7 @@
 net::HandoverState HandoverCoordinator::offer() {
   net::HandoverState state;
   parts_.fronts.lend_sockets(state);
-  lend_socket(state, parts_.config.peer_listen, parts_.peers.socket());
+  lend_socket(state, parts_.config.listeners.peers, parts_.peers.socket());
   state.drained = parts_.router_lifecycle.drained();
   const std::size_t spare = descriptor_limit_ / kSpareDescriptorsDivisor;
   state.held = std::min(descriptor_limit_, net::descriptors().held + spare);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -21,15 +21,15 @@
 
 Node::Node(const config::Config& config, net::HandoverState handover_state)
     : config_(config),
-      metrics_(config.classes),
-      names_{config.classes, config.tenants, {}},
+      metrics_(config.names.classes),
+      names_{config.names.classes, config.names.tenants, {}},
       endpoints_(
           endpoint_options(),
           [this](EndpointUpdate scope, std::span<const Endpoint> entries) { on_endpoints(scope, entries); }),
-      peers_({.listen = config.peer_listen,
-              .all = config.peers_all,
-              .peers = config.peers,
-              .bound = std::move(handover_state.sockets[config.peer_listen])},
+      peers_({.listen = config.listeners.peers,
+              .all = config.peers.all,
+              .peers = config.peers.each,
+              .bound = std::move(handover_state.sockets[config.listeners.peers])},
              [this](std::uint32_t rank, std::span<const std::uint8_t> message) {
                core_->on_peer_message(rank, message);
              }),
@@ -55,13 +55,13 @@
                  .phase_changed = [this](const char* reason) { phase_changed(reason); }}) {
   clock_.wake = [this] { core_->wake(); };
   upstream_.serve(*core_);
-  if (!config_.added.catalogue.empty())
-    names_.model = [this](std::string_view name) { return config_.added.catalogue.find(name); };
+  if (!config_.operator_file.catalogue.empty())
+    names_.model = [this](std::string_view name) { return config_.operator_file.catalogue.find(name); };
   restore_state(handover_state);
   if (handover_state.drained) lifecycle_.leave(net::now_us());
   fronts_.open(*core_, handover_state);
   if (!handover_state.line) open_cluster();
-  if (config_.ops.empty()) return;
+  if (config_.listeners.operators.empty()) return;
   open_admin_endpoint();
   if (handover_state.line) {
     handover_.join_predecessor(std::move(handover_state.line), handover_state.held);
@@ -73,9 +73,9 @@
 net::EndpointTable::Options Node::endpoint_options() const {
   const Settings& settings = config_.settings;
   net::EndpointTable::Options options;
-  options.address = config_.discovery;
-  options.zones = config_.zones;
-  options.kinds = config_.kinds;
+  options.address = config_.discovery.address;
+  options.zones = config_.names.zones;
+  options.kinds = config_.names.kinds;
   options.calls.max_poll_interval = settings.max_poll_interval;
   options.calls.routers = settings.group_size;
   options.calls.pushed = !settings.discovery_by_polling;
@@ -91,9 +91,9 @@
 }
 
 std::unique_ptr<net::FlowExporter> Node::make_flow_exporter() const {
-  const std::string& collector = config_.added.flow_collector;
+  const std::string& collector = config_.operator_file.flow_collector;
   if (collector.empty()) return nullptr;
-  return std::make_unique<net::FlowExporter>(collector, config_.added.flow_domain);
+  return std::make_unique<net::FlowExporter>(collector, config_.operator_file.flow_domain);
 }
 
 std::unique_ptr<core::RequestManager> Node::make_core() {
@@ -131,7 +131,8 @@
 
 // The predecessor's list is current; the configuration's may be old.
 void Node::restore_endpoints(const net::HandoverState& handover_state) {
-  const std::string& list = handover_state.list.empty() ? config_.known : handover_state.list;
+  const std::string& list =
+      handover_state.list.empty() ? config_.discovery.known_endpoints : handover_state.list;
   if (list.empty()) return;
   simdjson::dom::parser parser;
   simdjson::dom::element known;
@@ -140,7 +141,7 @@
 
 void Node::open_admin_endpoint() {
   admin_endpoint_ = std::make_unique<net::AdminEndpoint>(
-      config_.ops, [this](std::string_view line) { return admin_commands_.answer(line); });
+      config_.listeners.operators, [this](std::string_view line) { return admin_commands_.answer(line); });
   logging::info("main") << "operators call at " << admin_endpoint_->address();
 }
 
@@ -155,7 +156,7 @@
 // A group's addresses that cannot be opened are an error at the start; during a handover the router serves on
 // without its group.
 void Node::open_cluster() {
-  if (config_.added.group.name.empty() || cluster_) return;
+  if (config_.operator_file.group.name.empty() || cluster_) return;
   try {
     cluster_ = std::make_unique<Cluster>(config_, durable_state_.quota_proxy());
   } catch (const net::NetError& problem) {
@@ -181,24 +182,26 @@
   const Time now = net::now_us();
   reload_models(config, now);
   reload_budgets(config, now);
-  if (config.discovery == config_.discovery) return;
-  logging::info("main") << "discovery moves from " << config_.discovery << " to " << config.discovery;
-  config_.discovery = config.discovery;
-  endpoints_.switch_to(config.discovery);
+  if (config.discovery.address == config_.discovery.address) return;
+  logging::info("main") << "discovery moves from " << config_.discovery.address << " to "
+                        << config.discovery.address;
+  config_.discovery.address = config.discovery.address;
+  endpoints_.switch_to(config.discovery.address);
 }
 
 // Requests that are open go on where they are.
 void Node::reload_models(const config::Config& config, Time now) {
-  if (pools_ == nullptr || config.added.catalogue.empty()) return;
-  config_.added.catalogue = models::renumbered(config_.added.catalogue, config.added.catalogue);
-  pools_->change(now, config_.added.catalogue);
-  logging::info("models") << config_.added.catalogue.models.size() << " models known";
+  if (pools_ == nullptr || config.operator_file.catalogue.empty()) return;
+  config_.operator_file.catalogue =
+      models::renumbered(config_.operator_file.catalogue, config.operator_file.catalogue);
+  pools_->change(now, config_.operator_file.catalogue);
+  logging::info("models") << config_.operator_file.catalogue.models.size() << " models known";
 }
 
 // What was used of a budget stays used. Whether there are budgets at all only changes at the next start.
 void Node::reload_budgets(const config::Config& config, Time now) {
-  config::BudgetsFile& current = config_.added.budgets;
-  const config::BudgetsFile& fresh = config.added.budgets;
+  config::BudgetsFile& current = config_.operator_file.budgets;
+  const config::BudgetsFile& fresh = config.operator_file.budgets;
   if (durable_state_.quota_service() == nullptr || fresh.budgets.empty() != current.budgets.empty()) return;
   current.budgets = fresh.budgets;
   current.soft_worth = fresh.soft_worth;
--- a/src/node/replication_status.hpp
+++ b/src/node/replication_status.hpp
@@ -14,7 +14,7 @@
 
 // What a status is made from; refers to the parts for the length of one call.
 struct ReplicationStatus {
-  const config::CopiesFile& file;
+  const config::ReplicationFile& file;
   const membership::Roster& roster;
   const replication::ReplicationNode& replication;
   const persistence::LedgerStore& store;
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -36,8 +36,9 @@
 
 // Sets the limit of the descriptors for connections and listeners.
 void set_connection_limit(const config::Config& config) {
-  const std::size_t limit = raise_descriptor_limit(config.sockets);
-  const std::size_t for_operators = config.ops.empty() ? 0 : net::AdminEndpoint::kMostCallers + 1;
+  const std::size_t limit = raise_descriptor_limit(config.limits.sockets);
+  const std::size_t for_operators =
+      config.listeners.operators.empty() ? 0 : net::AdminEndpoint::kMostCallers + 1;
   net::descriptors().limit = limit - std::min(kUncountedDescriptors + for_operators, limit / 4);
 }
 
--- a/tests/net/config.cpp
+++ b/tests/net/config.cpp
@@ -45,22 +45,22 @@
   CHECK(config.settings.seed == 0xff);
   CHECK(config.settings.group_size == 4);
   CHECK(config.settings.classes.at(0).latency_objective == 1'200'000);
-  CHECK(config.classes == std::vector<std::string>{"chat"});
-  CHECK(config.tenants == std::vector<std::string>{"acme"});
-  CHECK(config.report_fields == std::vector<std::string>{"queue"});
-  CHECK(config.keepalive == 4'000'000);
+  CHECK(config.names.classes == std::vector<std::string>{"chat"});
+  CHECK(config.names.tenants == std::vector<std::string>{"acme"});
+  CHECK(config.names.report_fields == std::vector<std::string>{"queue"});
+  CHECK(config.timeouts.keepalive == 4'000'000);
 }
 
 TEST_CASE("a file that is read again says where discovery is, not the environment of the start") {
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
   setenv("GW_DISCOVERY", "127.0.0.1:2", 1);
   const config::Config old = config::read_config(file.path, "");
-  CHECK(old.discovery == "127.0.0.1:2");
+  CHECK(old.discovery.address == "127.0.0.1:2");
   config::Config fresh = config::read_config(file.path, "", config::Reading::again);
   unsetenv("GW_DISCOVERY");
-  CHECK(fresh.discovery == "127.0.0.1:1");
+  CHECK(fresh.discovery.address == "127.0.0.1:1");
   CHECK(config::needs_restart(old, fresh).empty());  // discovery needs none
-  fresh.listen = "127.0.0.1:3";
+  fresh.listeners.requests = "127.0.0.1:3";
   fresh.settings_text += "rank=2\n";
   CHECK(config::needs_restart(old, fresh) == "listen, settings");
 }
@@ -69,9 +69,9 @@
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
   config::Config config = config::read_config(file.path, "");
   CHECK_NOTHROW(node::check_config(config));
-  config.discovery = "nowhere";
+  config.discovery.address = "nowhere";
   CHECK_THROWS_WITH(node::check_config(config), "configuration: discovery is not an address: nowhere");
-  config.discovery = "127.0.0.1:1";
+  config.discovery.address = "127.0.0.1:1";
   config.settings.classes.clear();
   CHECK_THROWS(node::check_config(config));
 }
@@ -87,7 +87,7 @@
   }));
   const TempFile file(text);
   try {
-    config::read_config(file.path, "");
+    static_cast<void>(config::read_config(file.path, ""));
     FAIL("it was taken: " << text);
   } catch (const config::BadConfig& problem) {
     const std::string said = problem.what();
@@ -146,12 +146,12 @@
 TEST_CASE("the affinity table's bound follows the memory limit unless the operator says") {
   const TempFile file("[affinity]\nenabled = true\n");
   config::Config config;
-  config.added = config::read_operator_file(file.path);
-  config.memory_mb = 32;
+  config.operator_file = config::read_operator_file(file.path);
+  config.limits.memory_mb = 32;
   CHECK(node::affinity_options(config).table.bytes == (2u << 20));
-  config.memory_mb = 192;
+  config.limits.memory_mb = 192;
   CHECK(node::affinity_options(config).table.bytes == (12u << 20));
-  config.added.affinity.bytes = 100'000;
+  config.operator_file.affinity.bytes = 100'000;
   CHECK(node::affinity_options(config).table.bytes == 100'000);
 }
 
--- a/tests/net/fleet.cpp
+++ b/tests/net/fleet.cpp
@@ -201,15 +201,15 @@
   for (int i = 0; i < options.replicas; ++i) add_replica();
   for (int i = 0; i < options.sessions; ++i) sessions_.push_back(fresh());
   config_.name = "test";
-  config_.listen = "127.0.0.1:0";
-  config_.discovery = discovery_->address();
+  config_.listeners.requests = "127.0.0.1:0";
+  config_.discovery.address = discovery_->address();
   config_.settings = simulator_adapter::parse_settings(kSettings, 7);
-  config_.classes = {"agent"};
-  config_.tenants = {"acme"};
-  config_.zones = {"a"};
-  config_.kinds = {"m"};
-  config_.added.affinity = options.affinity;
-  config_.added.store = options.store;
+  config_.names.classes = {"agent"};
+  config_.names.tenants = {"acme"};
+  config_.names.zones = {"a"};
+  config_.names.kinds = {"m"};
+  config_.operator_file.affinity = options.affinity;
+  config_.operator_file.store = options.store;
   start_router();
 }
 
@@ -234,7 +234,7 @@
 }
 
 void Fleet::start_router() {
-  config_.known = list_json();
+  config_.discovery.known_endpoints = list_json();
   node_ = std::make_unique<node::Node>(config_);
   for (int i = 0; i < options_.clients; ++i) {
     Client* client = clients_.emplace_back(std::make_unique<Client>()).get();
--- a/tests/net/play.cpp
+++ b/tests/net/play.cpp
@@ -146,22 +146,22 @@
   listen(list_, "list");
   listen(new_list_, "newlist");
   config.name = "test";
-  config.listen = config.added.messages_listen = "127.0.0.1:0";
-  config.ops = setup.ops;
-  config.discovery = list_->address();
-  config.added.target_dialect = setup.box_dialect;
-  config.added.flow_collector = setup.flow_collector;
+  config.listeners.requests = config.operator_file.messages_listen = "127.0.0.1:0";
+  config.listeners.operators = setup.ops;
+  config.discovery.address = list_->address();
+  config.operator_file.target_dialect = setup.box_dialect;
+  config.operator_file.flow_collector = setup.flow_collector;
   config.settings = simulator_adapter::parse_settings(kSettings + setup.settings, 7);
-  config.classes = {"chat", "quick"};
-  config.tenants = {"acme"};
-  config.zones = {"a"};
-  config.kinds = {"m"};
-  config.report_fields = {"errors_per_s", "backlog"};
-  config.keepalive = setup.keepalive;
-  config.most_clients = setup.most_clients;
-  config.memory_mb = setup.memory_mb;
-  config.silence_limit = setup.silence_limit;
-  config.known = "{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}";
+  config.names.classes = {"chat", "quick"};
+  config.names.tenants = {"acme"};
+  config.names.zones = {"a"};
+  config.names.kinds = {"m"};
+  config.names.report_fields = {"errors_per_s", "backlog"};
+  config.timeouts.keepalive = setup.keepalive;
+  config.limits.max_client_connections = setup.most_clients;
+  config.limits.memory_mb = setup.memory_mb;
+  config.timeouts.stream_silence = setup.silence_limit;
+  config.discovery.known_endpoints = "{\"rev\":1,\"all\":true,\"targets\":[" + targets + "]}";
   read_operator_text(setup.operator_text);
   node_ = std::make_unique<node::Node>(config);
 }
@@ -171,9 +171,9 @@
   const Scratch scratch;
   write_bytes(scratch.path("o.toml"), text);
   const config::OperatorFile file = config::read_operator_file(scratch.path("o.toml"));
-  config_.added.catalogue = file.catalogue;
-  config_.added.budgets = file.budgets;
-  config_.added.store = file.store;
+  config_.operator_file.catalogue = file.catalogue;
+  config_.operator_file.budgets = file.budgets;
+  config_.operator_file.store = file.store;
 }
 
 void Play::reload(const std::string& operator_text) {
@@ -333,7 +333,7 @@
   } else if (verb == "close" && actor == "router") {
     node_->wind_down();
   } else if (verb == "turn") {
-    config_.discovery = new_list_->address();
+    config_.discovery.address = new_list_->address();
     node_->reload(config_);
   } else if (verb == "close") {
     line(actor).stream->close();
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -32,7 +32,7 @@
     installation = std::make_unique<Installation>(options);
     std::ofstream(scratch.path("router.json")) << installation->router_config();
     config::Config config = config::read_config(scratch.path("router.json"), "");
-    config.added.messages_listen = messages;
+    config.operator_file.messages_listen = messages;
     node = std::make_unique<node::Node>(config);
     LoadOptions asks;
     asks.scenario = scenario;
--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -107,22 +107,22 @@
   Fields fields;
   FieldWriter(fields, "router")
       .add("name", config.name)
-      .add("listen", config.listen)
-      .add("discovery", config.discovery)
-      .add("ops", config.ops)
-      .add("peer listen", config.peer_listen)
-      .add("peers all", config.peers_all)
-      .add("peers", config.peers)
-      .add("sockets", config.sockets)
-      .add("memory", config.memory_mb)
-      .add("class names", config.classes)
-      .add("tenant names", config.tenants)
-      .add("zone names", config.zones)
-      .add("kind names", config.kinds)
-      .add("inline report", config.report_fields)
-      .add("keepalive", config.keepalive)
-      .add("dial limit", config.dial_limit)
-      .add("known list", config.known);
+      .add("listen", config.listeners.requests)
+      .add("discovery", config.discovery.address)
+      .add("ops", config.listeners.operators)
+      .add("peer listen", config.listeners.peers)
+      .add("peers all", config.peers.all)
+      .add("peers", config.peers.each)
+      .add("sockets", config.limits.sockets)
+      .add("memory", config.limits.memory_mb)
+      .add("class names", config.names.classes)
+      .add("tenant names", config.names.tenants)
+      .add("zone names", config.names.zones)
+      .add("kind names", config.names.kinds)
+      .add("inline report", config.names.report_fields)
+      .add("keepalive", config.timeouts.keepalive)
+      .add("dial limit", config.timeouts.connect)
+      .add("known list", config.discovery.known_endpoints);
   add_module_settings(config.settings, fields);
   return fields;
 }
@@ -232,14 +232,14 @@
   add_budgets(file.budgets, fields);
   add_group(file.group, fields);
   FieldWriter(fields, "copies")
-      .add("enabled", file.copies.enabled)
-      .add("file", file.copies.file)
-      .add("megabytes", file.copies.megabytes)
-      .add("holders", file.copies.holders)
-      .add("lease", file.copies.lease_s)
-      .add("heartbeat", file.copies.heartbeat_s)
-      .add("without majority", file.copies.without_majority)
-      .add("overdraft", file.copies.overdraft);
+      .add("enabled", file.replication.enabled)
+      .add("file", file.replication.file)
+      .add("megabytes", file.replication.megabytes)
+      .add("holders", file.replication.holders)
+      .add("lease", file.replication.lease_s)
+      .add("heartbeat", file.replication.heartbeat_s)
+      .add("without majority", file.replication.without_majority)
+      .add("overdraft", file.replication.overdraft);
   return fields;
 }
 
