--- a/src/emulator/replication_simulation.cpp
+++ b/src/emulator/replication_simulation.cpp
@@ -72,7 +72,7 @@
     if (result_.broken.empty()) result_.broken = judge(window);
     for (std::size_t r = 0; r < routers_.size(); ++r) {
       if (!routers_[r].copies) continue;
-      for (const auto& [l, holder] : routers_[r].copies->holders()) {
+      for (const auto& [l, holder] : routers_[r].copies->replicas()) {
         write_log(fmt::format("r{}   ledger {}: copy {}, stage {}, {}", r, l, holder->process().id % 1000,
                               static_cast<int>(holder->stage()),
                               holder->consensus() != nullptr ? holder->consensus()->digest() : "no log"));
@@ -177,7 +177,7 @@
     write_log(fmt::format("r{} starts, disk {}", r, disk));
     if (disk != "kept") {
       for (std::size_t l = 0; l < options_.ledgers; ++l) {
-        const auto holders = replication::holders_of(*roster_, l, options_.copies);
+        const auto holders = replication::place_replicas(*roster_, l, options_.copies);
         if (std::find(holders.begin(), holders.end(), r) != holders.end()) router.unfilled.insert(l);
       }
     }
@@ -191,18 +191,18 @@
     router.written = 0, router.flushing = false;
     router.pending.clear(), router.frozen.clear();
     replication::Options options;
-    options.holder.self = options.quota_client.self = r;
-    options.holder.copies = options.quota_client.copies = options_.copies;
-    options.holder.roster = options.quota_client.roster = roster_;
-    options.holder.lease = options.quota_client.lease = kLease;
-    options.holder.patience = seconds(25);
-    options.holder.snapshot_every = 64, options.holder.trailing = 16;
-    options.holder.trust_any_disk = options_.trust_any_disk;
-    options.holder.answer_before_majority = options_.answer_before_majority;
+    options.replica.self = options.quota_client.self = r;
+    options.replica.replica_count = options.quota_client.replica_count = options_.copies;
+    options.replica.roster = options.quota_client.roster = roster_;
+    options.replica.lease = options.quota_client.lease = kLease;
+    options.replica.entry_timeout = seconds(25);
+    options.replica.snapshot_every = 64, options.replica.trailing = 16;
+    options.replica.trust_any_disk = options_.trust_any_disk;
+    options.replica.answer_before_majority = options_.answer_before_majority;
     options.quota_client.ledgers = options_.ledgers;
     options.quota_client.run = static_cast<std::uint32_t>(chance_.bits());
     options.quota_client.block = kBlock;
-    options.quota_client.patience = 300'000;
+    options.quota_client.response_timeout = 300'000;
     options.quota_client.overdraft = options_.overdraft;
     options.quota_client.outlive_lease = options_.outlive_lease;
     router.copies = std::make_unique<replication::ReplicationNode>(
@@ -214,14 +214,14 @@
               return *disk_of;
             },
             .stored =
-                [this, r](std::size_t l, const replication::Visit& visit) {
+                [this, r](std::size_t l, const replication::RecordVisitor& visit) {
                   for (const auto& [key, value] : routers_[r].disk) {
                     if (key.first == l) visit(key.second, value);
                   }
                 },
-            .chance = [this] { return chance_.bits(); },
+            .random_number = [this] { return chance_.bits(); },
             .send = [this, r](std::size_t to, std::string bytes) { send(r, to, std::move(bytes)); },
-            .write_log = [this, r](bool,
+            .write_log = [this, r](replication::Severity,
                                    const std::string& text) { write_log(fmt::format("r{}   {}", r, text)); }},
         local(r));
     for (const auto& account : accounts_) router.copies->quota_client().open(account.key, account.rule);
@@ -255,15 +255,15 @@
       Router& router = routers_[r];
       if (!router.alive || router.stopped) continue;
       router.copies->tick(local(r));
-      for (const auto& [number, holder] : router.copies->holders()) {
+      for (const auto& [number, holder] : router.copies->replicas()) {
         if (!holder->leads()) continue;
         for (const auto& m : holder->consensus()->members()) {
           const std::size_t member = roster_->find(m.name);
           Router& other = routers_[member];
           if (!m.votes || !other.alive || holder->consensus()->changing() ||
-              !other.copies->holders().contains(number))
+              !other.copies->replicas().contains(number))
             continue;
-          const auto& copy = *other.copies->holders().at(number);
+          const auto& copy = *other.copies->replicas().at(number);
           if (copy.process().id != m.id || copy.stage() != replication::Stage::member ||
               copy.consensus() == nullptr)
             continue;
@@ -368,8 +368,9 @@
     replication::Correction correction{chance_.bits() | 1, false, -1000, *line};
     ++result_.corrections;
     router.copies->quota_client().correct(
-        local(r), correction, [this, id = correction.id](bool yes, const std::string& why) {
-          write_log(fmt::format("correction {}: {} {}", id % 1000, yes ? "yes" : "no", why));
+        local(r), correction, [this, id = correction.id](const replication::OperatorOutcome& outcome) {
+          const bool yes = outcome.status == replication::OperatorOutcome::Status::accepted;
+          write_log(fmt::format("correction {}: {} {}", id % 1000, yes ? "yes" : "no", outcome.reason));
           if (yes) confirmed_.insert(id), ++result_.confirmed;
         });
   }
@@ -385,7 +386,7 @@
     std::set<std::size_t> led;
     for (const auto& router : routers_) {
       if (!router.alive) continue;
-      for (const auto& [number, holder] : router.copies->holders()) {
+      for (const auto& [number, holder] : router.copies->replicas()) {
         if (holder->leads()) led.insert(number);
       }
     }
@@ -458,8 +459,8 @@
   std::size_t leader_of(std::size_t ledger) const {
     for (std::size_t r = 0; r < routers_.size(); ++r) {
       if (!routers_[r].alive) continue;
-      const auto at_router = routers_[r].copies->holders().find(ledger);
-      if (at_router != routers_[r].copies->holders().end() && at_router->second->leads()) return r;
+      const auto at_router = routers_[r].copies->replicas().find(ledger);
+      if (at_router != routers_[r].copies->replicas().end() && at_router->second->leads()) return r;
     }
     return 0;
   }
@@ -468,7 +469,7 @@
   void amnesia(bool may_lose) {
     if (!may_lose || options_.copies != 3) return;
     const std::size_t leader = leader_of(0);
-    auto others = replication::holders_of(*roster_, 0, 3);
+    auto others = replication::place_replicas(*roster_, 0, 3);
     if (std::erase(others, leader) == 0) return;
     const std::size_t lagging = others[chance_.below(2)], older = others[others[0] == lagging ? 1 : 0];
     if (!routers_[older].alive || !routers_[leader].alive) return;
@@ -506,13 +507,13 @@
     for (std::size_t l = 0; l < options_.ledgers; ++l) {
       const replication::LedgerReplica* leader = nullptr;
       for (const auto& router : routers_) {
-        const auto at_router = router.copies->holders().find(l);
-        if (at_router != router.copies->holders().end() && at_router->second->leads())
+        const auto at_router = router.copies->replicas().find(l);
+        if (at_router != router.copies->replicas().end() && at_router->second->leads())
           leader = at_router->second.get();
       }
       if (leader == nullptr) return fmt::format("ledger {} has no leader at the end", l);
       for (const auto& m : leader->consensus()->members()) {
-        const auto& holder = routers_[roster_->find(m.name)].copies->holders().at(l);
+        const auto& holder = routers_[roster_->find(m.name)].copies->replicas().at(l);
         if (!m.votes || holder->process().id != m.id)
           return fmt::format("ledger {}: {} is not filled", l, m.name);
         if (holder->consensus()->committed() + 50 < leader->consensus()->committed())
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -30,35 +30,40 @@
   const auto lease = static_cast<Time>(file.lease_s * 1e6);
   const auto heartbeat = static_cast<Time>(file.heartbeat_s * 1e6);
   replication::Options options;
-  options.holder.self = membership.self;
-  options.holder.roster = membership.roster;
-  options.holder.copies = file.holders;
-  options.holder.lease = lease;
-  options.holder.heartbeat = heartbeat;
-  options.holder.election = kElectionHeartbeats * heartbeat;
-  options.holder.hello = std::max(kMinInterval, kHelloHeartbeats * heartbeat);
+  options.replica.self = membership.self;
+  options.replica.roster = membership.roster;
+  options.replica.replica_count = file.holders;
+  options.replica.lease = lease;
+  options.replica.heartbeat = heartbeat;
+  options.replica.election = kElectionHeartbeats * heartbeat;
+  options.replica.hello = std::max(kMinInterval, kHelloHeartbeats * heartbeat);
   options.quota_client.self = membership.self;
   options.quota_client.roster = membership.roster;
-  options.quota_client.copies = file.holders;
+  options.quota_client.replica_count = file.holders;
   options.quota_client.lease = lease;
   options.quota_client.ledgers = replication::ledgers_for(membership.roster->size());
   options.quota_client.run = run;
   options.quota_client.block = config.added.budgets.block;
-  options.quota_client.patience = std::max(kMinInterval, kPatienceHeartbeats * heartbeat);
+  options.quota_client.response_timeout = std::max(kMinInterval, kPatienceHeartbeats * heartbeat);
   options.quota_client.overdraft = file.without_majority == "lenient" ? file.overdraft : 0;
   return options;
 }
 
-void write_log(bool severe, const std::string& text) {
-  auto line = severe ? logging::warning("copies") : logging::info("copies");
+void write_log(replication::Severity severity, const std::string& text) {
+  auto line =
+      severity == replication::Severity::warning ? logging::warning("copies") : logging::info("copies");
   line << text;
 }
 
 // The answer to later questions about a command.
-std::string outcome_answer(bool accepted, const std::string& reason) {
-  if (accepted) return "+OK yes";
-  if (reason.empty()) return "-ERR not known: no answer came in time; ask again with the same id";
-  return "-ERR no: " + reason;
+std::string outcome_answer(const replication::OperatorOutcome& outcome) {
+  using Status = replication::OperatorOutcome::Status;
+  switch (outcome.status) {
+    case Status::accepted: return "+OK yes";
+    case Status::rejected: return "-ERR no: " + outcome.reason;
+    case Status::unknown: break;
+  }
+  return "-ERR not known: no answer came in time; ask again with the same id";
 }
 
 }  // namespace
@@ -100,10 +105,10 @@
   dependencies.records = [this](std::size_t ledger) -> replication::Records& {
     return store_->records(ledger);
   };
-  dependencies.stored = [this](std::size_t ledger, const replication::Visit& visit) {
+  dependencies.stored = [this](std::size_t ledger, const replication::RecordVisitor& visit) {
     store_->stored(ledger, visit);
   };
-  dependencies.chance = random_number;
+  dependencies.random_number = random_number;
   dependencies.send = [this](std::size_t member, const std::string& bytes) {
     fragmenter_.send(member, bytes);
   };
@@ -115,12 +120,12 @@
 
 void ClusterReplication::log_start() const {
   const std::size_t ledgers = replication_->quota_client().ledgers();
-  if (!replication::bears_loss_of_a_site(*roster_, ledgers, file_.holders)) {
+  if (!replication::survives_site_loss(*roster_, ledgers, file_.holders)) {
     logging::warning("copies") << "these sites cannot bear the loss of any whole one: " << file_.holders
                                << " copies need three sites";
   }
   logging::info("copies") << ledgers << " ledgers with " << file_.holders << " copies each, "
-                          << replication_->holders().size() << " of them here; " << file_.without_majority
+                          << replication_->replicas().size() << " of them here; " << file_.without_majority
                           << " without a majority";
 }
 
@@ -135,8 +140,9 @@
     }
   };
   const auto& quota_client = replication_->quota_client();
-  for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger) keep(quota_client.holders(ledger));
-  for (const auto& [ledger, replica] : replication_->holders()) keep(replica->wanted());
+  for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger)
+    keep(quota_client.replica_routers(ledger));
+  for (const auto& [ledger, replica] : replication_->replicas()) keep(replica->wanted());
 }
 
 void ClusterReplication::on_tick() {
@@ -237,26 +243,23 @@
   change.set = correction.kind == BudgetCorrection::Kind::set;
   change.units = static_cast<budgets::Units>(std::llround(*correction.tokens * budgets::kUnitsPerToken));
   change.account = *account;
-  replication_->quota_client().correct(now, change,
-                                       [this, id = correction.id](bool accepted, const std::string& reason) {
-                                         on_decided(id, accepted, reason);
-                                       });
+  replication_->quota_client().correct(
+      now, change,
+      [this, id = correction.id](const replication::OperatorOutcome& outcome) { on_decided(id, outcome); });
   return kPending;
 }
 
 std::string ClusterReplication::run_command(const RouterReplacement& replacement) {
   outcomes_.begin(replacement.id);
-  replication_->quota_client().replace(net::now_us(),
-                                       {replacement.id, replacement.old_name, replacement.new_name},
-                                       [this, id = replacement.id](bool accepted, const std::string& reason) {
-                                         on_decided(id, accepted, reason);
-                                       });
+  replication_->quota_client().replace(
+      net::now_us(), {replacement.id, replacement.old_name, replacement.new_name},
+      [this, id = replacement.id](const replication::OperatorOutcome& outcome) { on_decided(id, outcome); });
   schedule_tick();
   return kPending;
 }
 
-void ClusterReplication::on_decided(std::uint64_t id, bool accepted, const std::string& reason) {
-  const std::string answer = outcome_answer(accepted, reason);
+void ClusterReplication::on_decided(std::uint64_t id, const replication::OperatorOutcome& outcome) {
+  const std::string answer = outcome_answer(outcome);
   outcomes_.set(id, answer);
   logging::info("copies") << "operator's word " << id << ": " << answer;
 }
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -57,7 +57,7 @@
   std::string run_command(const RouterReplacement& replacement);
   std::string run_command(const BadCommandId&) const;
   std::string begin_correction(const BudgetCorrection& correction);
-  void on_decided(std::uint64_t id, bool accepted, const std::string& reason);
+  void on_decided(std::uint64_t id, const replication::OperatorOutcome& outcome);
 
   config::CopiesFile file_;
   std::shared_ptr<const membership::Roster> roster_;
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -54,7 +54,7 @@
 
 Json ledgers_json(const ReplicationStatus& status) {
   Json ledgers = Json::array();
-  for (const auto& [number, replica] : status.replication.holders())
+  for (const auto& [number, replica] : status.replication.replicas())
     ledgers.push_back(ledger_json(number, *replica, status.roster));
   return ledgers;
 }
@@ -78,7 +78,7 @@
                          {"account", key},
                          {"window", window},
                          {"limit", in_tokens(state.amount)},
-                         {"left", in_tokens(state.left)},
+                         {"left", in_tokens(state.available)},
                          {"charged", in_tokens(state.charged)},
                          {"in_hand", in_tokens(state.in_hand())},
                          {"open", in_tokens(expired_units(ledger, state))},
@@ -89,7 +89,7 @@
 
 Json account_windows_json(const ReplicationStatus& status) {
   Json windows = Json::array();
-  for (const auto& [number, replica] : status.replication.holders())
+  for (const auto& [number, replica] : status.replication.replicas())
     add_account_windows(number, replica->ledger(), windows);
   return windows;
 }
@@ -97,12 +97,12 @@
 // What this router itself holds of the limits.
 Json holds_json(const ReplicationStatus& status) {
   Json holds = Json::array();
-  for (const auto& line : status.replication.quota_client().lines()) {
+  for (const auto& line : status.replication.quota_client().window_statuses()) {
     if (holds.size() >= kMaxAccounts) break;
     holds.push_back({{"account", line.key},
                      {"window", line.window},
                      {"limit", in_tokens(line.limit)},
-                     {"left", in_tokens(line.left)},
+                     {"left", in_tokens(line.available)},
                      {"in_hand", in_tokens(line.in_hand)},
                      {"used", in_tokens(line.used)},
                      {"reserved", in_tokens(line.reserved)}});
@@ -122,14 +122,14 @@
   const auto& quota = status.replication.quota_client().metrics();
   const auto& messages = status.replication.metrics();
   const auto disk = status.store.metrics();
-  return {{"asked", quota.asked},
-          {"answered", quota.answered},
-          {"refused", quota.rejected},
-          {"unanswered", quota.unanswered},
-          {"behind", quota.behind},
+  return {{"asked", quota.requests},
+          {"answered", quota.responses},
+          {"refused", quota.rejections},
+          {"unanswered", quota.timeouts},
+          {"behind", quota.insufficient},
           {"overdrawn", quota.overdrawn},
-          {"sessions", quota.sessions},
-          {"far_clock", quota.far},
+          {"sessions", quota.new_sessions},
+          {"far_clock", quota.clock_rejections},
           {"heard", messages.received},
           {"sent", messages.sent},
           {"sent_bytes", messages.sent_bytes},
--- a/src/persistence/ledger_store.cpp
+++ b/src/persistence/ledger_store.cpp
@@ -57,7 +57,7 @@
   return *records;
 }
 
-void LedgerStore::stored(std::size_t ledger, const replication::Visit& visit) const {
+void LedgerStore::stored(std::size_t ledger, const replication::RecordVisitor& visit) const {
   const auto found = stored_.find(ledger);
   if (found == stored_.end()) return;
   for (const auto& [key, value] : found->second) visit(key, value);
--- a/src/persistence/ledger_store.hpp
+++ b/src/persistence/ledger_store.hpp
@@ -22,7 +22,7 @@
 
   replication::Records& records(std::size_t ledger);
   // What the file had at the start, in the order of the keys.
-  void stored(std::size_t ledger, const replication::Visit& visit) const;
+  void stored(std::size_t ledger, const replication::RecordVisitor& visit) const;
   void loaded() { stored_.clear(); }  // nobody asks for that any more
 
   void hand_over() { writer_.hand_over(); }
--- a/src/replication/consensus.cpp
+++ b/src/replication/consensus.cpp
@@ -13,11 +13,14 @@
 
 constexpr std::uint64_t kFoundingTerm = 1;
 constexpr std::uint64_t kFoundingIndex = 1;
-constexpr unsigned kSnapshotTimeouts =
-    10;  // election timeouts for an installed snapshot, or a catch-up round
+// Election timeouts that the installation of a snapshot, or a catch-up round, may take.
+constexpr unsigned kSnapshotTimeouts = 10;
 constexpr ReplicaUid kDigestIdDigits = 1000;  // a digest shows the last three digits of an id
 
-unsigned milliseconds(Time time) { return static_cast<unsigned>(std::max<Time>(1, time / 1000)); }
+// The library counts in milliseconds, and takes 0 for no timeout.
+unsigned in_milliseconds(Time time) {
+  return static_cast<unsigned>(std::max<Time>(1, time / milliseconds(1)));
+}
 
 // Closes a C-Raft instance. The library calls back into its I/O while it is closed.
 class RaftSession {
@@ -48,12 +51,12 @@
 // A command on its way through the library, which keeps the address of `request`.
 struct Proposal {
   struct raft_apply request {};
-  std::function<void(bool)> done;
+  Consensus::ProposalDone done;
 };
 
 void on_proposal_done(struct raft_apply* request, int status, void*) {
   const std::unique_ptr<Proposal> proposal(static_cast<Proposal*>(request->data));
-  proposal->done(status == 0);
+  proposal->done(status == 0 ? Consensus::ProposalOutcome::committed : Consensus::ProposalOutcome::unknown);
 }
 
 class IgnoredRecords final : public Records {
@@ -64,7 +67,7 @@
 
 }  // namespace
 
-// The library's instance with its I/O.
+// The library's instance and its I/O.
 class Consensus::Node {
  public:
   Node(Options options, Dependencies dependencies, Time now)
@@ -87,7 +90,7 @@
   void on_message(Time now, ReplicaUid from, const std::string& name, std::uint64_t term,
                   std::string_view bytes);
   void on_durable(Time now, std::uint64_t number);
-  bool propose(Time now, std::string_view command, std::function<void(bool)> done);
+  bool propose(Time now, std::string_view command, ProposalDone done);
   // Asks the library for a change of members with a function of its own.
   using RequestChange = std::function<int(raft*, raft_change*, raft_change_cb)>;
   bool change_members(Time now, const RequestChange& request);
@@ -101,7 +104,7 @@
   Options options_;
   raft raft_{};
   RaftIoAdapter adapter_;
-  RaftSession session_;  // behind the adapter: is closed while that is whole
+  RaftSession session_;  // declared after the adapter, which the library still calls while it closes
   raft_change change_{};
   bool changing_ = false;
   std::string problem_;
@@ -127,9 +130,9 @@
     problem_ = raft_errmsg(&raft_);
     return;
   }
-  const unsigned election = milliseconds(options_.election);
+  const unsigned election = in_milliseconds(options_.election);
   raft_set_election_timeout(&raft_, election);
-  raft_set_heartbeat_timeout(&raft_, milliseconds(options_.heartbeat));
+  raft_set_heartbeat_timeout(&raft_, in_milliseconds(options_.heartbeat));
   raft_set_snapshot_threshold(&raft_, options_.snapshot_every);
   raft_set_snapshot_trailing(&raft_, options_.trailing);
   raft_set_install_snapshot_timeout(&raft_, kSnapshotTimeouts * election);
@@ -139,8 +142,8 @@
   adapter_.run_pending();
 }
 
-// Starts anew from the records that this copy has, cut off at this index; see unsafe_truncation(). Messages
-// from now on speak of entries that may not be durable yet.
+// Restarts the library from this replica's own records, truncated at index `cut`; see unsafe_truncation().
+// Messages wait from now on until these records are durable, because they report entries that may not be.
 void Consensus::Node::restart_from(std::uint64_t cut) {
   const LogView log = adapter_.log_view();
   EntriesByIndex kept;
@@ -160,8 +163,8 @@
 
 // ---------------------------------------------------------------- events
 
-// The library leaves a change of members pending that came to be committed by way of a snapshot, and would
-// reject any other change from then on.
+// Works around a fault of the library: a change of members that a snapshot committed stays pending in it, so
+// that it would reject every later change.
 void Consensus::Node::settle_applied_configuration() {
   const raft_index uncommitted = raft_.configuration_uncommitted_index;
   if (uncommitted == 0 || uncommitted > raft_.last_applied) return;
@@ -202,7 +205,7 @@
   raft_message message{};
   message.server_id = from;
   message.server_address = address.c_str();
-  fill_raft_message(message, *body);
+  fill_raft_message(message, std::move(*body));
   adapter_.set_sender(message.server_address);
   adapter_.receive(message);
   notice_later_term(from, address, term);
@@ -210,9 +213,9 @@
   adapter_.run_pending();
 }
 
-// The library's answer to a candidate whose term is behind does not carry the later term: with a longer log
-// than those that are ahead of it in terms, neither would ever be elected. So the candidate is shown a
-// request for a vote in that term, which it rejects; a later term may be noticed from any message.
+// Works around a fault of the library: its response to a candidate with an earlier term does not carry the
+// later term. A candidate with a longer log than the servers of the later term would never be elected, nor
+// would they. The candidate is therefore given a request for a vote in the later term, which it rejects.
 void Consensus::Node::notice_later_term(ReplicaUid from, const std::string& address, std::uint64_t term) {
   if (!runs() || raft_.state != RAFT_CANDIDATE || term <= raft_.current_term) return;
   raft_message message{};
@@ -222,7 +225,7 @@
   adapter_.receive(message);
 }
 
-bool Consensus::Node::propose(Time now, std::string_view command, std::function<void(bool)> done) {
+bool Consensus::Node::propose(Time now, std::string_view command, ProposalDone done) {
   adapter_.set_time(now);
   if (!leads() || command.size() > kMostCommand) return false;
   auto proposal = std::make_unique<Proposal>();
@@ -267,12 +270,12 @@
   node_->start();
 }
 
-// Closed while `node_` is whole: proposals that are pending call back.
+// Closes while `node_` is whole, because pending proposals call back.
 Consensus::~Consensus() { node_->close(); }
 
-bool Consensus::own(std::string_view key) { return parse_log_key(key).kind != LogRecordKind::other; }
+bool Consensus::owns_key(std::string_view key) { return parse_log_key(key).kind != LogRecordKind::other; }
 
-std::map<std::string, std::string> Consensus::founding(std::vector<LogMember> members) {
+std::map<std::string, std::string> Consensus::founding_records(std::vector<LogMember> members) {
   std::sort(members.begin(), members.end(),
             [](const LogMember& left, const LogMember& right) { return left.id < right.id; });
   std::vector<StoredServer> servers;
@@ -345,7 +348,7 @@
   return text;
 }
 
-bool Consensus::propose(Time now, std::string_view command, std::function<void(bool)> done) {
+bool Consensus::propose(Time now, std::string_view command, ProposalDone done) {
   return node_->propose(now, command, std::move(done));
 }
 
--- a/src/replication/ledger.cpp
+++ b/src/replication/ledger.cpp
@@ -8,10 +8,9 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr std::size_t kLongestKey = 400;
-// A hold grows at most by this part of what is left, divided by the number of sessions with a lease.
-constexpr Units kEvenShare = 2;
+// A lease grows at most by the available quota, divided by this and by the number of sessions with a lease.
+constexpr Units kEvenShareDivisor = 2;
 
 // Refills are products of two 64-bit numbers.
 __extension__ using Wide = __int128;
@@ -20,49 +19,50 @@
 
 bool is_amount(Units value) { return value >= 0 && value <= budgets::kMostUnits; }
 
-bool is_valid(const AskLine& line) {
+bool is_valid(const LeaseRequestLine& line) {
   const bool has_key = !line.key.empty() && line.key.size() <= kLongestKey;
   return has_key && is_amount(line.amount) && is_amount(line.per_s) && is_known_span(line.span);
 }
 
-// Charges what the session used since its previous question. What is beyond its hold (a response that cost
-// more, or an overdraft) is taken from what is left.
+// Charges what the session used since its previous request. Use beyond its lease (a response that cost more,
+// or an overdraft) is taken from the available quota.
 void charge_used(WindowLedger& window, Lease& lease, Units reported) {
   const Units used = std::clamp<Units>(reported, lease.used, budgets::kMostUnits);
   window.charged = clamped(window.charged + used - lease.used);
   if (used > lease.granted) {
-    window.left = clamped(window.left - (used - lease.granted));
+    window.available = clamped(window.available - (used - lease.granted));
     lease.granted = used;
   }
   lease.used = used;
 }
 
-// What an ended lease had in hand was charged when it ended; only what was used beyond it is charged now.
+// The unused part of a lease was charged when the lease ended, so only the use beyond it is charged now.
 void renew_ended(WindowLedger& window, Lease& lease, Units reported) {
   const Units beyond = std::max<Units>(0, reported - lease.granted);
   window.charged = clamped(window.charged + beyond);
-  window.left = clamped(window.left - beyond);
+  window.available = clamped(window.available - beyond);
   const Units used = std::max<Units>(0, reported);
   lease = {used, used, false};
 }
 
-// Takes back, or grants more, until the session has what it wants, as far as there is enough.
-void adjust_hold(WindowLedger& window, Lease& lease, const AskLine& line) {
-  const Units wanted = std::clamp<Units>(line.hold, 0, budgets::kMostUnits);
+// Takes quota back, or grants more, until the session has what it requested, as far as the available quota
+// allows.
+void adjust_grant(WindowLedger& window, Lease& lease, const LeaseRequestLine& line) {
+  const Units wanted = std::clamp<Units>(line.requested, 0, budgets::kMostUnits);
   const Units in_hand = lease.in_hand();
   if (wanted < in_hand) {
-    window.left = clamped(window.left + in_hand - wanted);
+    window.available = clamped(window.available + in_hand - wanted);
     lease.granted -= in_hand - wanted;
-  } else if (wanted > in_hand && window.left > 0) {
-    const Units even = window.left / (kEvenShare * static_cast<Units>(window.leases.size()));
+  } else if (wanted > in_hand && window.available > 0) {
+    const Units even = window.available / (kEvenShareDivisor * static_cast<Units>(window.leases.size()));
     const Units offered = std::max(even, std::min(line.need, wanted) - in_hand);
-    const Units more = std::clamp<Units>(std::min(wanted - in_hand, offered), 0, window.left);
-    window.left -= more;
+    const Units more = std::clamp<Units>(std::min(wanted - in_hand, offered), 0, window.available);
+    window.available -= more;
     lease.granted += more;
   }
 }
 
-// Counts what is in hand as used: nobody will report it any more.
+// Counts the unused part of the lease as used, because no report of it will come any more.
 void charge_in_hand(WindowLedger& window, const Lease& lease) {
   window.charged = clamped(window.charged + lease.granted - lease.used);
 }
@@ -71,11 +71,11 @@
   for (const auto& [session, lease] : window.leases) {
     if (lease.used > lease.granted) return "a hold below nothing";
   }
-  const Units available = window.left + window.in_hand();
+  const Units unspent = window.available + window.in_hand();
   if (is_bucket(account.span)) {
-    return available > std::max(window.amount, Units{0}) ? "more than the burst" : "";
+    return unspent > std::max(window.amount, Units{0}) ? "more than the burst" : "";
   }
-  const bool balanced = available + window.charged == window.amount + window.corrected;
+  const bool balanced = unspent + window.charged == window.amount + window.corrected;
   return balanced ? "" : "units that are in no place, or in two";
 }
 
@@ -98,38 +98,40 @@
   Applied applied;
   switch (static_cast<CommandKind>(command->kind)) {
     case CommandKind::tick: break;
-    case CommandKind::ask: applied.answer = answer_unless_repeated(command->ask); break;
-    case CommandKind::expire:
+    case CommandKind::lease_request:
+      applied.response = respond_unless_repeated(command->lease_request);
+      break;
+    case CommandKind::expiry:
       for (const Session session : command->expired) expire_session(session);
       break;
-    case CommandKind::correct: applied.corrected = correct_once(command->correction); break;
-    case CommandKind::replace: state_.replaced[command->old_name] = command->new_name; break;
+    case CommandKind::correction: applied.corrected = correct_once(command->correction); break;
+    case CommandKind::replacement: state_.replaced[command->old_name] = command->new_name; break;
     default: return std::nullopt;
   }
   return applied;
 }
 
-// A repeat, or a question that was overtaken, changes nothing, and nobody waits for its answer.
-std::optional<Answer> Ledger::answer_unless_repeated(const Ask& ask) {
-  const auto session = state_.sessions.find(ask.session);
-  if (session != state_.sessions.end() && ask.number <= session->second.number) return std::nullopt;
-  return answer(ask);
+// A repeated request, or one that a later request has overtaken, changes nothing and gets no response.
+std::optional<LeaseResponse> Ledger::respond_unless_repeated(const LeaseRequest& request) {
+  const auto session = state_.sessions.find(request.session);
+  if (session != state_.sessions.end() && request.number <= session->second.number) return std::nullopt;
+  return respond(request);
 }
 
 // ---------------------------------------------------------------- accounts
 
-// A bucket has room for its burst less what is in hand: the holds of many routers together never exceed it.
+// The refill stops at the burst less all unused leases, so that the leases together never exceed the burst.
 void Ledger::refill(const AccountLedger& account, WindowLedger& window) {
   if (!is_bucket(account.span)) return;
   const std::int64_t elapsed = state_.age - std::exchange(window.age, state_.age);
   const Wide refilled = static_cast<Wide>(elapsed) * account.per_s + window.filled;
   const Units room = window.amount - window.in_hand();
-  const Wide left = static_cast<Wide>(window.left) + refilled / kMicrosecondsPerSecond;
-  window.filled = left >= room ? 0 : static_cast<std::int64_t>(refilled % kMicrosecondsPerSecond);
-  window.left = std::max(window.left, static_cast<Units>(std::min<Wide>(left, room)));
+  const Wide available = static_cast<Wide>(window.available) + refilled / seconds(1);
+  window.filled = available >= room ? 0 : static_cast<std::int64_t>(refilled % seconds(1));
+  window.available = std::max(window.available, static_cast<Units>(std::min<Wide>(available, room)));
 }
 
-AccountLedger* Ledger::open_account(const AskLine& line) {
+AccountLedger* Ledger::open_account(const LeaseRequestLine& line) {
   auto found = state_.accounts.find(line.key);
   if (found == state_.accounts.end()) {
     if (state_.accounts.size() >= kMostAccounts) return nullptr;
@@ -142,9 +144,9 @@
   return &account;
 }
 
-// The newest windows are kept side by side: a clock that runs ahead opens the next one early, and nothing is
-// granted twice. A limit that was changed keeps what was used of it.
-WindowLedger* Ledger::open_window(const AskLine& line) {
+// Several windows are kept, because a clock that runs ahead opens the next window early: no unit of either is
+// granted twice. A window whose limit is changed keeps what was charged to it.
+WindowLedger* Ledger::open_window(const LeaseRequestLine& line) {
   if (!is_valid(line)) return nullptr;
   AccountLedger* account = open_account(line);
   if (account == nullptr) return nullptr;
@@ -158,33 +160,35 @@
     if (windows.size() > kWindows) windows.erase(windows.begin());
   }
   WindowLedger& window = found->second;
-  window.left = clamped(window.left + line.amount - std::exchange(window.amount, line.amount));
+  window.available = clamped(window.available + line.amount - std::exchange(window.amount, line.amount));
   refill(*account, window);
   return &window;
 }
 
 // ---------------------------------------------------------------- sessions
 
-Answer Ledger::answer(const Ask& ask) {
-  if (!admit_session(ask.session, ask.begins)) return {ask.number, true, {}};
-  state_.sessions[ask.session] = {ask.number, false};
-  Answer answer{ask.number, false, {}};
-  for (const AskLine& line : ask.lines) answer.lines.push_back(answer_line(ask.session, line));
-  if (ask.last) remove_session(ask.session);
-  return answer;
+LeaseResponse Ledger::respond(const LeaseRequest& request) {
+  if (!admit_session(request.session, request.begins_session))
+    return {.number = request.number, .unknown_session = true, .lines = {}};
+  state_.sessions[request.session] = {request.number, false};
+  LeaseResponse response{.number = request.number, .unknown_session = false, .lines = {}};
+  for (const LeaseRequestLine& line : request.lines)
+    response.lines.push_back(response_line(request.session, line));
+  if (request.ends_session) remove_session(request.session);
+  return response;
 }
 
-AnswerLine Ledger::answer_line(Session session, const AskLine& line) {
+LeaseResponseLine Ledger::response_line(Session session, const LeaseRequestLine& line) {
   WindowLedger* window = open_window(line);
   if (window == nullptr) return {line.used, 0, false};
   Lease& lease = window->leases[session];
   if (lease.ended) renew_ended(*window, lease, line.used);
   charge_used(*window, lease, line.used);
-  adjust_hold(*window, lease, line);
-  return {lease.granted, window->left, true};
+  adjust_grant(*window, lease, line);
+  return {lease.granted, window->available, true};
 }
 
-// False: the session is not known, and does not begin.
+// Returns false if the session is not known and does not begin with this request.
 bool Ledger::admit_session(Session session, bool begins) {
   if (state_.sessions.contains(session)) return true;
   if (!begins || session == 0) return false;
@@ -193,7 +197,7 @@
   return true;
 }
 
-// Of a router that has as many sessions as it may, one that expired is removed, or else its first one.
+// Removes an expired session of a router that has as many sessions as it may, or else its first one.
 void Ledger::make_room_for_session(Session session) {
   std::vector<Session> others;
   auto next = state_.sessions.lower_bound(session_of(router_of(session), 0));
@@ -207,8 +211,8 @@
   remove_session(expired == others.end() ? others.front() : *expired);
 }
 
-// Ends the session's leases of buckets: what was in hand is charged. At worst it was used, and the refill of
-// the time since then pays for it.
+// Ends the session's leases of buckets and charges their unused part: at worst the router used it, and the
+// refill since then covers it.
 void Ledger::expire_session(Session session) {
   const auto found = state_.sessions.find(session);
   if (found == state_.sessions.end() || std::exchange(found->second.expired, true)) return;
@@ -243,20 +247,20 @@
   return std::find(state_.corrections.begin(), state_.corrections.end(), id) != state_.corrections.end();
 }
 
-// What is left and in hand never exceeds the limit.
-Applied::Corrected Ledger::correct_once(const Correction& correction) {
-  if (has_corrected(correction.id)) return Applied::Corrected::before;
+// The available quota and the unused leases together never exceed the limit.
+CorrectionOutcome Ledger::correct_once(const Correction& correction) {
+  if (has_corrected(correction.id)) return CorrectionOutcome::already_applied;
   WindowLedger* window = open_window(correction.account);
-  if (window == nullptr) return Applied::Corrected::no;
+  if (window == nullptr) return CorrectionOutcome::no_room;
   const Units in_hand = window->in_hand();
   const Units wanted =
-      correction.set ? clamped(correction.units - in_hand) : clamped(window->left + correction.units);
-  const Units left = std::min(wanted, window->amount - in_hand);
-  window->corrected = clamped(window->corrected + left - window->left);
-  window->left = left;
+      correction.set ? clamped(correction.units - in_hand) : clamped(window->available + correction.units);
+  const Units available = std::min(wanted, window->amount - in_hand);
+  window->corrected = clamped(window->corrected + available - window->available);
+  window->available = available;
   state_.corrections.push_back(correction.id);
   if (state_.corrections.size() > kCorrections) state_.corrections.pop_front();
-  return Applied::Corrected::yes;
+  return CorrectionOutcome::applied;
 }
 
 // ---------------------------------------------------------------- state
--- a/src/replication/ledger.hpp
+++ b/src/replication/ledger.hpp
@@ -1,11 +1,12 @@
-// The replicated state machine: accounts of shared limits, what is left of each, and what which session
-// holds.
+// The replicated state machine: the accounts of shared limits, the quota that is available in each, and the
+// lease of each session.
 //
-// Changed by commands alone, in their order, so that all replicas are equal: no clock, no randomness, no I/O.
+// Only commands change the ledger, in their order, so that all replicas are equal: it has no clock, no
+// randomness and no I/O.
 //
-// Guarantee: a unit of a limit is in one place at any time: left, in one session's hold, or charged as used.
-// The hold of a router that is gone stays until the router is heard again or the window is over, so that
-// nothing is granted twice.
+// Guarantee: at any time a unit of a limit is available, or in one session's lease, or charged as used. The
+// lease of a router that is gone stays until the router sends another request or the window ends, so that no
+// unit is granted twice.
 #pragma once
 
 #include <cstdint>
@@ -20,22 +21,24 @@
 
 namespace thornwick::replication {
 
-// What applying a command came to.
+enum class CorrectionOutcome : std::uint8_t {
+  no_room,         // not applied: there is no room for the account, or the window has long passed
+  applied,         // applied by this command
+  already_applied  // an earlier command with the same id was applied
+};
+
+// The result of applying a command.
 struct Applied {
-  enum class Corrected : std::uint8_t {
-    no,     // no room for the account
-    yes,    //
-    before  // this id was applied already
-  };
-  std::optional<Answer> answer;  // to an ask that was not a repeat
-  Corrected corrected = Corrected::no;
+  std::optional<LeaseResponse> response;  // to a lease request that was not a repeat
+  CorrectionOutcome corrected = CorrectionOutcome::no_room;
 };
 
-// What one session was granted of one window, and has used of it; sums since the session began.
+// The quota that one session was granted of one window, and its use; sums since the session began.
 struct Lease {
   Units granted = 0;
   Units used = 0;
-  bool ended = false;  // of a bucket: the session's time was over, its hold is charged and void
+  bool ended = false;  // of a bucket: the session expired, and the unused part of its lease was charged
+  // Granted, and not reported as used.
   Units in_hand() const { return granted - used; }
   MSGPACK_DEFINE(granted, used, ended)
 };
@@ -43,15 +46,15 @@
 // One window of one account. A bucket has one, with number 0.
 struct WindowLedger {
   Units amount = 0;         // of the rule
-  Units left = 0;           // for anyone; below 0 after an overdraft
+  Units available = 0;      // for any session; below 0 after an overdraft
   Units charged = 0;        // used
   Units corrected = 0;      // sum of the operators' corrections
   std::int64_t age = 0;     // bucket: the ledger's age at the latest refill
   std::int64_t filled = 0;  // bucket: refilled part of a unit, in millionths
   std::map<Session, Lease> leases;
-  // Of all leases.
+  // The sum over all leases.
   Units in_hand() const;
-  MSGPACK_DEFINE(amount, left, charged, corrected, age, filled, leases)
+  MSGPACK_DEFINE(amount, available, charged, corrected, age, filled, leases)
 };
 
 struct AccountLedger {
@@ -62,8 +65,8 @@
 };
 
 struct SessionState {
-  std::uint64_t number = 0;  // of the latest question
-  bool expired = false;      // not heard for its lease
+  std::uint64_t number = 0;  // of the latest request
+  bool expired = false;      // sent no request for the time of a lease
   MSGPACK_DEFINE(number, expired)
 };
 
@@ -76,19 +79,19 @@
 
   // The bytes of a command.
   static std::string write(const Command& command);
-  // None, and nothing changed, for bytes that are no command.
+  // Returns none, and changes nothing, if the bytes are no command.
   std::optional<Applied> apply(std::string_view bytes);
 
   std::string snapshot() const;
-  // False, and nothing changed, for bytes that are no snapshot.
-  bool restore(std::string_view bytes);
+  // Returns false, and changes nothing, if the bytes are no snapshot.
+  [[nodiscard]] bool restore(std::string_view bytes);
 
   const std::map<std::string, AccountLedger>& accounts() const { return state_.accounts; }
   const std::map<Session, SessionState>& sessions() const { return state_.sessions; }
-  // Routers whose places others have taken, by the operators' decisions.
+  // Router that is gone -> router that takes its place, by operators' decisions.
   const std::map<std::string, std::string>& replaced() const { return state_.replaced; }
   bool has_corrected(std::uint64_t id) const;
-  // Where the guarantee above does not hold; empty: it does.
+  // Says where the guarantee above is broken; empty if it holds.
   std::string fault() const;
 
  private:
@@ -101,20 +104,20 @@
     MSGPACK_DEFINE(age, accounts, sessions, corrections, replaced)
   };
 
-  // Null: no room for the account, or a window that has long passed.
-  WindowLedger* open_window(const AskLine& line);
-  // Null: no room.
-  AccountLedger* open_account(const AskLine& line);
+  // Null if there is no room for the account, or the window has long passed.
+  WindowLedger* open_window(const LeaseRequestLine& line);
+  // Null if there is no room.
+  AccountLedger* open_account(const LeaseRequestLine& line);
   void refill(const AccountLedger& account, WindowLedger& window);
 
-  std::optional<Answer> answer_unless_repeated(const Ask& ask);
-  Answer answer(const Ask& ask);
-  AnswerLine answer_line(Session session, const AskLine& line);
+  std::optional<LeaseResponse> respond_unless_repeated(const LeaseRequest& request);
+  LeaseResponse respond(const LeaseRequest& request);
+  LeaseResponseLine response_line(Session session, const LeaseRequestLine& line);
   bool admit_session(Session session, bool begins);
   void make_room_for_session(Session session);
   void expire_session(Session session);
   void remove_session(Session session);
-  Applied::Corrected correct_once(const Correction& correction);
+  CorrectionOutcome correct_once(const Correction& correction);
 
   State state_;
 };
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -11,8 +11,8 @@
 constexpr std::string_view kReplacedKey = "r";
 constexpr Time kPositionInterval = milliseconds(500);
 constexpr Time kDutyInterval = milliseconds(200);
-constexpr int kMemberHelloFactor = 4;  // hellos are as much rarer once it takes part
-constexpr int kStallPart = 4;          // a pause of this part of a lease is a stall
+constexpr int kMemberHelloFactor = 4;  // a member's interval between hellos, in those of the other stages
+constexpr int kStallDivisor = 4;       // a pause longer than the lease divided by this is a stall
 
 struct Meta {
   ReplicaUid id = 0;
@@ -23,7 +23,7 @@
 };
 
 StoredRecords visit_all(const std::map<std::string, std::string>& records) {
-  return [&records](const Visit& visit) {
+  return [&records](const RecordVisitor& visit) {
     for (const auto& [key, value] : records) visit(key, value);
   };
 }
@@ -63,7 +63,7 @@
       if (const auto replaced = read<ReplacementMap>(value)) replaced_ = *replaced;
     } else if (PeerTable::owns(key)) {
       peers_.load(key, value);
-    } else if (Consensus::own(key)) {
+    } else if (Consensus::owns_key(key)) {
       loaded_log_.emplace(key, value);
       loaded_log_keys_.emplace_back(key);
     }
@@ -73,16 +73,16 @@
 }
 
 void LedgerReplica::start_process(LoadResult loaded) {
-  process_.run = static_cast<std::uint32_t>(dependencies_.chance()) | 1;
+  process_.run = static_cast<std::uint32_t>(dependencies_.random_number()) | 1;
   if (loaded == LoadResult::unreadable) {
     reset_to_blank("its records cannot be read");
     return;
   }
-  if (process_.id == 0) process_.id = dependencies_.chance() | 1;
+  if (process_.id == 0) process_.id = dependencies_.random_number() | 1;
   if (stage_ == Stage::member) {
     stage_ = Stage::entering;
     try {
-      process_.set(Consensus::position(visit_all(loaded_log_)));
+      process_.set_position(Consensus::position(visit_all(loaded_log_)));
     } catch (const std::exception&) {
       reset_to_blank("its records cannot be read");
       return;
@@ -99,11 +99,11 @@
   meta_mark_ = dependencies_.records.mark();
 }
 
-// Continues as with an empty disk and a new id, so that nothing is ever said again in the name of the old
-// one: it may have given votes that this disk does not know of.
+// Continues as with an empty disk and a new id. The old id must never send a message again, because it may
+// have given votes that this disk does not have.
 void LedgerReplica::reset_to_blank(const std::string& reason) {
-  dependencies_.write_log(true, "its copy of " + ledger_label() + " is given up: " + reason +
-                                    "; it is filled again from the others");
+  dependencies_.write_log(Severity::warning, "its copy of " + ledger_label() + " is given up: " + reason +
+                                                 "; it is filled again from the others");
   was_older_ = true;
   if (consensus_) consensus_->erase();
   consensus_.reset();
@@ -113,9 +113,9 @@
   ledger_ = {};
   was_leader_ = false;
   ready_ = false;
-  process_.id = dependencies_.chance() | 1;
+  process_.id = dependencies_.random_number() | 1;
   process_.start = 1;
-  process_.set({});
+  process_.set_position({});
   stage_ = Stage::blank;
   founders_.clear();
   peers_.forget_acknowledgements();
@@ -140,7 +140,7 @@
 
 Consensus::Dependencies LedgerReplica::consensus_dependencies() {
   return {.records = dependencies_.records,
-          .chance = dependencies_.chance,
+          .random_number = dependencies_.random_number,
           .send = [this](ReplicaUid receiver, const std::string& router,
                          std::string bytes) { send_raft(receiver, router, std::move(bytes)); },
           .apply = [this](std::string_view command) { on_applied(command); },
@@ -152,25 +152,25 @@
   if (!is_in_roster(router) || !consensus_) return;
   const Position position = consensus_->position();
   send(
-      options_.roster->find(router), Kind::raft,
+      options_.roster->find(router), MessageKind::raft,
       RaftMessage{process_.id, receiver, position.term, position.last_term, position.last, std::move(bytes)});
 }
 
 bool LedgerReplica::restore(std::string_view snapshot) {
-  sessions_heard_at_.clear();
+  sessions_active_at_.clear();
   if (!ledger_.restore(snapshot)) return false;
   update_placement();
   return true;
 }
 
-// The ledger's replaced routers are kept in a record of their own, too: a start has to know whom to ask
-// before it has a ledger.
+// Stores the ledger's replaced routers in a record of their own, because a process needs the placement before
+// it has a ledger.
 void LedgerReplica::update_placement() {
   if (!ledger_.replaced().empty() && ledger_.replaced() != replaced_) {
     replaced_ = ledger_.replaced();
     dependencies_.records.write(std::string(kReplacedKey), packed(replaced_));
   }
-  wanted_ = holders_of(*options_.roster, options_.ledger, options_.copies, replaced_);
+  wanted_ = place_replicas(*options_.roster, options_.ledger, options_.replica_count, replaced_);
 }
 
 // ---------------------------------------------------------------- events
@@ -197,13 +197,13 @@
   perform_leader_duties();
 }
 
-// After a pause of this process, messages may wait in its sockets: sessions are not expired, and others not
-// held to be silent, before these were read.
+// After a pause of this process, messages may wait in its sockets. This gives sessions and peers the time of
+// the pause again, so that none expires before those messages are read.
 void LedgerReplica::compensate_for_stall() {
   const Time paused = now_ - ticked_at_;
   ticked_at_ = now_;
-  if (paused <= options_.lease / kStallPart) return;
-  for (auto& [session, heard_at] : sessions_heard_at_) heard_at = now_;
+  if (paused <= options_.lease / kStallDivisor) return;
+  for (auto& [session, active_at] : sessions_active_at_) active_at = now_;
   entering_since_ += paused;
 }
 
@@ -223,17 +223,17 @@
   }
 }
 
-void LedgerReplica::on_message(Time now, std::size_t member, Kind kind, std::string_view body) {
+void LedgerReplica::on_message(Time now, std::size_t member, MessageKind kind, std::string_view body) {
   now_ = now;
   const auto dispatch = [&]<typename Body>(void (LedgerReplica::*handler)(std::size_t, const Body&)) {
     if (const auto message = read<Body>(body)) (this->*handler)(member, *message);
   };
   switch (kind) {
-    case Kind::hello: return dispatch(&LedgerReplica::on_hello);
-    case Kind::raft: return dispatch(&LedgerReplica::on_raft_message);
-    case Kind::ask: return dispatch(&LedgerReplica::on_ask);
-    case Kind::correct: return dispatch(&LedgerReplica::on_correct);
-    case Kind::replace: return dispatch(&LedgerReplica::on_replace);
+    case MessageKind::hello: return dispatch(&LedgerReplica::on_hello);
+    case MessageKind::raft: return dispatch(&LedgerReplica::on_raft_message);
+    case MessageKind::lease_request: return dispatch(&LedgerReplica::on_lease_request);
+    case MessageKind::correction: return dispatch(&LedgerReplica::on_correction);
+    case MessageKind::replacement: return dispatch(&LedgerReplica::on_replacement);
     default: return;
   }
 }
--- a/src/replication/ledger_replica.hpp
+++ b/src/replication/ledger_replica.hpp
@@ -1,11 +1,14 @@
-// One router's replica of one ledger: how it comes to take part, its log and its ledger, and what it does
-// while it leads.
+// One router's replica of one ledger: how it joins the ledger, its log and its state, and its duties as the
+// leader.
 //
-// A replica goes through four stages. Blank: it has no state, no vote and counts towards no majority; a
-// leader fills it if the ledger exists, and otherwise it founds the ledger together with all other replicas.
-// Founding: it has durably agreed with whom. Entering: it has the log of an earlier process, and asks the
-// others whether they know a later state of its disk; if one does, the disk was set back, and the replica
-// starts again as a blank one with a new id. Member: it takes part in consensus.
+// A replica goes through four stages:
+// - blank: it has no state and no vote, and counts towards no majority. If the ledger exists, a leader fills
+//   the replica; otherwise the replica founds the ledger together with all other replicas.
+// - founding: it has durably recorded with which replicas it founds the ledger.
+// - entering: it has the log of an earlier process, and learns from the other replicas' hellos whether they
+//   have recorded a later state of its disk. If one has, the disk was set back to an older copy, and the
+//   replica starts again as a blank one with a new id.
+// - member: it takes part in consensus.
 //
 // Sources: ledger_replica.cpp (start, events), ledger_replica_stages.cpp (hellos and stages),
 // ledger_replica_leader.cpp (members, sessions, requests). No I/O and no clock of its own; all on one thread;
@@ -17,6 +20,7 @@
 #include <string>
 #include <vector>
 
+#include "replication/log_sink.hpp"
 #include "replication/message.hpp"
 #include "replication/peer_table.hpp"
 #include "replication/replica_placement.hpp"
@@ -25,61 +29,61 @@
 
 struct LedgerReplicaOptions {
   std::size_t ledger = 0;
-  std::size_t self = 0;    // this router, in the roster
-  std::size_t copies = 3;  // replicas of the ledger
+  std::size_t self = 0;           // this router, in the roster
+  std::size_t replica_count = 3;  // replicas of the ledger
   std::shared_ptr<const membership::Roster> roster;
-  Time lease = seconds(6);    // of a session without a question
+  Time lease = seconds(6);    // a session without a lease request for this long expires
   double clock_bound = 0.02;  // by how much two clocks' rates may differ, as a part
   Time heartbeat = milliseconds(250);
   Time election = milliseconds(1'200);
-  Time hello = milliseconds(500);  // between hellos until it takes part
-  Time patience = seconds(30);     // entering: until a majority's word is enough
-  unsigned snapshot_every = 4096;  // entries
-  unsigned trailing = 512;         // entries
-  // Seeded faults that the checks have to find: for tests only.
+  Time hello = milliseconds(500);    // between two hellos, until the replica is a member
+  Time entry_timeout = seconds(30);  // entering: after this time a majority's hellos suffice
+  unsigned snapshot_every = 4096;    // entries
+  unsigned trailing = 512;           // entries
+  // Seeded faults that the tests have to find; for tests only.
   bool trust_any_disk = false;
   bool answer_before_majority = false;
 };
 
 class LedgerReplica {
  public:
-  // All of it outlives the replica.
+  // Services of the owner. All of them have to outlive the replica.
   struct Dependencies {
     Records& records;  // of this ledger at this router
-    std::function<std::uint64_t()> chance;
+    std::function<std::uint64_t()> random_number;
     std::function<void(std::size_t member, std::string envelope)> send;
-    std::function<void(bool severe, const std::string& text)> write_log;
+    LogSink write_log;
   };
 
-  // `stored`: its records on disk. This is the start of a process, which is counted on the disk.
+  // `stored` are the replica's records on disk. The start of this process is counted in them.
   LedgerReplica(LedgerReplicaOptions options, Dependencies dependencies, const StoredRecords& stored,
                 Time now);
 
   void tick(Time now);
-  // All that was written up to this mark is durable.
+  // Reports that all writes up to this number are durable.
   void durable(Time now, std::uint64_t number);
-  // A message from a member of the roster. A body that cannot be read is ignored.
-  void on_message(Time now, std::size_t member, Kind kind, std::string_view body);
+  // Handles a message from a member of the roster. Ignores a body that cannot be read.
+  void on_message(Time now, std::size_t member, MessageKind kind, std::string_view body);
 
   Stage stage() const { return stage_; }
   bool leads() const { return consensus_ && consensus_->leads(); }
   const Ledger& ledger() const { return ledger_; }
-  // Null until it is a member.
+  // Null until the replica is a member.
   const Consensus* consensus() const { return consensus_.get(); }
   const Process& process() const { return process_; }
-  // Whether this process gave up the state on its disk.
+  // Whether this process discarded the state on its disk.
   bool was_older() const { return was_older_; }
-  // Router of the leader; empty: not known.
+  // The leader's router; empty if the leader is not known.
   std::string leader_name() const;
-  // Members of the roster that are to hold a replica.
+  // The members of the roster on which replicas of the ledger are placed.
   const std::vector<std::size_t>& wanted() const { return wanted_; }
 
  private:
   enum class LoadResult : std::uint8_t { nothing, loaded, unreadable };
   struct FoundingView {
-    Founders founders;        // this replica and those that were heard lately
-    bool all_recent = true;   // every other replica was heard lately
-    bool is_founded = false;  // one of them has founded the ledger with those agreed upon
+    Founders founders;        // this replica, and those that sent a hello recently
+    bool all_recent = true;   // every other replica sent a hello recently
+    bool is_founded = false;  // another replica has founded the ledger with the agreed founders
   };
 
   // Start.
@@ -115,15 +119,17 @@
   void begin_leadership();
   void maintain_members();
   void expire_sessions();
-  bool propose(Command command, std::function<void(bool)> done);
+  bool propose(Command command, Consensus::ProposalDone done);
   void on_applied(std::string_view command);
-  void on_ask(std::size_t member, const Ask& ask);
-  void on_correct(std::size_t member, const Correction& correction);
-  void on_replace(std::size_t member, const Replace& replace);
-  void answer_at_once(std::size_t member, const Command& command);
+  void on_lease_request(std::size_t member, const LeaseRequest& request);
+  void on_correction(std::size_t member, const Correction& correction);
+  void on_replacement(std::size_t member, const Replacement& replacement);
+  void accept_operator(std::size_t member, std::uint64_t id);
+  void reject_operator(std::size_t member, std::uint64_t id, OperatorRejection rejection);
+  void respond_before_commit(std::size_t member, const Command& command);
   enum class RejectReason : std::uint8_t { not_leader, clock_ahead };
   void reject(std::size_t member, std::uint64_t number, RejectReason reason);
-  bool is_window_far_ahead(const AskLine& line) const;
+  bool is_window_far_ahead(const LeaseRequestLine& line) const;
 
   bool is_wanted(std::size_t member) const;
   bool is_in_roster(const std::string& router) const;
@@ -132,7 +138,7 @@
   const std::string& name_of(std::size_t member) const { return options_.roster->at(member).name; }
   const std::string& own_name() const { return name_of(options_.self); }
   template <typename Body>
-  void send(std::size_t member, Kind kind, const Body& body) {
+  void send(std::size_t member, MessageKind kind, const Body& body) {
     dependencies_.send(member, write(kind, options_.ledger, body));
   }
 
@@ -147,24 +153,24 @@
 
   Process process_;
   Stage stage_ = Stage::blank;
-  Founders founders_;  // agreed upon
+  Founders founders_;  // the replicas with which this one founds, or founded, the ledger
   PeerTable peers_;
   ReplacementMap replaced_;  // as on disk
   std::vector<std::size_t> wanted_;
   std::uint64_t durable_number_ = 0;
-  std::uint64_t meta_mark_ = 0;                    // this process is counted durably from then on
-  std::map<std::string, std::string> loaded_log_;  // until consensus starts
+  std::uint64_t meta_mark_ = 0;                    // the start of this process is durable once this number is
+  std::map<std::string, std::string> loaded_log_;  // log records, until consensus starts
   std::vector<std::string> loaded_log_keys_;
   bool was_older_ = false;
   bool reset_pending_ = false;  // consensus could not start
 
   Ledger ledger_;
   std::optional<Applied> last_applied_;  // outcome of the latest command
-  std::map<Session, Time> sessions_heard_at_;
+  std::map<Session, Time> sessions_active_at_;
   bool was_leader_ = false;
   bool ready_ = false;                    // leads, and has applied all commands of earlier leaders
   Time proposed_at_ = 0;                  // latest command
-  std::unique_ptr<Consensus> consensus_;  // last: it calls back until it is destroyed
+  std::unique_ptr<Consensus> consensus_;  // declared last, because it calls back until it is destroyed
 };
 
 }  // namespace thornwick::replication
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -8,7 +8,9 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr std::int64_t kMostWindowsAhead = 1;  // of this router's clock
+using ProposalOutcome = Consensus::ProposalOutcome;
+
+constexpr std::int64_t kMostWindowsAhead = 1;  // that a lease request may be ahead of this router's clock
 
 }  // namespace
 
@@ -24,13 +26,15 @@
   expire_sessions();
 }
 
-// An entry of its own term commits all entries of earlier leaders (Raft, section 5.4.2).
+// Proposes an entry of the new term first, which commits all entries of earlier leaders (Raft,
+// section 5.4.2).
 void LedgerReplica::begin_leadership() {
   ready_ = false;
   proposed_at_ = now_;
-  sessions_heard_at_.clear();
-  propose(Command(CommandKind::tick), [this](bool committed) { ready_ = committed && leads(); });
-  dependencies_.write_log(false, "leads " + ledger_label());
+  sessions_active_at_.clear();
+  propose(Command(CommandKind::tick),
+          [this](ProposalOutcome outcome) { ready_ = outcome == ProposalOutcome::committed && leads(); });
+  dependencies_.write_log(Severity::info, "leads " + ledger_label());
 }
 
 void LedgerReplica::maintain_members() {
@@ -48,31 +52,31 @@
     case MembershipAction::none: return;
     case MembershipAction::remove_lost:
       dependencies_.write_log(
-          false, ledger_label() + ": the copy that " + change.name + " had is gone with its disk");
+          Severity::info, ledger_label() + ": the copy that " + change.name + " had is gone with its disk");
       consensus_->remove(now_, change.id);
       return;
     case MembershipAction::add: consensus_->add(now_, change.id, change.name); return;
     case MembershipAction::promote:
-      dependencies_.write_log(false, ledger_label() + ": fills the copy of " + change.name);
+      dependencies_.write_log(Severity::info, ledger_label() + ": fills the copy of " + change.name);
       consensus_->promote(now_, change.id);
       return;
     case MembershipAction::remove_unwanted: consensus_->remove(now_, change.id); return;
   }
 }
 
-// A session's lease is over by this clock when it is over by the session's own, however much slower that
-// runs.
+// Expires a session only when its lease is over by the session's own clock, too, however much slower that
+// clock runs.
 void LedgerReplica::expire_sessions() {
-  Command command(CommandKind::expire);
+  Command command(CommandKind::expiry);
   const auto limit = static_cast<Time>(static_cast<double>(options_.lease) * (1 + options_.clock_bound));
   for (const auto& [session, state] : ledger_.sessions()) {
-    const Time heard_at = sessions_heard_at_.try_emplace(session, now_).first->second;
-    if (!state.expired && now_ - heard_at > limit) command.expired.push_back(session);
+    const Time active_at = sessions_active_at_.try_emplace(session, now_).first->second;
+    if (!state.expired && now_ - active_at > limit) command.expired.push_back(session);
   }
-  if (!command.expired.empty()) propose(std::move(command), [](bool) {});
+  if (!command.expired.empty()) propose(std::move(command), [](ProposalOutcome) {});
 }
 
-bool LedgerReplica::propose(Command command, std::function<void(bool)> done) {
+bool LedgerReplica::propose(Command command, Consensus::ProposalDone done) {
   command.elapsed = std::max<Time>(0, now_ - std::exchange(proposed_at_, now_));
   return consensus_->propose(now_, Ledger::write(command), std::move(done));
 }
@@ -95,82 +99,95 @@
 }
 
 void LedgerReplica::reject(std::size_t member, std::uint64_t number, RejectReason reason) {
-  Rejected rejected{number, leader_name(), {}, reason == RejectReason::clock_ahead};
-  for (const std::size_t wanted : wanted_) rejected.holders.push_back(name_of(wanted));
-  send(member, Kind::rejected, rejected);
+  LeaseRejection rejected{.number = number,
+                          .leader = leader_name(),
+                          .replica_routers = {},
+                          .clock_ahead = reason == RejectReason::clock_ahead};
+  for (const std::size_t wanted : wanted_) rejected.replica_routers.push_back(name_of(wanted));
+  send(member, MessageKind::lease_rejection, rejected);
 }
 
-// Guards the ledger against a clock far ahead, whose windows would displace the current ones.
-bool LedgerReplica::is_window_far_ahead(const AskLine& line) const {
+// Guards the ledger against a client's clock that is far ahead: its windows would displace the current ones.
+bool LedgerReplica::is_window_far_ahead(const LeaseRequestLine& line) const {
   if (!is_known_span(line.span) || is_bucket(line.span)) return false;
   const Time length = budgets::length_of(static_cast<budgets::Span>(line.span));
   return line.window > now_ / length + kMostWindowsAhead;
 }
 
-void LedgerReplica::on_ask(std::size_t member, const Ask& ask) {
+void LedgerReplica::on_lease_request(std::size_t member, const LeaseRequest& request) {
   if (!leads() || !ready_) {
-    reject(member, ask.number, RejectReason::not_leader);
+    reject(member, request.number, RejectReason::not_leader);
     return;
   }
-  const bool clock_ahead = std::any_of(ask.lines.begin(), ask.lines.end(),
-                                       [this](const AskLine& line) { return is_window_far_ahead(line); });
+  const bool clock_ahead =
+      std::any_of(request.lines.begin(), request.lines.end(),
+                  [this](const LeaseRequestLine& line) { return is_window_far_ahead(line); });
   if (clock_ahead) {
-    reject(member, ask.number, RejectReason::clock_ahead);
+    reject(member, request.number, RejectReason::clock_ahead);
     return;
   }
-  Command command(CommandKind::ask);
-  command.ask = ask;
-  if (options_.answer_before_majority) answer_at_once(member, command);
-  const auto on_done = [this, member, session = ask.session](bool committed) {
-    if (!committed) return;
-    sessions_heard_at_[session] = now_;
-    if (last_applied_ && last_applied_->answer && !options_.answer_before_majority) {
-      send(member, Kind::answer, *last_applied_->answer);
+  Command command(CommandKind::lease_request);
+  command.lease_request = request;
+  if (options_.answer_before_majority) respond_before_commit(member, command);
+  const auto on_done = [this, member, session = request.session](ProposalOutcome outcome) {
+    if (outcome != ProposalOutcome::committed) return;
+    sessions_active_at_[session] = now_;
+    if (last_applied_ && last_applied_->response && !options_.answer_before_majority) {
+      send(member, MessageKind::lease_response, *last_applied_->response);
     }
   };
-  if (!propose(std::move(command), on_done)) reject(member, ask.number, RejectReason::not_leader);
+  if (!propose(std::move(command), on_done)) reject(member, request.number, RejectReason::not_leader);
 }
 
-// The seeded fault: answers with what the command would come to, before it is committed. For tests only.
-void LedgerReplica::answer_at_once(std::size_t member, const Command& command) {
+// The seeded fault: responds with the command's result before the command is committed. For tests only.
+void LedgerReplica::respond_before_commit(std::size_t member, const Command& command) {
   Ledger guess = ledger_;
   const auto outcome = guess.apply(Ledger::write(command));
-  if (outcome && outcome->answer) send(member, Kind::answer, *outcome->answer);
+  if (outcome && outcome->response) send(member, MessageKind::lease_response, *outcome->response);
+}
+
+// Clients send corrections and replacements to all replicas; only the leader responds.
+void LedgerReplica::accept_operator(std::size_t member, std::uint64_t id) {
+  send(member, MessageKind::operator_response, OperatorResponse{.id = id, .accepted = true, .reason = {}});
 }
 
-// Corrections and replacements are sent to all replicas; only the leader answers.
-void LedgerReplica::on_correct(std::size_t member, const Correction& correction) {
+void LedgerReplica::reject_operator(std::size_t member, std::uint64_t id, OperatorRejection rejection) {
+  send(member, MessageKind::operator_response,
+       OperatorResponse{.id = id, .accepted = false, .reason = to_string(rejection)});
+}
+
+void LedgerReplica::on_correction(std::size_t member, const Correction& correction) {
   if (!ready_) return;
-  const auto answer = [this, member, id = correction.id](bool accepted, const char* why) {
-    send(member, Kind::corrected, Corrected{id, accepted, why});
-  };
   if (is_window_far_ahead(correction.account)) {
-    answer(false, "the router's clock is far ahead");
+    reject_operator(member, correction.id, OperatorRejection::clock_ahead);
     return;
   }
-  Command command(CommandKind::correct);
+  Command command(CommandKind::correction);
   command.correction = correction;
-  if (options_.answer_before_majority) answer(true, "");
-  propose(std::move(command), [this, answer](bool committed) {
-    if (!committed || !last_applied_) return;
-    const bool accepted = last_applied_->corrected != Applied::Corrected::no;
-    answer(accepted, accepted ? "" : "there is no room for this account");
+  if (options_.answer_before_majority) accept_operator(member, correction.id);
+  propose(std::move(command), [this, member, id = correction.id](ProposalOutcome outcome) {
+    if (outcome != ProposalOutcome::committed || !last_applied_) return;
+    if (last_applied_->corrected == CorrectionOutcome::no_room) {
+      reject_operator(member, id, OperatorRejection::no_room);
+    } else {
+      accept_operator(member, id);
+    }
   });
 }
 
-void LedgerReplica::on_replace(std::size_t member, const Replace& replace) {
+void LedgerReplica::on_replacement(std::size_t member, const Replacement& replacement) {
   if (!ready_) return;
-  const bool two_routers = is_in_roster(replace.old_name) && is_in_roster(replace.new_name) &&
-                           replace.old_name != replace.new_name;
+  const bool two_routers = is_in_roster(replacement.old_name) && is_in_roster(replacement.new_name) &&
+                           replacement.old_name != replacement.new_name;
   if (!two_routers) {
-    send(member, Kind::corrected, Corrected{replace.id, false, "no two routers of the group are called so"});
+    reject_operator(member, replacement.id, OperatorRejection::unknown_routers);
     return;
   }
-  Command command(CommandKind::replace);
-  command.old_name = replace.old_name;
-  command.new_name = replace.new_name;
-  propose(std::move(command), [this, member, id = replace.id](bool committed) {
-    if (committed) send(member, Kind::corrected, Corrected{id, true, ""});
+  Command command(CommandKind::replacement);
+  command.old_name = replacement.old_name;
+  command.new_name = replacement.new_name;
+  propose(std::move(command), [this, member, id = replacement.id](ProposalOutcome outcome) {
+    if (outcome == ProposalOutcome::committed) accept_operator(member, id);
   });
 }
 
--- a/src/replication/ledger_replica_stages.cpp
+++ b/src/replication/ledger_replica_stages.cpp
@@ -1,4 +1,4 @@
-// Hellos between replicas, and how a replica comes to take part: founding and entering.
+// Hellos between replicas, and the stages founding and entering.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -9,23 +9,24 @@
 
 // ---------------------------------------------------------------- hellos
 
-// Nothing is said before this process is counted durably.
+// Sends nothing until the start of this process is durable.
 void LedgerReplica::send_hello(std::size_t member) {
   if (meta_mark_ > durable_number_) return;
-  if (consensus_) process_.set(consensus_->position());
+  if (consensus_) process_.set_position(consensus_->position());
   Hello hello;
   hello.process = process_;
   hello.stage = static_cast<std::uint8_t>(stage_);
   hello.founders = founders_;
   const PeerRecord* peer = peers_.find(name_of(member));
-  if (peer != nullptr && peer->durable_mark <= durable_number_) hello.of_you = peer->process;
+  if (peer != nullptr && peer->durable_mark <= durable_number_) hello.receiver_process = peer->process;
   if (leads()) {
     for (const std::size_t wanted : wanted_) hello.wanted.push_back(name_of(wanted));
   }
-  send(member, Kind::hello, hello);
+  send(member, MessageKind::hello, hello);
 }
 
-// To all that are to hold a replica; a leader's also to members that are to go.
+// Sends hellos to all routers on which replicas are placed. A leader also sends them to members of the log
+// that are no longer placed.
 void LedgerReplica::send_hellos() {
   for (const std::size_t member : other_wanted()) send_hello(member);
   if (!leads()) return;
@@ -37,18 +38,19 @@
 
 void LedgerReplica::on_hello(std::size_t member, const Hello& hello) {
   PeerRecord& peer = peers_.record_of(name_of(member));
-  // From a process that another one of the same disk has followed nothing is recorded; it is told so.
+  // The sender's process has been followed by another one of the same disk. Its hello is not recorded; the
+  // response shows the sender which process this replica has recorded.
   if (hello.process.followed_by(peer.process)) {
     if (hello.sender_stage() != Stage::member) send_hello(member);
     return;
   }
-  if (!peer.process.same(hello.process)) peers_.set_process(name_of(member), hello.process);
+  if (!peer.process.is_same(hello.process)) peers_.set_process(name_of(member), hello.process);
   peer.awaits_hello = stage_ == Stage::member && hello.sender_stage() != Stage::member;
   peer.received_at = now_;
   peer.stage = hello.sender_stage();
   peer.founders = hello.founders;
-  peer.knows_this_process = hello.of_you.same(process_);
-  if (is_older_than(hello.of_you) && !options_.trust_any_disk) {
+  peer.knows_this_process = hello.receiver_process.is_same(process_);
+  if (is_older_than(hello.receiver_process) && !options_.trust_any_disk) {
     reset_to_blank("another holder knew a later state of this disk");
     return;
   }
@@ -56,7 +58,8 @@
   if (ledger_exists && stage_ <= Stage::founding) join_existing(hello);
 }
 
-// Somebody has the ledger: this replica was among those who founded it, or is to be filled by the leader.
+// Another replica has the ledger. This replica is either one of its founders, or waits for the leader to fill
+// it.
 void LedgerReplica::join_existing(const Hello& hello) {
   const Founder self{own_name(), process_.id};
   const auto found = std::find(hello.founders.begin(), hello.founders.end(), self);
@@ -68,21 +71,22 @@
   found_when_agreed();
 }
 
-// Whether the other has recorded a later process, or a later position, of this disk.
+// Whether another replica has recorded a later process, or a later position, of this replica's disk.
 bool LedgerReplica::is_older_than(const Process& recorded) const {
   if (process_.followed_by(recorded)) return true;
   return recorded.id == process_.id && stage_ == Stage::entering &&
-         process_.position().behind(recorded.position());
+         process_.position().is_behind(recorded.position());
 }
 
 // ---------------------------------------------------------------- founding
 
-// A ledger is founded by all of its replicas together, each of which has durably told the others so: one that
-// has lost its disk cannot found a second ledger.
+// All replicas of a ledger found it together, each after it has durably recorded the agreement and announced
+// it. So a replica that has lost its disk cannot found a second ledger.
 void LedgerReplica::found_when_agreed() {
   if (stage_ > Stage::founding) return;
   const FoundingView view = founding_view();
-  const bool can_begin = view.all_recent && !view.is_founded && view.founders.size() == options_.copies;
+  const bool can_begin =
+      view.all_recent && !view.is_founded && view.founders.size() == options_.replica_count;
   if (stage_ == Stage::blank && can_begin) {
     begin_founding(view.founders);
     return;
@@ -129,25 +133,26 @@
 void LedgerReplica::found() {
   std::vector<LogMember> members;
   for (const Founder& founder : founders_) members.push_back({founder.id, founder.name, true});
-  const auto log = Consensus::founding(std::move(members));
+  const auto log = Consensus::founding_records(std::move(members));
   for (const auto& [key, value] : log) dependencies_.records.write(key, value);
   start_consensus(log);
-  dependencies_.write_log(false, ledger_label() + " is founded");
+  dependencies_.write_log(Severity::info, ledger_label() + " is founded");
 }
 
 // ---------------------------------------------------------------- entering
 
-// All others know this process, and none a later state of its disk; after a while a majority is enough, of
-// which this replica is one.
+// Enters when all other replicas have recorded this process, and none has a later state of its disk. After
+// `entry_timeout` a majority suffices, in which this replica counts.
 void LedgerReplica::enter_when_acknowledged() {
   if (stage_ != Stage::entering || meta_mark_ > durable_number_) return;
   const std::size_t acknowledged = count_acknowledgements();
   const bool by_all = acknowledged == other_wanted().size();
-  const bool by_majority = acknowledged >= options_.copies / 2 && now_ - entering_since_ > options_.patience;
+  const bool by_majority =
+      acknowledged >= options_.replica_count / 2 && now_ - entering_since_ > options_.entry_timeout;
   if (!by_all && !by_majority && !options_.trust_any_disk) return;
   start_consensus(std::exchange(loaded_log_, {}));
-  dependencies_.write_log(false, "takes part in " + ledger_label() + " again, " +
-                                     std::to_string(acknowledged) + " others know this start");
+  dependencies_.write_log(Severity::info, "takes part in " + ledger_label() + " again, " +
+                                              std::to_string(acknowledged) + " others know this start");
 }
 
 std::size_t LedgerReplica::count_acknowledgements() const {
--- a/src/replication/log_matching.cpp
+++ b/src/replication/log_matching.cpp
@@ -15,7 +15,7 @@
   return message.prev_log_term != 0 && log.term_at(message.prev_log_index) == message.prev_log_term;
 }
 
-// Of the message's first entries, how many are in the log with the same term.
+// The number of the message's first entries that are in the log with the same term.
 std::size_t count_known(const AppendEntries& message, const LogView& log) {
   std::size_t known = 0;
   while (known < message.entries.size()) {
--- a/src/replication/log_records.hpp
+++ b/src/replication/log_records.hpp
@@ -38,8 +38,8 @@
   MSGPACK_DEFINE(term, candidate)
 };
 
-// What the snapshot on disk stands for. Its data is in parts, each a record of its own, which carry the same
-// generation; `size` is the sum of their bytes.
+// The log position that the snapshot on disk covers. The data of the snapshot is in parts, each a record of
+// its own with the same generation; `size` is the sum of the parts' bytes.
 struct StoredSnapshot {
   std::uint64_t index = 0;
   std::uint64_t term = 0;
--- /dev/null
+++ b/src/replication/log_sink.hpp
@@ -0,0 +1,15 @@
+// Where this module reports what an operator should see. The owner writes the lines to the program's log.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <string>
+
+namespace thornwick::replication {
+
+enum class Severity : std::uint8_t { info, warning };
+
+// Called once for each line of the log, on the thread of the call that causes it.
+using LogSink = std::function<void(Severity severity, const std::string& text)>;
+
+}  // namespace thornwick::replication
--- a/src/replication/log_store.cpp
+++ b/src/replication/log_store.cpp
@@ -18,7 +18,7 @@
   find_range();
 }
 
-// Parts of an earlier or of an unfinished snapshot carry another generation.
+// Skips the parts of earlier and of unfinished snapshots, which carry another generation.
 void LogStore::load_snapshot_parts(const StoredRecords& stored) {
   std::map<std::uint64_t, std::string> parts;
   stored([&](std::string_view key, std::string_view value) {
@@ -31,7 +31,8 @@
   if (snapshot_data_.size() != snapshot_.size) problem_ = "its snapshot is not whole";
 }
 
-// Entries have to follow each other without a gap, and to begin at the latest right behind the snapshot.
+// Sets the range of the entries. Reports a problem if they have a gap, or do not begin right after the
+// snapshot or before.
 void LogStore::find_range() {
   if (loaded_entries_.empty()) {
     first_index_ = snapshot_.index + 1;
@@ -91,13 +92,13 @@
   }
   records_.write(snapshot_key(), packed(snapshot));
   remove_snapshot_parts();
-  const bool stands_for_whole_log = trailing == 0;
+  const bool replaces_whole_log = trailing == 0;
   std::uint64_t first_kept = next_index_;
-  if (!stands_for_whole_log) first_kept = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
+  if (!replaces_whole_log) first_kept = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
   for (; first_index_ < std::min(first_kept, next_index_); ++first_index_) {
     records_.write(entry_key(first_index_), std::nullopt);
   }
-  if (stands_for_whole_log) {
+  if (replaces_whole_log) {
     first_index_ = snapshot.index + 1;
     next_index_ = first_index_;
     last_term_ = snapshot.term;
--- a/src/replication/log_store.hpp
+++ b/src/replication/log_store.hpp
@@ -1,7 +1,7 @@
 // One replicated log as it is on disk: term and vote, entries, and a snapshot in parts.
 //
-// Every change is written to the owner's `Records` at once; it is durable when the owner says so. Knows
-// nothing of C-Raft: what the library asks of its storage is in raft_storage.
+// Every change is written to the owner's `Records` at once, and is durable when the owner reports it. This
+// file does not depend on C-Raft: raft_io_adapter implements the library's storage interface with it.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,12 @@
   // `records` has to outlive the store.
   explicit LogStore(Records& records) : records_(records) {}
 
-  // Reads all records of a log. Throws where one cannot be decoded; `problem()` tells of a log with parts
-  // missing.
+  // Reads all records of a log. Throws std::exception if one cannot be decoded; afterwards problem() says
+  // whether parts of the log are missing.
   void load(const StoredRecords& stored);
-  // Not empty: the records that were loaded are no whole log.
+  // Why the loaded records are no whole log; empty if they are.
   const std::string& problem() const { return problem_; }
-  // Entries that were loaded, handed over once.
+  // Hands over the loaded entries; empty from the second call on.
   EntriesByIndex take_loaded_entries();
 
   // Moves to a later term, in which no vote was given yet.
@@ -35,13 +35,13 @@
   void append(const std::vector<StoredEntry>& entries);
   // Removes the entries from this index on.
   void truncate(std::uint64_t index);
-  // Replaces the snapshot and removes entries that it stands for, but for the last `trailing` ones. With
-  // `trailing` 0 it stands for the whole log: it came from the leader. Generation and size of `snapshot` are
-  // set here.
+  // Replaces the snapshot, and removes the entries that it covers except for the last `trailing` ones. With
+  // `trailing` 0 the snapshot came from the leader and replaces the whole log. Sets the generation and the
+  // size of `snapshot`.
   void put_snapshot(StoredSnapshot snapshot, std::string data, std::uint64_t trailing);
   // Removes all records.
   void erase();
-  // Takes over entries that stay after the log was cut at `index`, to be loaded once more.
+  // Truncates the log at `index`, and takes over the entries before it for another take_loaded_entries().
   void reload(EntriesByIndex entries, std::uint64_t index);
 
   const StoredVote& vote() const { return vote_; }
@@ -49,9 +49,9 @@
   const std::string& snapshot_data() const { return snapshot_data_; }
   std::uint64_t next_index() const { return next_index_; }
   std::uint64_t last_index() const { return next_index_ - 1; }
-  // Of the last entry that was appended, durable or not.
+  // The term of the last entry, durable or not.
   std::uint64_t last_term() const { return last_term_; }
-  // With all that was written so far.
+  // The position after all writes so far, durable or not.
   Position position() const { return {vote_.term, last_term_, last_index()}; }
 
  private:
@@ -65,8 +65,8 @@
   StoredSnapshot snapshot_;
   std::string snapshot_data_;
   EntriesByIndex loaded_entries_;
-  std::uint64_t first_index_ = 1;  // of the entries on disk
-  std::uint64_t next_index_ = 1;   // behind the last of them
+  std::uint64_t first_index_ = 1;  // of the first entry on disk
+  std::uint64_t next_index_ = 1;   // after the last entry on disk
   std::uint64_t last_term_ = 0;
   std::string problem_;
 };
--- a/src/replication/membership_plan.cpp
+++ b/src/replication/membership_plan.cpp
@@ -27,8 +27,9 @@
   for (const std::string& router : view.wanted) {
     const ReplicaUid current = view.current_replica(router);
     if (current == 0) continue;
-    const auto member = std::find_if(view.members.begin(), view.members.end(),
-                                     [&router](const LogMember& one) { return one.name == router; });
+    const auto member =
+        std::find_if(view.members.begin(), view.members.end(),
+                     [&router](const LogMember& candidate) { return candidate.name == router; });
     if (member == view.members.end()) return {MembershipAction::add, current, router};
     if (!member->votes) return {MembershipAction::promote, current, router};
   }
--- a/src/replication/membership_plan.hpp
+++ b/src/replication/membership_plan.hpp
@@ -1,5 +1,5 @@
-// The leader's next change to the members of a log, from who is a member, who should be, and who is there.
-// No state and no I/O.
+// The leader's next change to the members of a log, derived from the members, the placement of the replicas,
+// and the replicas that run. No state and no I/O.
 #pragma once
 
 #include <functional>
@@ -12,18 +12,18 @@
 
 struct MembershipView {
   std::vector<LogMember> members;
-  std::vector<std::string> wanted;  // routers that are to hold a replica
+  std::vector<std::string> wanted;  // routers on which replicas are placed
   LogMember self;                   // the leader
-  // Which replica a router runs now; 0: it has not been heard lately.
+  // The replica that a router runs now; 0 if no hello of the router came recently.
   std::function<ReplicaUid(const std::string& router)> current_replica;
 };
 
 enum class MembershipAction : std::uint8_t {
   none,
-  remove_lost,      // its router runs another replica: the disk is gone
+  remove_lost,      // its router runs another replica, so the disk of this one is gone
   add,              // without a vote
   promote,          // to a voter
-  remove_unwanted,  // another one has taken its place
+  remove_unwanted,  // another router has taken its place
 };
 
 struct MembershipChange {
@@ -32,7 +32,8 @@
   std::string name;  // of its router
 };
 
-// One change at a time. Members that are to go do so when all wanted ones vote, the leader itself last.
+// Returns one change, or `none`. Unwanted members are removed once all wanted ones vote, the leader itself
+// last.
 MembershipChange next_membership_change(const MembershipView& view);
 
 }  // namespace thornwick::replication
--- a/src/replication/message.hpp
+++ b/src/replication/message.hpp
@@ -15,12 +15,21 @@
 
 namespace thornwick::replication {
 
-// Messages of another version are not read.
+// A message of another version is dropped.
 inline constexpr std::uint8_t kVersion = 1;
 
-// From replica to replica: hello, raft. From a quota lease client to a leader: ask, correct, replace; the
-// answers: answer, rejected, corrected.
-enum class Kind : std::uint8_t { hello, raft, ask, answer, rejected, correct, corrected, replace };
+// Replicas send each other hello and raft. A quota lease client sends lease_request, correction and
+// replacement to a leader; the leader responds with lease_response, lease_rejection and operator_response.
+enum class MessageKind : std::uint8_t {
+  hello,
+  raft,
+  lease_request,
+  lease_response,
+  lease_rejection,
+  correction,
+  operator_response,
+  replacement
+};
 
 struct MessageHeader {
   std::uint8_t version = kVersion;
@@ -30,25 +39,27 @@
   MSGPACK_DEFINE(version, kind, ledger, body)
 };
 
-// One process on one disk, and how far that disk is. Replicas use it to tell whether a disk was set back to
-// an earlier state, or copied.
+// One process on one disk, and the position of that disk. Replicas compare these records to find out whether
+// a disk was set back to an earlier state, or copied.
 struct Process {
   ReplicaUid id = 0;
   std::uint32_t start = 0;  // starts of processes on this disk so far
   std::uint32_t run = 0;    // drawn by the process
-  // Position of the disk, as far as it is known.
+  // The latest known position of the disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
   std::uint64_t last = 0;
 
-  bool same(const Process& other) const { return id == other.id && start == other.start && run == other.run; }
-  // Whether the other is a later process of the same disk, or has the same start without being the same: then
-  // it runs on a copy of the disk.
+  bool is_same(const Process& other) const {
+    return id == other.id && start == other.start && run == other.run;
+  }
+  // Whether `other` is a later process of the same disk, or another process with the same start, which runs
+  // on a copy of the disk.
   bool followed_by(const Process& other) const {
     return id == other.id && (other.start > start || (other.start == start && other.run != run));
   }
   Position position() const { return {term, last_term, last}; }
-  void set(const Position& position) {
+  void set_position(const Position& position) {
     term = position.term;
     last_term = position.last_term;
     last = position.last;
@@ -56,7 +67,7 @@
   MSGPACK_DEFINE(id, start, run, term, last_term, last)
 };
 
-// How a replica comes to take part in its ledger; see LedgerReplica.
+// The stages in which a replica joins its ledger; see LedgerReplica.
 enum class Stage : std::uint8_t { blank, founding, entering, member };
 
 // A replica that founds a ledger together with others.
@@ -65,7 +76,7 @@
   ReplicaUid id = 0;
   bool operator==(const Founder&) const = default;
 
-  // Packed as a pair, whose reading refuses an array of any other length.
+  // Packs a pair, because reading a pair rejects an array of any other length.
   template <typename Packer>
   void msgpack_pack(Packer& packer) const {
     packer.pack(std::pair(name, id));
@@ -81,18 +92,18 @@
   Process process;
   std::uint8_t stage = 0;  // a Stage
   Founders founders;       // with which the sender founds the ledger, or founded it
-  // As which process the receiver is durably recorded at the sender; id 0: not at all.
-  Process of_you;
-  std::vector<std::string> wanted;  // from a leader: routers that are to hold a replica
+  // The receiver's process as the sender has durably recorded it; id 0: not recorded.
+  Process receiver_process;
+  std::vector<std::string> wanted;  // from a leader: the routers on which replicas are placed
   Stage sender_stage() const { return static_cast<Stage>(stage); }
-  MSGPACK_DEFINE(process, stage, founders, of_you, wanted)
+  MSGPACK_DEFINE(process, stage, founders, receiver_process, wanted)
 };
 
 // A message of the consensus protocol.
 struct RaftMessage {
   ReplicaUid from = 0;
   ReplicaUid to = 0;
-  // Position of the sender's disk.
+  // The position of the sender's disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
   std::uint64_t last = 0;
@@ -101,34 +112,45 @@
   MSGPACK_DEFINE(from, to, term, last_term, last, bytes)
 };
 
-// Answers a question to a replica that does not lead, or that will not accept it.
-struct Rejected {
-  std::uint64_t number = 0;          // of the question
-  std::string leader;                // empty: not known
-  std::vector<std::string> holders;  // routers with a replica, as far as the sender knows
-  bool clock = false;                // the question's window is far ahead of the sender's clock
-  MSGPACK_DEFINE(number, leader, holders, clock)
+// The response to a lease request that the receiver does not accept, because it does not lead, or because the
+// request names a window far ahead.
+struct LeaseRejection {
+  std::uint64_t number = 0;                  // of the request
+  std::string leader;                        // empty: not known
+  std::vector<std::string> replica_routers;  // routers with a replica, as far as the sender knows
+  bool clock_ahead = false;                  // the requested window is far ahead of the sender's clock
+  MSGPACK_DEFINE(number, leader, replica_routers, clock_ahead)
 };
 
-// Answers a Correction or a Replace.
-struct Corrected {
+// The response to a Correction or a Replacement.
+struct OperatorResponse {
   std::uint64_t id = 0;
-  bool yes = false;
-  std::string why;  // if not
-  MSGPACK_DEFINE(id, yes, why)
+  bool accepted = false;
+  std::string reason;  // of a rejection
+  MSGPACK_DEFINE(id, accepted, reason)
+};
+
+// Why an operator's request is rejected.
+enum class OperatorRejection : std::uint8_t {
+  too_many_requests,  // at this router
+  clock_ahead,        // the corrected window is far ahead of the leader's clock
+  no_room,            // for the account
+  unknown_routers     // a replacement does not name two different routers of the group
 };
+// The reason in an OperatorResponse, and for the operator.
+std::string to_string(OperatorRejection rejection);
 
-// An operator's decision that one router takes over all places of another.
-struct Replace {
+// An operator's decision that router `new_name` takes over all replica places of router `old_name`.
+struct Replacement {
   std::uint64_t id = 0;
   std::string old_name;
   std::string new_name;
   MSGPACK_DEFINE(id, old_name, new_name)
 };
 
-// A whole message with its header.
+// The bytes of a whole message with its header.
 template <typename Body>
-std::string write(Kind kind, std::size_t ledger, const Body& body) {
+std::string write(MessageKind kind, std::size_t ledger, const Body& body) {
   return packed(MessageHeader{kVersion, static_cast<std::uint8_t>(kind), static_cast<std::uint16_t>(ledger),
                               packed(body)});
 }
--- a/src/replication/operator_requests.cpp
+++ b/src/replication/operator_requests.cpp
@@ -12,6 +12,13 @@
 
 }  // namespace
 
+OperatorOutcome outcome_of(const OperatorResponse& response) {
+  if (response.accepted) return {OperatorOutcome::Status::accepted, {}};
+  // A rejection without a reason says as little as no response.
+  if (response.reason.empty()) return {};
+  return {OperatorOutcome::Status::rejected, response.reason};
+}
+
 bool OperatorRequests::has_room_for(std::size_t requests) const {
   return requests_.size() + requests <= kMostRequests;
 }
@@ -20,15 +27,15 @@
   requests_.push_back({id, ledger, std::move(envelope), now + kGiveUpAfter, now, std::move(done)});
 }
 
-// By index: `done` may add requests.
-void OperatorRequests::tick(Time now, const SendToHolders& send) {
+// Iterates by index, because `done` may add requests.
+void OperatorRequests::tick(Time now, const SendToReplicas& send) {
   std::size_t i = 0;
   while (i < requests_.size()) {
     Request& request = requests_[i];
     if (now >= request.give_up_at) {
       const Done done = std::move(request.done);
       requests_.erase(requests_.begin() + static_cast<std::ptrdiff_t>(i));
-      done(false, "");
+      done({OperatorOutcome::Status::unknown, {}});
       continue;
     }
     if (now >= request.send_at) {
@@ -39,14 +46,14 @@
   }
 }
 
-bool OperatorRequests::on_result(std::size_t ledger, const Corrected& result) {
+bool OperatorRequests::on_response(std::size_t ledger, const OperatorResponse& response) {
   const auto found = std::find_if(requests_.begin(), requests_.end(), [&](const Request& request) {
-    return request.id == result.id && request.ledger == ledger;
+    return request.id == response.id && request.ledger == ledger;
   });
   if (found == requests_.end()) return false;
   const Done done = std::move(found->done);
   requests_.erase(found);
-  done(result.yes, result.why);
+  done(outcome_of(response));
   return true;
 }
 
--- a/src/replication/peer_table.cpp
+++ b/src/replication/peer_table.cpp
@@ -31,7 +31,7 @@
   PeerRecord& peer = peers_[router];
   const Position known = peer.process.id == process.id ? peer.process.position() : Position();
   peer.process = process;
-  peer.process.set(known);
+  peer.process.set_position(known);
   records_.write(peer_key(router), packed(process));
   peer.durable_mark = records_.mark();
 }
@@ -42,7 +42,7 @@
   Process& process = found->second.process;
   Position known = process.position();
   known.raise(position);
-  process.set(known);
+  process.set_position(known);
 }
 
 void PeerTable::write_positions() {
--- a/src/replication/peer_table.hpp
+++ b/src/replication/peer_table.hpp
@@ -1,8 +1,8 @@
-// What one replica of a ledger knows of the others: which process each last was, how far its disk was, and
-// what its latest hello said.
+// What one replica of a ledger knows of the other replicas: the latest process of each, the position of its
+// disk, and the content of its latest hello.
 //
-// Processes are recorded durably, so that a peer whose disk was set back can be told. Positions are written
-// at intervals: at most that much of them is forgotten if this router fails, too.
+// Processes are recorded durably, so that a peer learns when its disk was set back. Positions are written at
+// intervals, so that a failure of this router loses at most one interval of them.
 #pragma once
 
 #include <map>
@@ -15,7 +15,7 @@
 
 struct PeerRecord {
   Process process;
-  std::uint64_t durable_mark = 0;  // `process` is durable here once this mark is
+  std::uint64_t durable_mark = 0;  // `process` is durable here once this number is
   Position stored_position;        // of `process`, as last written here
   Time received_at = 0;            // of the latest hello; 0: none since this process started
   Stage stage = Stage::blank;
@@ -36,21 +36,21 @@
   // Ignores a record that cannot be read.
   void load(std::string_view key, std::string_view value);
 
-  // Makes an empty record where there is none.
+  // Adds an empty record if there is none.
   PeerRecord& record_of(const std::string& router) { return peers_[router]; }
-  // Null: nothing is known.
+  // Null if the peer is not known.
   const PeerRecord* find(const std::string& router) const;
-  // Null: no hello has come lately.
+  // Null if no hello of the peer came recently.
   const PeerRecord* find_recent(const std::string& router, Time now) const;
   Peers& all() { return peers_; }
 
   // Records a process durably; keeps the position that is known if it runs on the same disk as the last one.
   void set_process(const std::string& router, const Process& process);
-  // Notes how far the disk of a replica is; ignored if it is not the one that is recorded.
+  // Raises the position of a replica's disk. Ignored if `id` is not the recorded replica.
   void raise_position(const std::string& router, ReplicaUid id, const Position& position);
   // Writes the positions that have changed.
   void write_positions();
-  // For a new identity of this replica.
+  // Resets `knows_this_process` of all peers, after this replica has got a new id.
   void forget_acknowledgements();
 
  private:
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -1,4 +1,4 @@
-// Accounts of the quota lease client: reservations and their settlement, and its events.
+// The quota lease client's accounts (reservations and their settlement), and its events.
 #include "replication/quota_lease_client.hpp"
 
 #include <algorithm>
@@ -7,9 +7,11 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr Time kAskAgainAfter = milliseconds(500);  // where the latest answer left too little
-constexpr Time kBehindRetryAfter = seconds(1);      // advised to clients while a lease is on its way
-constexpr Units kTypicalDecay = 16;                 // part by which the typical request shrinks with each one
+constexpr Time kRetryAfterShortage = milliseconds(500);  // after a response that had too little quota
+constexpr Time kAwaitingLeaseRetryAfter =
+    seconds(1);  // advised to clients while a lease request is in flight
+constexpr Units kTypicalDecayDivisor =
+    16;  // the typical request shrinks by itself over this with each request
 
 }  // namespace
 
@@ -20,8 +22,8 @@
       channels_(options_.ledgers) {
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
     Channel& channel = channels_[ledger];
-    channel.holders = holders_of(*options_.roster, ledger, options_.copies);
-    channel.target = options_.self % std::max<std::size_t>(1, channel.holders.size());
+    channel.replica_routers = place_replicas(*options_.roster, ledger, options_.replica_count);
+    channel.target = options_.self % std::max<std::size_t>(1, channel.replica_routers.size());
     channel.run = options_.run + static_cast<std::uint32_t>(ledger);
   }
 }
@@ -37,12 +39,12 @@
   return std::max<Units>(1, static_cast<Units>(block));
 }
 
-// What to have in hand ahead of need: the next request, and twice what was used since the latest question; a
-// block at most, unless one request takes more.
+// The quota to lease ahead of need: the next request, and twice the use since the latest lease request; a
+// block at most, unless one request needs more.
 Units QuotaLeaseClient::target_in_hand(const Account& account) const {
   const Units block = block_of(account);
   const Units typical = account.typical_request > 0 ? account.typical_request : block / 2;
-  return std::max(typical, std::min(block, typical + 2 * account.used_since_ask));
+  return std::max(typical, std::min(block, typical + 2 * account.used_since_request));
 }
 
 bool QuotaLeaseClient::is_short(const Account& account, const HeldLease& lease) const {
@@ -67,13 +69,13 @@
   request_update(place, Urgency::at_once);
 }
 
-// A lease is a little shorter by this clock than by the replicas', whose rate may differ: it is not used any
-// more when they declare it over.
+// A lease is a little shorter by this router's clock than by the replicas' clocks, whose rates may differ:
+// this router stops using the lease before a replica may declare it expired.
 bool QuotaLeaseClient::is_within_lease(const Channel& channel) const {
   return now_ < channel.lease_until || options_.outlive_lease;
 }
 
-// While a question is on its way, the next one is sent right after its answer.
+// While a request is in flight, the next one is sent right after its response.
 void QuotaLeaseClient::request_update(Place place, Urgency urgency) {
   Account& account = accounts_[place];
   account.is_changed = true;
@@ -81,7 +83,7 @@
   Channel& channel = channels_[account.ledger];
   channel.is_urgent = true;
   if (!channel.is_waiting) {
-    channel.due_at = std::min(channel.due_at, std::max(now_, channel.sent_at + kLeastBetweenAsks));
+    channel.due_at = std::min(channel.due_at, std::max(now_, channel.sent_at + kMinRequestInterval));
   }
   next_ = std::min(next_, channel.due_at);
 }
@@ -91,7 +93,7 @@
   Account& account = accounts_.at(place);
   const Channel& channel = channels_[account.ledger];
   HeldLease& lease = account.leases[window_of(account, wall)];
-  const Units decayed = account.typical_request - account.typical_request / kTypicalDecay;
+  const Units decayed = account.typical_request - account.typical_request / kTypicalDecayDivisor;
   account.typical_request = std::max(units, decayed);
   account.reserved_at = now_;
   if (lease.in_hand() >= units && is_within_lease(channel)) {
@@ -99,16 +101,16 @@
     if (is_short(account, lease)) request_update(place, Urgency::at_once);
     return true;
   }
-  ++metrics_.behind;
+  ++metrics_.insufficient;
   account.need = std::max(account.need, units);
-  // Where there was too little a moment ago there is hardly more now.
-  const bool too_little = lease.known && lease.left + lease.in_hand() < units;
-  const bool is_fresh = now_ - lease.asked_at < kAskAgainAfter;
-  request_update(place, too_little && is_fresh ? Urgency::with_next_question : Urgency::at_once);
+  // A ledger that had too little quota a moment ago hardly has more now.
+  const bool too_little = lease.known && lease.available + lease.in_hand() < units;
+  const bool is_fresh = now_ - lease.requested_at < kRetryAfterShortage;
+  request_update(place, too_little && is_fresh ? Urgency::with_next_request : Urgency::at_once);
   return reserve_overdraft(channel, account, lease, units);
 }
 
-// While no majority answers: what the operator allows beyond the leases.
+// While no majority responds, the operator may allow use beyond the leases.
 bool QuotaLeaseClient::reserve_overdraft(const Channel& channel, Account& account, HeldLease& lease,
                                          Units units) {
   const auto requested = static_cast<double>(units);
@@ -128,8 +130,8 @@
   HeldLease& lease = found->second;
   lease.reserved = std::max<Units>(0, lease.reserved - reserved);
   lease.used = budgets::sum_of(lease.used, used);
-  account.used_since_ask = budgets::sum_of(account.used_since_ask, used);
-  request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_question);
+  account.used_since_request = budgets::sum_of(account.used_since_request, used);
+  request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_request);
 }
 
 QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(Place place, Units wanted, Time wall) {
@@ -137,21 +139,21 @@
   const auto found = account.leases.find(window_of(account, wall));
   const bool known = found != account.leases.end() && found->second.known;
   const Units left =
-      known ? std::max<Units>(0, found->second.left + found->second.in_hand()) : account.rule.amount;
+      known ? std::max<Units>(0, found->second.available + found->second.in_hand()) : account.rule.amount;
   budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
   QuotaStatus status{.left = left,
                      .reset = limit.until_full(wall),
                      .retry_after = limit.until(wanted, wall),
                      .awaiting_lease = left >= wanted};
-  // A lease on its way, and a refill, take a moment to arrive here.
+  // A lease in flight, and a refill, take a moment to arrive at this router.
   if (status.retry_after && (status.awaiting_lease || is_bucket_rule(account))) {
-    status.retry_after = std::max(kBehindRetryAfter, *status.retry_after);
+    status.retry_after = std::max(kAwaitingLeaseRetryAfter, *status.retry_after);
   }
   return status;
 }
 
-AskLine QuotaLeaseClient::describe(const Account& account, std::int64_t window) {
-  AskLine line;
+LeaseRequestLine QuotaLeaseClient::describe(const Account& account, std::int64_t window) {
+  LeaseRequestLine line;
   line.key = account.key;
   line.span = static_cast<std::uint8_t>(account.rule.span);
   line.amount = account.rule.amount;
@@ -160,22 +162,22 @@
   return line;
 }
 
-std::optional<AskLine> QuotaLeaseClient::account(const std::string& key, Time wall) const {
+std::optional<LeaseRequestLine> QuotaLeaseClient::account(const std::string& key, Time wall) const {
   const auto found = std::find_if(accounts_.begin(), accounts_.end(),
                                   [&key](const Account& account) { return account.key == key; });
   if (found == accounts_.end()) return std::nullopt;
   return describe(*found, window_of(*found, wall));
 }
 
-std::vector<QuotaLeaseClient::Line> QuotaLeaseClient::lines() const {
-  std::vector<Line> all;
+std::vector<QuotaLeaseClient::WindowStatus> QuotaLeaseClient::window_statuses() const {
+  std::vector<WindowStatus> statuses;
   for (const Account& account : accounts_) {
     for (const auto& [window, lease] : account.leases) {
-      all.push_back({account.key, window, account.rule.amount, lease.left, lease.in_hand(), lease.used,
-                     lease.reserved});
+      statuses.push_back({account.key, window, account.rule.amount, lease.available, lease.in_hand(),
+                          lease.used, lease.reserved});
     }
   }
-  return all;
+  return statuses;
 }
 
 // ---------------------------------------------------------------- events
@@ -186,13 +188,13 @@
     Channel& channel = channels_[ledger];
     if (channel.accounts.empty() || channel.has_left || now_ < channel.due_at) continue;
     if (channel.is_waiting) {
-      ++metrics_.unanswered;
-      on_unanswered(channel);
+      ++metrics_.timeouts;
+      on_timeout(channel);
     }
-    ask(ledger);
+    request_leases(ledger);
   }
   operator_requests_.tick(
-      now_, [this](std::size_t ledger, const std::string& envelope) { send_to_holders(ledger, envelope); });
+      now_, [this](std::size_t ledger, const std::string& envelope) { send_to_replicas(ledger, envelope); });
   schedule();
 }
 
@@ -208,7 +210,7 @@
   now_ = std::max(now_, now);
   is_leaving_ = true;
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
-    if (!channels_[ledger].accounts.empty()) ask(ledger);
+    if (!channels_[ledger].accounts.empty()) request_leases(ledger);
   }
 }
 
@@ -217,65 +219,61 @@
                      [](const Channel& channel) { return channel.accounts.empty() || channel.has_left; });
 }
 
-void QuotaLeaseClient::on_message(Time now, std::size_t, std::size_t ledger, Kind kind,
+void QuotaLeaseClient::on_message(Time now, std::size_t, std::size_t ledger, MessageKind kind,
                                   std::string_view body) {
   now_ = std::max(now_, now);
   if (ledger >= channels_.size()) return;
-  if (kind == Kind::answer) {
-    if (const auto answer = read<Answer>(body)) on_answer(ledger, *answer);
-  } else if (kind == Kind::rejected) {
-    if (const auto rejected = read<Rejected>(body)) on_rejected(ledger, *rejected);
-  } else if (kind == Kind::corrected) {
-    const auto result = read<Corrected>(body);
-    if (!result || !operator_requests_.on_result(ledger, *result)) return;
+  if (kind == MessageKind::lease_response) {
+    if (const auto response = read<LeaseResponse>(body)) on_response(ledger, *response);
+  } else if (kind == MessageKind::lease_rejection) {
+    if (const auto rejected = read<LeaseRejection>(body)) on_rejected(ledger, *rejected);
+  } else if (kind == MessageKind::operator_response) {
+    const auto response = read<OperatorResponse>(body);
+    if (!response || !operator_requests_.on_response(ledger, *response)) return;
   }
   schedule();
 }
 
 // ---------------------------------------------------------------- operators
 
-void QuotaLeaseClient::send_to_holders(std::size_t ledger, const std::string& envelope) {
-  for (const std::size_t member : channels_[ledger].holders) dependencies_.send(member, envelope);
+void QuotaLeaseClient::send_to_replicas(std::size_t ledger, const std::string& envelope) {
+  for (const std::size_t member : channels_[ledger].replica_routers) dependencies_.send(member, envelope);
 }
 
 void QuotaLeaseClient::correct(Time now, const Correction& correction, OperatorRequests::Done done) {
   now_ = std::max(now_, now);
   if (!operator_requests_.has_room_for(1)) {
-    done(false, "too many corrections at a time");
+    done({OperatorOutcome::Status::rejected, to_string(OperatorRejection::too_many_requests)});
     return;
   }
   const std::size_t ledger = ledger_of(correction.account.key, channels_.size());
-  operator_requests_.add(now_, correction.id, ledger, write(Kind::correct, ledger, correction),
+  operator_requests_.add(now_, correction.id, ledger, write(MessageKind::correction, ledger, correction),
                          std::move(done));
   next_ = now_;
 }
 
-// Accepted when each ledger has accepted it.
-void QuotaLeaseClient::replace(Time now, const Replace& replace, OperatorRequests::Done done) {
+void QuotaLeaseClient::replace(Time now, const Replacement& replacement, OperatorRequests::Done done) {
   now_ = std::max(now_, now);
   if (!operator_requests_.has_room_for(channels_.size())) {
-    done(false, "too many corrections at a time");
+    done({OperatorOutcome::Status::rejected, to_string(OperatorRejection::too_many_requests)});
     return;
   }
-  struct Outcome {
-    std::size_t unanswered = 0;
-    bool accepted = true;
-    std::string why;
+  struct Progress {
+    std::size_t open = 0;  // ledgers whose outcome is not known yet
+    OperatorOutcome outcome{OperatorOutcome::Status::accepted, {}};
     OperatorRequests::Done done;
   };
-  const auto outcome = std::make_shared<Outcome>();
-  outcome->unanswered = channels_.size();
-  outcome->done = std::move(done);
-  const auto on_result = [outcome](bool accepted, const std::string& why) {
-    if (!accepted) {
-      outcome->accepted = false;
-      outcome->why = why;
-    }
-    --outcome->unanswered;
-    if (outcome->unanswered == 0) outcome->done(outcome->accepted, outcome->why);
+  const auto progress = std::make_shared<Progress>();
+  progress->open = channels_.size();
+  progress->done = std::move(done);
+  const auto on_outcome = [progress](const OperatorOutcome& outcome) {
+    if (outcome.status != OperatorOutcome::Status::accepted) progress->outcome = outcome;
+    --progress->open;
+    if (progress->open == 0) progress->done(progress->outcome);
   };
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
-    operator_requests_.add(now_, replace.id, ledger, write(Kind::replace, ledger, replace), on_result);
+    operator_requests_.add(now_, replacement.id, ledger, write(MessageKind::replacement, ledger, replacement),
+                           on_outcome);
   }
   next_ = now_;
 }
--- a/src/replication/raft_io_adapter.cpp
+++ b/src/replication/raft_io_adapter.cpp
@@ -8,9 +8,8 @@
 namespace thornwick::replication {
 namespace {
 
-// Messages that wait for the disk; beyond that they are lost, as on a network.
+// Messages that may wait for the disk. Further ones are dropped, as a network would.
 constexpr std::size_t kMostHeldMessages = 4096;
-constexpr Time kMicrosecondsPerMillisecond = 1000;
 constexpr int kIoVersion = 2;
 constexpr int kFsmVersion = 1;
 
@@ -43,10 +42,10 @@
     from(io).on_receive_ = on_receive;
     return 0;
   };
-  io_.time = [](raft_io* io) { return static_cast<raft_time>(from(io).now_ / kMicrosecondsPerMillisecond); };
+  io_.time = [](raft_io* io) { return static_cast<raft_time>(from(io).now_ / milliseconds(1)); };
   io_.random = [](raft_io* io, int least, int most) {
     const auto range = static_cast<std::uint64_t>(std::max(1, most - least));
-    return least + static_cast<int>(from(io).dependencies_.chance() % range);
+    return least + static_cast<int>(from(io).dependencies_.random_number() % range);
   };
   io_.async_work = [](raft_io* io, raft_io_async_work* request, raft_io_async_work_cb done) {
     from(io).completions_.emplace_back([request, done] { done(request, request->work(request)); });
@@ -123,8 +122,8 @@
   return &fsm_;
 }
 
-// Waiters end as if their records were durable, not as cancelled: for each that is cancelled the library
-// would take its entries off a log that may have been cut since. Nothing is sent any more.
+// Reports waiting writes as durable, not as cancelled: for each cancelled write the library would take its
+// entries off a log that may have been truncated since. No message is sent after this call.
 void RaftIoAdapter::close(raft_io_close_cb done) {
   for (auto& waiter : std::exchange(disk_waiters_, {})) waiter.done();
   for (auto& completion : std::exchange(completions_, {})) completion();
@@ -147,7 +146,7 @@
   *count = in_order.size();
 }
 
-// In memory that the library frees.
+// The library frees the result.
 raft_snapshot* RaftIoAdapter::stored_snapshot() const {
   const StoredSnapshot& stored = store_.snapshot();
   auto* snapshot = raft_array<raft_snapshot>(1);
@@ -191,8 +190,8 @@
   when_durable([this, term = store_.vote().term] { durable_position_.term = term; });
 }
 
-// Entries that are cut off before they are durable give way to entries of a later term, so that the position
-// never goes back.
+// The position never goes back: entries that are truncated before they are durable are replaced by entries of
+// a later term.
 void RaftIoAdapter::on_log_written() {
   when_durable([this, last_term = store_.last_term(), last = store_.last_index()] {
     durable_position_.last_term = last_term;
@@ -206,9 +205,9 @@
 
 void RaftIoAdapter::receive(raft_message& message) { on_receive_(&io_, &message); }
 
-// When the records of an append are durable, the library answers whoever leads by then. Where this copy has
-// no leader any more, or is a candidate, the library's union has other data in the place of the leader's
-// address.
+// When the records of an append are durable, the library sends the result to the leader of that moment. If
+// this replica has no leader any more, or is a candidate, the library's union has other data in the place of
+// the leader's address.
 bool RaftIoAdapter::is_expected_by_receiver(const raft_message& result) const {
   if (sender_address_ != nullptr && result.server_address == sender_address_) return true;
   if (raft_.state != RAFT_FOLLOWER) return false;
@@ -226,7 +225,7 @@
       verified_.limit(*result, raft_.commit_index);
     }
     held_messages_.push_back(
-        {send_barrier_, message.server_id, name_of(message.server_address), encode(*body)});
+        {send_barrier_, message.server_id, name_of(message.server_address), encode(std::move(*body))});
   }
   completions_.emplace_back([request, done] { done(request, 0); });
   return 0;
@@ -239,7 +238,7 @@
 
 // ---------------------------------------------------------------- pending work
 
-// Each completion may queue more of either kind.
+// Repeats until nothing was run, because a completion may queue writes and completions.
 void RaftIoAdapter::run_pending() {
   if (std::exchange(running_pending_, true)) return;
   bool more = true;
--- a/src/replication/raft_io_adapter.hpp
+++ b/src/replication/raft_io_adapter.hpp
@@ -45,9 +45,10 @@
   // Whether the library has started and can be ticked.
   bool is_started() const { return on_tick_ != nullptr; }
   void tick() { on_tick_(&io_); }
-  // Hands a message to the library; its sender's address identifies whom an answer is for.
+  // Hands a message to the library, which keeps the sender's address to send its result there.
   void receive(raft_message& message);
-  // The message that is being handled, while receive() calls are made for it, came from this address.
+  // Sets the address from which the message came that receive() is about to handle; null after it was
+  // handled.
   void set_sender(const char* address) { sender_address_ = address; }
   // Runs completions and sends messages whose records are durable. Does nothing while it is running.
   void run_pending();
--- a/src/replication/raft_messages.cpp
+++ b/src/replication/raft_messages.cpp
@@ -1,11 +1,15 @@
 #include "replication/raft_messages.hpp"
 
+#include <type_traits>
+#include <utility>
+
 #include "replication/message_pack.hpp"
 
 namespace thornwick::replication {
 namespace {
 
-// The layout of every type on the wire. What a number stands for depends on the type; see to_wire().
+// The layout of every type on the wire. The meaning of a number depends on the type: see the map_fields()
+// overloads below.
 struct WireMessage {
   std::uint16_t type = 0;
   std::uint64_t term = 0;
@@ -22,165 +26,247 @@
                  data)
 };
 
-void to_wire(const AppendEntries& message, WireMessage& wire) {
-  wire.type = RAFT_IO_APPEND_ENTRIES;
-  wire.term = message.term;
-  wire.number1 = message.prev_log_index;
-  wire.number2 = message.prev_log_term;
-  wire.number3 = message.leader_commit;
-  wire.entries = message.entries;
+// ---------------------------------------------------------------- fields
+//
+// Each map_fields() calls `copy(field, other_field)` for the corresponding fields of a message of this module
+// and of its other form, which is the wire layout or C-Raft's struct. The direction of `copy` makes one list
+// of fields serve reading and writing. Fields that own memory, or that have to be checked, are handled by
+// read_owned(), fill_owned() and is_valid() below.
+
+template <typename Copy>
+void map_fields(AppendEntries& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.prev_log_index, wire.number1);
+  copy(message.prev_log_term, wire.number2);
+  copy(message.leader_commit, wire.number3);
+  copy(message.entries, wire.entries);
 }
 
-void to_wire(const AppendEntriesResult& message, WireMessage& wire) {
-  wire.type = RAFT_IO_APPEND_ENTRIES_RESULT;
-  wire.term = message.term;
-  wire.number1 = message.rejected;
-  wire.number2 = message.last_log_index;
+template <typename Copy>
+void map_fields(AppendEntriesResult& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.rejected, wire.number1);
+  copy(message.last_log_index, wire.number2);
 }
 
-void to_wire(const RequestVote& message, WireMessage& wire) {
-  wire.type = RAFT_IO_REQUEST_VOTE;
-  wire.term = message.term;
-  wire.number1 = message.candidate_id;
-  wire.number2 = message.last_log_index;
-  wire.number3 = message.last_log_term;
-  wire.flag = message.disrupt_leader;
-  wire.pre_vote = message.pre_vote;
+template <typename Copy>
+void map_fields(RequestVote& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.candidate_id, wire.number1);
+  copy(message.last_log_index, wire.number2);
+  copy(message.last_log_term, wire.number3);
+  copy(message.disrupt_leader, wire.flag);
+  copy(message.pre_vote, wire.pre_vote);
 }
 
-void to_wire(const RequestVoteResult& message, WireMessage& wire) {
-  wire.type = RAFT_IO_REQUEST_VOTE_RESULT;
-  wire.term = message.term;
-  wire.flag = message.vote_granted;
-  wire.pre_vote_result = message.pre_vote;
+template <typename Copy>
+void map_fields(RequestVoteResult& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.vote_granted, wire.flag);
+  copy(message.pre_vote, wire.pre_vote_result);
 }
 
-void to_wire(const InstallSnapshot& message, WireMessage& wire) {
-  wire.type = RAFT_IO_INSTALL_SNAPSHOT;
-  wire.term = message.term;
-  wire.number1 = message.last_index;
-  wire.number2 = message.last_term;
-  wire.number3 = message.configuration_index;
-  wire.servers = message.servers;
-  wire.data = message.data;
+template <typename Copy>
+void map_fields(InstallSnapshot& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.last_index, wire.number1);
+  copy(message.last_term, wire.number2);
+  copy(message.configuration_index, wire.number3);
+  copy(message.servers, wire.servers);
+  copy(message.data, wire.data);
 }
 
-void to_wire(const TimeoutNow& message, WireMessage& wire) {
-  wire.type = RAFT_IO_TIMEOUT_NOW;
-  wire.term = message.term;
-  wire.number1 = message.last_log_index;
-  wire.number2 = message.last_log_term;
+template <typename Copy>
+void map_fields(TimeoutNow& message, WireMessage& wire, Copy copy) {
+  copy(message.term, wire.term);
+  copy(message.last_log_index, wire.number1);
+  copy(message.last_log_term, wire.number2);
 }
 
-std::optional<ProtocolMessage> request_vote_result(const WireMessage& wire) {
-  if (wire.pre_vote_result < raft_tribool_unknown || wire.pre_vote_result > raft_tribool_false) {
-    return std::nullopt;
-  }
-  return RequestVoteResult{wire.term, wire.flag, static_cast<raft_tribool>(wire.pre_vote_result)};
+template <typename Copy>
+void map_fields(AppendEntries& message, raft_append_entries& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.prev_log_index, body.prev_log_index);
+  copy(message.prev_log_term, body.prev_log_term);
+  copy(message.leader_commit, body.leader_commit);
+}
+
+template <typename Copy>
+void map_fields(AppendEntriesResult& message, raft_append_entries_result& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.rejected, body.rejected);
+  copy(message.last_log_index, body.last_log_index);
+}
+
+template <typename Copy>
+void map_fields(RequestVote& message, raft_request_vote& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.candidate_id, body.candidate_id);
+  copy(message.last_log_index, body.last_log_index);
+  copy(message.last_log_term, body.last_log_term);
+  copy(message.disrupt_leader, body.disrupt_leader);
+  copy(message.pre_vote, body.pre_vote);
 }
 
-AppendEntries typed(const raft_append_entries& body) {
-  return {body.term, body.prev_log_index, body.prev_log_term, body.leader_commit,
-          stored_entries(body.entries, body.n_entries)};
+template <typename Copy>
+void map_fields(RequestVoteResult& message, raft_request_vote_result& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.vote_granted, body.vote_granted);
+  copy(message.pre_vote, body.pre_vote);
 }
 
-InstallSnapshot typed(const raft_install_snapshot& body) {
-  return {body.term,       body.last_index,       body.last_term,
-          body.conf_index, servers_of(body.conf), std::string(bytes_of(body.data))};
+template <typename Copy>
+void map_fields(InstallSnapshot& message, raft_install_snapshot& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.last_index, body.last_index);
+  copy(message.last_term, body.last_term);
+  copy(message.configuration_index, body.conf_index);
 }
 
-void fill(raft_message& message, const AppendEntries& body) {
-  message.type = RAFT_IO_APPEND_ENTRIES;
-  message.append_entries = {
-      body.term,          body.prev_log_index,           body.prev_log_term,
-      body.leader_commit, raft_entries_of(body.entries), static_cast<unsigned>(body.entries.size())};
+template <typename Copy>
+void map_fields(TimeoutNow& message, raft_timeout_now& body, Copy copy) {
+  copy(message.term, body.term);
+  copy(message.last_log_index, body.last_log_index);
+  copy(message.last_log_term, body.last_log_term);
+}
+
+// The two directions of map_fields().
+constexpr auto kCopyFrom = [](auto& field, auto& other) {
+  field = static_cast<std::remove_reference_t<decltype(field)>>(std::move(other));
+};
+constexpr auto kCopyTo = [](auto& field, auto& other) {
+  other = static_cast<std::remove_reference_t<decltype(other)>>(std::move(field));
+};
+
+// ---------------------------------------------------------------- types
+
+// The type of a message in C-Raft and on the wire, and its struct in C-Raft's union.
+template <typename Message>
+struct MessageTraits;
+
+template <>
+struct MessageTraits<AppendEntries> {
+  static constexpr int kType = RAFT_IO_APPEND_ENTRIES;
+  static constexpr auto kBody = &raft_message::append_entries;
+};
+template <>
+struct MessageTraits<AppendEntriesResult> {
+  static constexpr int kType = RAFT_IO_APPEND_ENTRIES_RESULT;
+  static constexpr auto kBody = &raft_message::append_entries_result;
+};
+template <>
+struct MessageTraits<RequestVote> {
+  static constexpr int kType = RAFT_IO_REQUEST_VOTE;
+  static constexpr auto kBody = &raft_message::request_vote;
+};
+template <>
+struct MessageTraits<RequestVoteResult> {
+  static constexpr int kType = RAFT_IO_REQUEST_VOTE_RESULT;
+  static constexpr auto kBody = &raft_message::request_vote_result;
+};
+template <>
+struct MessageTraits<InstallSnapshot> {
+  static constexpr int kType = RAFT_IO_INSTALL_SNAPSHOT;
+  static constexpr auto kBody = &raft_message::install_snapshot;
+};
+template <>
+struct MessageTraits<TimeoutNow> {
+  static constexpr int kType = RAFT_IO_TIMEOUT_NOW;
+  static constexpr auto kBody = &raft_message::timeout_now;
+};
+
+// Calls `read` with an empty message of this type. Returns none for a type that is not one of
+// ProtocolMessage.
+template <typename Read>
+std::optional<ProtocolMessage> read_by_type(int type, Read read) {
+  switch (type) {
+    case RAFT_IO_APPEND_ENTRIES: return read(AppendEntries{});
+    case RAFT_IO_APPEND_ENTRIES_RESULT: return read(AppendEntriesResult{});
+    case RAFT_IO_REQUEST_VOTE: return read(RequestVote{});
+    case RAFT_IO_REQUEST_VOTE_RESULT: return read(RequestVoteResult{});
+    case RAFT_IO_INSTALL_SNAPSHOT: return read(InstallSnapshot{});
+    case RAFT_IO_TIMEOUT_NOW: return read(TimeoutNow{});
+    default: return std::nullopt;
+  }
 }
 
-void fill(raft_message& message, const AppendEntriesResult& body) {
-  message.type = RAFT_IO_APPEND_ENTRIES_RESULT;
-  message.append_entries_result = {body.term, body.rejected, body.last_log_index};
+// ---------------------------------------------------------------- fields that own memory
+
+template <typename Message, typename Body>
+void read_owned(Message&, const Body&) {}
+
+void read_owned(AppendEntries& message, const raft_append_entries& body) {
+  message.entries = stored_entries(body.entries, body.n_entries);
 }
 
-void fill(raft_message& message, const RequestVote& body) {
-  message.type = RAFT_IO_REQUEST_VOTE;
-  message.request_vote = {body.term,          body.candidate_id,   body.last_log_index,
-                          body.last_log_term, body.disrupt_leader, body.pre_vote};
+void read_owned(InstallSnapshot& message, const raft_install_snapshot& body) {
+  message.servers = servers_of(body.conf);
+  message.data = std::string(bytes_of(body.data));
 }
 
-void fill(raft_message& message, const RequestVoteResult& body) {
-  message.type = RAFT_IO_REQUEST_VOTE_RESULT;
-  message.request_vote_result = {body.term, body.vote_granted, body.pre_vote};
+template <typename Message, typename Body>
+void fill_owned(Body&, const Message&) {}
+
+void fill_owned(raft_append_entries& body, const AppendEntries& message) {
+  body.entries = raft_entries_of(message.entries);
+  body.n_entries = static_cast<unsigned>(message.entries.size());
 }
 
-void fill(raft_message& message, const InstallSnapshot& body) {
-  message.type = RAFT_IO_INSTALL_SNAPSHOT;
-  message.install_snapshot.term = body.term;
-  message.install_snapshot.last_index = body.last_index;
-  message.install_snapshot.last_term = body.last_term;
-  message.install_snapshot.conf_index = body.configuration_index;
-  fill_configuration(message.install_snapshot.conf, body.servers);
-  message.install_snapshot.data = raft_buffer_of(body.data);
+void fill_owned(raft_install_snapshot& body, const InstallSnapshot& message) {
+  fill_configuration(body.conf, message.servers);
+  body.data = raft_buffer_of(message.data);
 }
 
-void fill(raft_message& message, const TimeoutNow& body) {
-  message.type = RAFT_IO_TIMEOUT_NOW;
-  message.timeout_now = {body.term, body.last_log_index, body.last_log_term};
+// Whether all fields of the wire layout are in their range.
+template <typename Message>
+bool is_valid(const WireMessage& wire) {
+  if constexpr (!std::is_same_v<Message, RequestVoteResult>) return true;
+  return wire.pre_vote_result >= raft_tribool_unknown && wire.pre_vote_result <= raft_tribool_false;
 }
 
 }  // namespace
 
 std::optional<ProtocolMessage> protocol_message(const raft_message& message) {
-  switch (message.type) {
-    case RAFT_IO_APPEND_ENTRIES: return typed(message.append_entries);
-    case RAFT_IO_APPEND_ENTRIES_RESULT: {
-      const auto& body = message.append_entries_result;
-      return AppendEntriesResult{body.term, body.rejected, body.last_log_index};
-    }
-    case RAFT_IO_REQUEST_VOTE: {
-      const auto& body = message.request_vote;
-      return RequestVote{body.term,          body.candidate_id,   body.last_log_index,
-                         body.last_log_term, body.disrupt_leader, body.pre_vote};
-    }
-    case RAFT_IO_REQUEST_VOTE_RESULT: {
-      const auto& body = message.request_vote_result;
-      return RequestVoteResult{body.term, body.vote_granted, body.pre_vote};
-    }
-    case RAFT_IO_INSTALL_SNAPSHOT: return typed(message.install_snapshot);
-    case RAFT_IO_TIMEOUT_NOW: {
-      const auto& body = message.timeout_now;
-      return TimeoutNow{body.term, body.last_log_index, body.last_log_term};
-    }
-    default: return std::nullopt;
-  }
+  return read_by_type(message.type, [&message](auto typed) -> std::optional<ProtocolMessage> {
+    auto body = message.*MessageTraits<decltype(typed)>::kBody;
+    map_fields(typed, body, kCopyFrom);
+    read_owned(typed, body);
+    return typed;
+  });
 }
 
-void fill_raft_message(raft_message& message, const ProtocolMessage& body) {
-  std::visit([&message](const auto& alternative) { fill(message, alternative); }, body);
+void fill_raft_message(raft_message& message, ProtocolMessage body) {
+  std::visit(
+      [&message](auto& typed) {
+        using Traits = MessageTraits<std::remove_reference_t<decltype(typed)>>;
+        message.type = Traits::kType;
+        auto& raft_body = message.*Traits::kBody;
+        raft_body = {};
+        fill_owned(raft_body, typed);
+        map_fields(typed, raft_body, kCopyTo);
+      },
+      body);
 }
 
-std::string encode(const ProtocolMessage& message) {
+std::string encode(ProtocolMessage message) {
   WireMessage wire;
-  std::visit([&wire](const auto& alternative) { to_wire(alternative, wire); }, message);
+  std::visit(
+      [&wire](auto& typed) {
+        wire.type = MessageTraits<std::remove_reference_t<decltype(typed)>>::kType;
+        map_fields(typed, wire, kCopyTo);
+      },
+      message);
   return packed(wire);
 }
 
 std::optional<ProtocolMessage> decode_message(std::string_view bytes) {
   auto wire = read<WireMessage>(bytes);
   if (!wire) return std::nullopt;
-  switch (wire->type) {
-    case RAFT_IO_APPEND_ENTRIES:
-      return AppendEntries{wire->term, wire->number1, wire->number2, wire->number3, std::move(wire->entries)};
-    case RAFT_IO_APPEND_ENTRIES_RESULT: return AppendEntriesResult{wire->term, wire->number1, wire->number2};
-    case RAFT_IO_REQUEST_VOTE:
-      return RequestVote{wire->term, wire->number1, wire->number2, wire->number3, wire->flag, wire->pre_vote};
-    case RAFT_IO_REQUEST_VOTE_RESULT: return request_vote_result(*wire);
-    case RAFT_IO_INSTALL_SNAPSHOT:
-      return InstallSnapshot{
-          wire->term,           wire->number1, wire->number2, wire->number3, std::move(wire->servers),
-          std::move(wire->data)};
-    case RAFT_IO_TIMEOUT_NOW: return TimeoutNow{wire->term, wire->number1, wire->number2};
-    default: return std::nullopt;
-  }
+  return read_by_type(wire->type, [&wire](auto typed) -> std::optional<ProtocolMessage> {
+    if (!is_valid<decltype(typed)>(*wire)) return std::nullopt;
+    map_fields(typed, *wire, kCopyFrom);
+    return typed;
+  });
 }
 
 }  // namespace thornwick::replication
--- a/src/replication/raft_messages.hpp
+++ b/src/replication/raft_messages.hpp
@@ -59,13 +59,14 @@
 using ProtocolMessage = std::variant<AppendEntries, AppendEntriesResult, RequestVote, RequestVoteResult,
                                      InstallSnapshot, TimeoutNow>;
 
-// None for a type that is not one of these.
+// Copies the library's message. None for a type that is not one of ProtocolMessage.
 std::optional<ProtocolMessage> protocol_message(const raft_message& message);
-// Sets type and body; the sender is the caller's to set. The library frees what is allocated here.
-void fill_raft_message(raft_message& message, const ProtocolMessage& body);
+// Sets the type and the body of `message`; the caller sets the sender. The library frees the memory that the
+// body points to.
+void fill_raft_message(raft_message& message, ProtocolMessage body);
 
-std::string encode(const ProtocolMessage& message);
-// None for bytes that are no such message.
+std::string encode(ProtocolMessage message);
+// None if the bytes are no such message.
 std::optional<ProtocolMessage> decode_message(std::string_view bytes);
 
 }  // namespace thornwick::replication
--- a/src/replication/replica_placement.cpp
+++ b/src/replication/replica_placement.cpp
@@ -11,13 +11,13 @@
 
 constexpr std::size_t kMostLedgers = 16;
 constexpr std::size_t kRoutersALedger = 3;
-constexpr std::uint64_t kScoreSeed = 0x7468;  // never changes: all routers, of all versions, place alike
+constexpr std::uint64_t kScoreSeed = 0x7468;  // never changes, so that routers of all versions place alike
 
 std::uint64_t score(std::string_view router, std::size_t ledger) {
   return XXH3_64bits_withSeed(router.data(), router.size(), kScoreSeed + ledger);
 }
 
-// A router that has taken over another's places has the better of both scores.
+// A router that takes another one's places has the better of both scores.
 std::uint64_t score_with_replaced(const std::string& router, std::size_t ledger,
                                   const ReplacementMap& replaced) {
   std::uint64_t best = score(router, ledger);
@@ -27,7 +27,7 @@
   return best;
 }
 
-// A machine by its address; on a loopback each router stands for one.
+// The machine of a router is the host of its address. On a loopback address each router counts as a machine.
 std::string machine_of(const membership::RouterEntry& router) {
   const std::string host = router.address.substr(0, router.address.rfind(':'));
   return host.starts_with("127.") || host == "[::1]" ? router.name : host;
@@ -38,7 +38,7 @@
   std::size_t member = 0;
 };
 
-// The best first.
+// All routers that are not replaced, the best first.
 std::vector<Candidate> ranked_candidates(const membership::Roster& roster, std::size_t ledger,
                                          const ReplacementMap& replaced) {
   std::vector<Candidate> candidates;
@@ -54,7 +54,7 @@
   return candidates;
 }
 
-// The least number of replicas per site with which all find a machine, or `count` if they cannot.
+// The least number of replicas per site with which all replicas find a machine, or `count` if there is none.
 std::size_t replicas_per_site(const membership::Roster& roster, const std::vector<Candidate>& candidates,
                               std::size_t count) {
   std::vector<std::set<std::string>> machines(roster.sites().size());
@@ -81,8 +81,8 @@
   return XXH3_64bits(account.data(), account.size()) % std::max<std::size_t>(1, ledgers);
 }
 
-std::vector<std::size_t> holders_of(const membership::Roster& roster, std::size_t ledger, std::size_t count,
-                                    const ReplacementMap& replaced) {
+std::vector<std::size_t> place_replicas(const membership::Roster& roster, std::size_t ledger,
+                                        std::size_t count, const ReplacementMap& replaced) {
   const auto candidates = ranked_candidates(roster, ledger, replaced);
   const std::size_t most_per_site = replicas_per_site(roster, candidates, count);
   std::vector<std::size_t> chosen;
@@ -100,10 +100,10 @@
   return chosen;
 }
 
-bool bears_loss_of_a_site(const membership::Roster& roster, std::size_t ledgers, std::size_t count) {
+bool survives_site_loss(const membership::Roster& roster, std::size_t ledgers, std::size_t count) {
   for (std::size_t ledger = 0; ledger < ledgers; ++ledger) {
     std::vector<std::size_t> replicas_by_site(roster.sites().size(), 0);
-    for (const std::size_t member : holders_of(roster, ledger, count)) {
+    for (const std::size_t member : place_replicas(roster, ledger, count)) {
       ++replicas_by_site[roster.site_of(member)];
     }
     const bool loses_majority = std::any_of(replicas_by_site.begin(), replicas_by_site.end(),
--- a/src/replication/replica_placement.hpp
+++ b/src/replication/replica_placement.hpp
@@ -1,5 +1,5 @@
-// On which routers the replicas of a ledger are: from the configured names alone, so that all routers agree
-// without a message. No state and no I/O.
+// The placement of a ledger's replicas on routers. It depends on the configured names alone, so that all
+// routers agree without a message. No state and no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,23 @@
 
 namespace thornwick::replication {
 
-// A router that is gone for good -> the one that has taken its places: an operator's decision.
+// A router that is gone for good -> the router that takes its places, by an operator's decision.
 using ReplacementMap = std::map<std::string, std::string>;
 
-// As many ledgers as keep a router's share of the work the same in groups of any size; 1..16.
+// The number of ledgers of a group, 1 to 16. It grows with the group, so that a router's share of the work
+// stays the same.
 std::size_t ledgers_for(std::size_t routers);
 
 // The ledger that keeps this account.
 std::size_t ledger_of(std::string_view account, std::size_t ledgers);
 
-// Members of the roster, the best first, by rendezvous hashing (Thaler and Ravishankar, 1998): never two on
-// one machine, and as even over the sites as those allow. Fewer than `count` where there are not as many
-// machines.
-std::vector<std::size_t> holders_of(const membership::Roster& roster, std::size_t ledger, std::size_t count,
-                                    const ReplacementMap& replaced = {});
+// Chooses `count` members of the roster for a ledger's replicas, the best first, by rendezvous hashing
+// (Thaler and Ravishankar, 1998). It never chooses two on one machine, and spreads them as evenly over the
+// sites as the machines allow. Returns fewer than `count` members if there are not as many machines.
+std::vector<std::size_t> place_replicas(const membership::Roster& roster, std::size_t ledger,
+                                        std::size_t count, const ReplacementMap& replaced = {});
 
-// Whether each ledger keeps a majority of its replicas when any one whole site is lost.
-bool bears_loss_of_a_site(const membership::Roster& roster, std::size_t ledgers, std::size_t count);
+// Whether each ledger keeps a majority of its replicas when any one site is lost.
+bool survives_site_loss(const membership::Roster& roster, std::size_t ledgers, std::size_t count);
 
 }  // namespace thornwick::replication
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -7,9 +7,9 @@
 
 ReplicationNode::ReplicationNode(Options options, Dependencies dependencies, Time now)
     : options_(std::move(options)), dependencies_(std::move(dependencies)) {
-  const LedgerReplicaOptions& replica = options_.holder;
+  const LedgerReplicaOptions& replica = options_.replica;
   for (std::size_t ledger = 0; ledger < options_.quota_client.ledgers; ++ledger) {
-    const auto placed = holders_of(*replica.roster, ledger, replica.copies);
+    const auto placed = place_replicas(*replica.roster, ledger, replica.replica_count);
     const bool is_placed_here = std::find(placed.begin(), placed.end(), replica.self) != placed.end();
     if (is_placed_here || has_records(ledger)) open(ledger, now);
   }
@@ -28,14 +28,16 @@
 }
 
 void ReplicationNode::open(std::size_t ledger, Time now) {
-  LedgerReplicaOptions options = options_.holder;
+  LedgerReplicaOptions options = options_.replica;
   options.ledger = ledger;
   LedgerReplica::Dependencies dependencies{
       .records = dependencies_.records(ledger),
-      .chance = dependencies_.chance,
+      .random_number = dependencies_.random_number,
       .send = [this](std::size_t member, std::string bytes) { send(member, std::move(bytes)); },
       .write_log = dependencies_.write_log};
-  const StoredRecords stored = [this, ledger](const Visit& visit) { dependencies_.stored(ledger, visit); };
+  const StoredRecords stored = [this, ledger](const RecordVisitor& visit) {
+    dependencies_.stored(ledger, visit);
+  };
   ledger_replicas_[ledger] =
       std::make_unique<LedgerReplica>(std::move(options), std::move(dependencies), stored, now);
 }
@@ -64,7 +66,7 @@
   while (!to_self_.empty()) {
     const std::string bytes = std::move(to_self_.front());
     to_self_.pop_front();
-    deliver(now, options_.holder.self, bytes);
+    deliver(now, options_.replica.self, bytes);
   }
   is_delivering_to_self_ = false;
 }
@@ -72,7 +74,7 @@
 // ---------------------------------------------------------------- messages
 
 void ReplicationNode::send(std::size_t member, std::string bytes) {
-  if (member == options_.holder.self) {
+  if (member == options_.replica.self) {
     to_self_.push_back(std::move(bytes));
     return;
   }
@@ -91,51 +93,54 @@
     ++metrics_.unreadable;
     return;
   }
-  const auto kind = static_cast<Kind>(header->kind);
+  const auto kind = static_cast<MessageKind>(header->kind);
   const std::size_t ledger = header->ledger;
-  if (kind == Kind::answer || kind == Kind::rejected || kind == Kind::corrected) {
+  if (kind == MessageKind::lease_response || kind == MessageKind::lease_rejection ||
+      kind == MessageKind::operator_response) {
     quota_client_->on_message(now, member, ledger, kind, header->body);
     return;
   }
-  if (kind == Kind::hello) open_if_wanted(ledger, header->body, now);
+  if (kind == MessageKind::hello) open_if_wanted(ledger, header->body, now);
   const auto replica = ledger_replicas_.find(ledger);
   if (replica != ledger_replicas_.end()) {
     replica->second->on_message(now, member, kind, header->body);
-  } else if (kind == Kind::ask) {
+  } else if (kind == MessageKind::lease_request) {
     reject_without_replica(member, ledger, header->body);
   }
 }
 
-// Logged once.
+// Counts the message. Writes the log line once.
 void ReplicationNode::on_other_version(std::size_t member, std::uint8_t version) {
   ++metrics_.other_version;
   if (std::exchange(version_logged_, true)) return;
-  dependencies_.write_log(true, options_.holder.roster->at(member).name + " speaks version " +
-                                    std::to_string(version) + " of the copies' messages, this program " +
-                                    std::to_string(kVersion) + ": it is not heard");
+  dependencies_.write_log(Severity::warning, options_.replica.roster->at(member).name + " speaks version " +
+                                                 std::to_string(version) +
+                                                 " of the copies' messages, this program " +
+                                                 std::to_string(kVersion) + ": it is not heard");
 }
 
-// A leader wants a replica here if this router has taken another one's place.
+// Opens a replica if the leader's hello names this router, which it does when this router has taken another
+// one's place.
 void ReplicationNode::open_if_wanted(std::size_t ledger, std::string_view hello_body, Time now) {
   if (ledger_replicas_.contains(ledger)) return;
   const auto hello = read<Hello>(hello_body);
   if (!hello) return;
-  const std::string& own_name = options_.holder.roster->at(options_.holder.self).name;
+  const std::string& own_name = options_.replica.roster->at(options_.replica.self).name;
   const bool is_wanted =
       std::find(hello->wanted.begin(), hello->wanted.end(), own_name) != hello->wanted.end();
   if (is_wanted) open(ledger, now);
 }
 
-// Tells who asks where the replicas are placed.
+// Sends the placement of the replicas to the sender of the request.
 void ReplicationNode::reject_without_replica(std::size_t member, std::size_t ledger,
-                                             std::string_view ask_body) {
-  const LedgerReplicaOptions& replica = options_.holder;
-  Rejected rejected;
-  if (const auto ask = read<Ask>(ask_body)) rejected.number = ask->number;
-  for (const std::size_t holder : holders_of(*replica.roster, ledger, replica.copies)) {
-    rejected.holders.push_back(replica.roster->at(holder).name);
+                                             std::string_view request_body) {
+  const LedgerReplicaOptions& replica = options_.replica;
+  LeaseRejection rejected;
+  if (const auto request = read<LeaseRequest>(request_body)) rejected.number = request->number;
+  for (const std::size_t router : place_replicas(*replica.roster, ledger, replica.replica_count)) {
+    rejected.replica_routers.push_back(replica.roster->at(router).name);
   }
-  send(member, write(Kind::rejected, ledger, rejected));
+  send(member, write(MessageKind::lease_rejection, ledger, rejected));
 }
 
 }  // namespace thornwick::replication
--- a/src/replication/replication_node.hpp
+++ b/src/replication/replication_node.hpp
@@ -1,7 +1,7 @@
-// All that one router does with replicated ledgers: its quota lease client, and its replicas of some ledgers.
-// Messages, ticks and durable marks go to whom they are for.
+// One router's part in replicated ledgers: its quota lease client, and its replicas of some ledgers. It
+// passes messages, ticks and durable writes on to them.
 //
-// No I/O and no clock of its own; all on one thread; times are microseconds.
+// No I/O and no clock of its own; all calls on one thread; times are microseconds.
 #pragma once
 
 #include <deque>
@@ -14,7 +14,7 @@
 namespace thornwick::replication {
 
 struct Options {
-  LedgerReplicaOptions holder;  // of each replica; `ledger` is set here
+  LedgerReplicaOptions replica;  // of each replica; ReplicationNode sets `ledger`
   QuotaLeaseOptions quota_client;
 };
 
@@ -29,31 +29,32 @@
 
 class ReplicationNode {
  public:
-  // All of it outlives the node.
+  // Services of the owner. All of them have to outlive the node.
   struct Dependencies {
     std::function<Records&(std::size_t ledger)> records;
     // Calls the visitor with each stored record of a ledger, in the order of their keys.
-    std::function<void(std::size_t ledger, const Visit&)> stored;
-    std::function<std::uint64_t()> chance;
-    // To another router; may lose messages.
+    std::function<void(std::size_t ledger, const RecordVisitor&)> stored;
+    std::function<std::uint64_t()> random_number;
+    // Sends a message to another router. It may lose messages.
     std::function<void(std::size_t member, std::string bytes)> send;
-    std::function<void(bool severe, const std::string& text)> write_log;
+    LogSink write_log;
   };
-  // Opens a replica of each ledger that is placed here or has records here.
+  // Opens a replica of each ledger that is placed on this router or has records here.
   ReplicationNode(Options options, Dependencies dependencies, Time now);
 
   void tick(Time now);
-  // All that was written up to this mark is durable.
+  // Reports that all writes up to this number are durable.
   void durable(Time now, std::uint64_t number);
-  // A message from a member of the roster; what cannot be read is counted and dropped.
+  // Handles a message from a member of the roster. Counts and drops a message that cannot be read.
   void on_message(Time now, std::size_t member, std::string_view bytes);
-  // Delivers what this router has sent to itself, for example after calls of the quota lease client.
+  // Delivers messages of this router to itself. The owner calls it after it has called the quota lease
+  // client.
   void pump(Time now);
 
   QuotaLeaseClient& quota_client() { return *quota_client_; }
   const QuotaLeaseClient& quota_client() const { return *quota_client_; }
   // This router's replicas, by ledger.
-  const std::map<std::size_t, std::unique_ptr<LedgerReplica>>& holders() const { return ledger_replicas_; }
+  const std::map<std::size_t, std::unique_ptr<LedgerReplica>>& replicas() const { return ledger_replicas_; }
   const MessageFigures& metrics() const { return metrics_; }
   const Options& options() const { return options_; }
 
@@ -64,7 +65,7 @@
   void deliver(Time now, std::size_t member, std::string_view bytes);
   void on_other_version(std::size_t member, std::uint8_t version);
   void open_if_wanted(std::size_t ledger, std::string_view hello_body, Time now);
-  void reject_without_replica(std::size_t member, std::size_t ledger, std::string_view ask_body);
+  void reject_without_replica(std::size_t member, std::size_t ledger, std::string_view request_body);
 
   Options options_;
   Dependencies dependencies_;
--- a/tests/compat/copies_disk.cpp
+++ b/tests/compat/copies_disk.cpp
@@ -62,20 +62,20 @@
       Router& router = routers_[i];
       router.records = stored[i];
       LedgerReplicaOptions options;
-      options.self = i, options.copies = kRouters, options.roster = roster;
+      options.self = i, options.replica_count = kRouters, options.roster = roster;
       options.snapshot_every = 4, options.trailing = 2;
-      const auto visit_stored = [&stored, i](const Visit& visit) {
+      const auto visit_stored = [&stored, i](const RecordVisitor& visit) {
         for (const auto& [key, value] : stored[i]) visit(key, value);
       };
       router.holder = std::make_unique<LedgerReplica>(
           options,
           LedgerReplica::Dependencies{.records = router,
-                                      .chance = [&router, i] { return chance(i, ++router.drawn); },
+                                      .random_number = [&router, i] { return chance(i, ++router.drawn); },
                                       .send =
                                           [this, i](std::size_t to, std::string bytes) {
                                             sent_.push_back({i, to, std::move(bytes)});
                                           },
-                                      .write_log = [](bool, const std::string&) {}},
+                                      .write_log = [](auto, const std::string&) {}},
           visit_stored, now_);
     }
   }
@@ -89,21 +89,21 @@
   }
   // One router uses more and more of an account; the leader is asked.
   void use(std::uint64_t number) {
-    const AskLine line{.key = "account",
-                       .span = 0,
-                       .amount = 100'000,
-                       .per_s = 1'000,
-                       .window = 0,
-                       .used = static_cast<Units>(number) * kUsedEach,
-                       .hold = 500,
-                       .need = 0};
-    const Ask ask{.session = session_of(77, 5),
-                  .number = number,
-                  .begins = number == 1,
-                  .last = false,
-                  .lines = {line}};
+    const LeaseRequestLine line{.key = "account",
+                                .span = 0,
+                                .amount = 100'000,
+                                .per_s = 1'000,
+                                .window = 0,
+                                .used = static_cast<Units>(number) * kUsedEach,
+                                .requested = 500,
+                                .need = 0};
+    const LeaseRequest ask{.session = session_of(77, 5),
+                           .number = number,
+                           .begins_session = number == 1,
+                           .ends_session = false,
+                           .lines = {line}};
     for (auto& router : routers_) {
-      if (router.holder->leads()) router.holder->on_message(now_, 0, Kind::ask, packed(ask));
+      if (router.holder->leads()) router.holder->on_message(now_, 0, MessageKind::lease_request, packed(ask));
     }
     deliver();
   }
@@ -122,7 +122,8 @@
       sent_.pop_front();
       const auto envelope = replication::read<MessageHeader>(one.bytes);
       REQUIRE(envelope);
-      routers_[one.to].holder->on_message(now_, one.from, static_cast<Kind>(envelope->kind), envelope->body);
+      routers_[one.to].holder->on_message(now_, one.from, static_cast<MessageKind>(envelope->kind),
+                                          envelope->body);
     }
   }
 
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -26,51 +26,53 @@
 const Process kProcess = {
     .id = 0x1122334455667788, .start = 3, .run = 0x99aabbcd, .term = 4, .last_term = 2, .last = 70'000};
 const Process kNoProcess = {};
-const Hello kHello = {.process = kProcess,
-                      .stage = static_cast<std::uint8_t>(Stage::entering),
-                      .founders = {{"r0", 11}, {"r1", 0x1122334455667788}},
-                      .of_you = {.id = 11, .start = 1, .run = 9, .term = 1, .last_term = 1, .last = 5},
-                      .wanted = {"r0", "r1", "r2"}};
+const Hello kHello = {
+    .process = kProcess,
+    .stage = static_cast<std::uint8_t>(Stage::entering),
+    .founders = {{"r0", 11}, {"r1", 0x1122334455667788}},
+    .receiver_process = {.id = 11, .start = 1, .run = 9, .term = 1, .last_term = 1, .last = 5},
+    .wanted = {"r0", "r1", "r2"}};
 const RaftMessage kRaftWords = {.from = 11,
                                 .to = 0x1122334455667788,
                                 .term = 4,
                                 .last_term = 3,
                                 .last = 300,
                                 .bytes = std::string("\x00\xff raft", 7)};
-const AskLine kBucket = {.key = "tenant|*",
-                         .span = 0,
-                         .amount = 100'000,
-                         .per_s = 1'000,
-                         .window = 0,
-                         .used = 250,
-                         .hold = 500,
-                         .need = 100};
-const AskLine kWindow = {.key = "day",
-                         .span = 3,
-                         .amount = 1'000'000'000'000'000'000,
-                         .per_s = 0,
-                         .window = 20'000,
-                         .used = 1,
-                         .hold = 70'000,
-                         .need = 0};
-const Ask kAsk = {.session = session_of(0xdeadbeef, 17),
-                  .number = 1,
-                  .begins = true,
-                  .last = false,
-                  .lines = {kBucket, kWindow}};
-const Answer kAnswer = {
-    .number = 129,
-    .stranger = true,
-    .lines = {{.granted = 750, .left = 99'250, .known = true}, {.granted = 0, .left = -5, .known = false}}};
-const Rejected kRefused = {.number = 6, .leader = "r1", .holders = {"r0", "r1"}, .clock = true};
+const LeaseRequestLine kBucket = {.key = "tenant|*",
+                                  .span = 0,
+                                  .amount = 100'000,
+                                  .per_s = 1'000,
+                                  .window = 0,
+                                  .used = 250,
+                                  .requested = 500,
+                                  .need = 100};
+const LeaseRequestLine kWindow = {.key = "day",
+                                  .span = 3,
+                                  .amount = 1'000'000'000'000'000'000,
+                                  .per_s = 0,
+                                  .window = 20'000,
+                                  .used = 1,
+                                  .requested = 70'000,
+                                  .need = 0};
+const LeaseRequest kAsk = {.session = session_of(0xdeadbeef, 17),
+                           .number = 1,
+                           .begins_session = true,
+                           .ends_session = false,
+                           .lines = {kBucket, kWindow}};
+const LeaseResponse kAnswer = {.number = 129,
+                               .unknown_session = true,
+                               .lines = {{.granted = 750, .available = 99'250, .known = true},
+                                         {.granted = 0, .available = -5, .known = false}}};
+const LeaseRejection kRefused = {
+    .number = 6, .leader = "r1", .replica_routers = {"r0", "r1"}, .clock_ahead = true};
 const Correction kCorrection = {.id = 0xfedcba9876543210, .set = true, .units = -12'345, .account = kBucket};
-const Corrected kCorrected = {
-    .id = 0xfedcba9876543210, .yes = false, .why = "there is no room for this account"};
-const Replace kReplace = {.id = 8, .old_name = "r1", .new_name = "r2"};
+const OperatorResponse kCorrected = {
+    .id = 0xfedcba9876543210, .accepted = false, .reason = "there is no room for this account"};
+const Replacement kReplace = {.id = 8, .old_name = "r1", .new_name = "r2"};
 
 // The body of a committed message, after its envelope was read and compared.
 template <typename Body>
-Body body_of(const std::string& label, Kind kind) {
+Body body_of(const std::string& label, MessageKind kind) {
   INFO(label);
   const auto envelope = replication::read<MessageHeader>(committed(kMessagesFile, label));
   REQUIRE(envelope);
@@ -89,14 +91,14 @@
   CHECK(read.position() == expected.position());
 }
 
-void check_same(const AskLine& read, const AskLine& expected) {
+void check_same(const LeaseRequestLine& read, const LeaseRequestLine& expected) {
   CHECK(read.key == expected.key);
   CHECK(read.span == expected.span);
   CHECK(read.amount == expected.amount);
   CHECK(read.per_s == expected.per_s);
   CHECK(read.window == expected.window);
   CHECK(read.used == expected.used);
-  CHECK(read.hold == expected.hold);
+  CHECK(read.requested == expected.requested);
   CHECK(read.need == expected.need);
 }
 
@@ -106,12 +108,12 @@
   Command command;
 };
 std::vector<NamedCommand> commands() {
-  std::vector<NamedCommand> all = {{"ask", Command(CommandKind::ask)},
+  std::vector<NamedCommand> all = {{"ask", Command(CommandKind::lease_request)},
                                    {"tick", Command(CommandKind::tick)},
-                                   {"correct", Command(CommandKind::correct)},
-                                   {"expire", Command(CommandKind::expire)},
-                                   {"replace", Command(CommandKind::replace)}};
-  all[0].command.ask = kAsk;
+                                   {"correct", Command(CommandKind::correction)},
+                                   {"expire", Command(CommandKind::expiry)},
+                                   {"replace", Command(CommandKind::replacement)}};
+  all[0].command.lease_request = kAsk;
   all[1].command.elapsed = 1'500'000;
   all[2].command.correction = {.id = 77, .set = false, .units = 5'000, .account = kWindow};
   all[3].command.expired = {kAsk.session};
@@ -144,8 +146,8 @@
 
   void begin(ReplicaUid id, bool founds, Time now) {
     Node& node = nodes[id];
-    if (founds) node.records = Consensus::founding({{11, name(11), true}, {22, name(22), true}});
-    const auto stored = [&node](const Visit& visit) {
+    if (founds) node.records = Consensus::founding_records({{11, name(11), true}, {22, name(22), true}});
+    const auto stored = [&node](const RecordVisitor& visit) {
       for (const auto& [key, value] : std::map(node.records)) visit(key, value);
     };
     const Consensus::Options options{.id = id,
@@ -158,7 +160,7 @@
         options,
         Consensus::Dependencies{
             .records = node,
-            .chance = [&node, id] { return id * 13 * ++node.drawn; },
+            .random_number = [&node, id] { return id * 13 * ++node.drawn; },
             .send = [this, id](ReplicaUid to, const std::string&,
                                std::string bytes) { send_(id, to, std::move(bytes)); },
             .apply = [&node](std::string_view command) { node.applied.emplace_back(command); },
@@ -212,7 +214,7 @@
     for (auto& [id, node] : copies.nodes) {
       node.consensus->tick(now);
       if (now % (4 * kStep) == 0 && proposed < kProposals && node.consensus->leads()) {
-        node.consensus->propose(now, command_number(++proposed), [](bool) {});
+        node.consensus->propose(now, command_number(++proposed), [](auto) {});
       }
       if (now == kThirdComes && node.consensus->leads())
         node.consensus->add(now, 33, VirtualCopies::name(33));
@@ -228,16 +230,16 @@
 }  // namespace
 
 TEST_CASE("copies: a committed hello reads field by field") {
-  const auto hello = body_of<Hello>("hello", Kind::hello);
+  const auto hello = body_of<Hello>("hello", MessageKind::hello);
   check_same(hello.process, kHello.process);
   CHECK(hello.stage == kHello.stage);
   CHECK(hello.founders == kHello.founders);
-  check_same(hello.of_you, kHello.of_you);
+  check_same(hello.receiver_process, kHello.receiver_process);
   CHECK(hello.wanted == kHello.wanted);
 }
 
 TEST_CASE("copies: committed words of consensus read field by field") {
-  const auto words = body_of<RaftMessage>("raft", Kind::raft);
+  const auto words = body_of<RaftMessage>("raft", MessageKind::raft);
   CHECK(words.from == kRaftWords.from);
   CHECK(words.to == kRaftWords.to);
   CHECK(words.term == kRaftWords.term);
@@ -247,61 +249,61 @@
 }
 
 TEST_CASE("copies: a committed question reads field by field") {
-  const auto ask = body_of<Ask>("ask", Kind::ask);
+  const auto ask = body_of<LeaseRequest>("ask", MessageKind::lease_request);
   CHECK(ask.session == kAsk.session);
   CHECK(ask.number == kAsk.number);
-  CHECK(ask.begins == kAsk.begins);
-  CHECK(ask.last == kAsk.last);
+  CHECK(ask.begins_session == kAsk.begins_session);
+  CHECK(ask.ends_session == kAsk.ends_session);
   REQUIRE(ask.lines.size() == 2);
   check_same(ask.lines[0], kBucket);
   check_same(ask.lines[1], kWindow);
 }
 
 TEST_CASE("copies: a committed answer reads field by field") {
-  const auto answer = body_of<Answer>("answer", Kind::answer);
+  const auto answer = body_of<LeaseResponse>("answer", MessageKind::lease_response);
   CHECK(answer.number == kAnswer.number);
-  CHECK(answer.stranger == kAnswer.stranger);
+  CHECK(answer.unknown_session == kAnswer.unknown_session);
   REQUIRE(answer.lines.size() == kAnswer.lines.size());
   for (std::size_t i = 0; i < answer.lines.size(); ++i) {
     CHECK(answer.lines[i].granted == kAnswer.lines[i].granted);
-    CHECK(answer.lines[i].left == kAnswer.lines[i].left);
+    CHECK(answer.lines[i].available == kAnswer.lines[i].available);
     CHECK(answer.lines[i].known == kAnswer.lines[i].known);
   }
 }
 
 TEST_CASE("copies: a committed refusal reads field by field") {
-  const auto rejected = body_of<Rejected>("refused", Kind::rejected);
+  const auto rejected = body_of<LeaseRejection>("refused", MessageKind::lease_rejection);
   CHECK(rejected.number == kRefused.number);
   CHECK(rejected.leader == kRefused.leader);
-  CHECK(rejected.holders == kRefused.holders);
-  CHECK(rejected.clock == kRefused.clock);
+  CHECK(rejected.replica_routers == kRefused.replica_routers);
+  CHECK(rejected.clock_ahead == kRefused.clock_ahead);
 }
 
 TEST_CASE("copies: committed words of an operator read field by field") {
-  const auto correction = body_of<Correction>("correct", Kind::correct);
+  const auto correction = body_of<Correction>("correct", MessageKind::correction);
   CHECK(correction.id == kCorrection.id);
   CHECK(correction.set == kCorrection.set);
   CHECK(correction.units == kCorrection.units);
   check_same(correction.account, kCorrection.account);
-  const auto corrected = body_of<Corrected>("corrected", Kind::corrected);
+  const auto corrected = body_of<OperatorResponse>("corrected", MessageKind::operator_response);
   CHECK(corrected.id == kCorrected.id);
-  CHECK(corrected.yes == kCorrected.yes);
-  CHECK(corrected.why == kCorrected.why);
-  const auto replace = body_of<Replace>("replace", Kind::replace);
+  CHECK(corrected.accepted == kCorrected.accepted);
+  CHECK(corrected.reason == kCorrected.reason);
+  const auto replace = body_of<Replacement>("replace", MessageKind::replacement);
   CHECK(replace.id == kReplace.id);
   CHECK(replace.old_name == kReplace.old_name);
   CHECK(replace.new_name == kReplace.new_name);
 }
 
 TEST_CASE("copies: the same message of each kind is written as the committed bytes") {
-  check_written(kMessagesFile, "hello", write(Kind::hello, kLedgerNumber, kHello));
-  check_written(kMessagesFile, "raft", write(Kind::raft, kLedgerNumber, kRaftWords));
-  check_written(kMessagesFile, "ask", write(Kind::ask, kLedgerNumber, kAsk));
-  check_written(kMessagesFile, "answer", write(Kind::answer, kLedgerNumber, kAnswer));
-  check_written(kMessagesFile, "refused", write(Kind::rejected, kLedgerNumber, kRefused));
-  check_written(kMessagesFile, "correct", write(Kind::correct, kLedgerNumber, kCorrection));
-  check_written(kMessagesFile, "corrected", write(Kind::corrected, kLedgerNumber, kCorrected));
-  check_written(kMessagesFile, "replace", write(Kind::replace, kLedgerNumber, kReplace));
+  check_written(kMessagesFile, "hello", write(MessageKind::hello, kLedgerNumber, kHello));
+  check_written(kMessagesFile, "raft", write(MessageKind::raft, kLedgerNumber, kRaftWords));
+  check_written(kMessagesFile, "ask", write(MessageKind::lease_request, kLedgerNumber, kAsk));
+  check_written(kMessagesFile, "answer", write(MessageKind::lease_response, kLedgerNumber, kAnswer));
+  check_written(kMessagesFile, "refused", write(MessageKind::lease_rejection, kLedgerNumber, kRefused));
+  check_written(kMessagesFile, "correct", write(MessageKind::correction, kLedgerNumber, kCorrection));
+  check_written(kMessagesFile, "corrected", write(MessageKind::operator_response, kLedgerNumber, kCorrected));
+  check_written(kMessagesFile, "replace", write(MessageKind::replacement, kLedgerNumber, kReplace));
 }
 
 TEST_CASE("ledger: the same command of each kind is written as the committed bytes") {
@@ -311,14 +313,14 @@
 TEST_CASE("ledger: committed commands lead to the books that they led to, and to the committed snapshot") {
   Ledger ledger;
   const auto asked = ledger.apply(committed(kLedgerFile, "ask"));
-  REQUIRE((asked && asked->answer));
-  REQUIRE(asked->answer->lines.size() == 2);
-  CHECK(asked->answer->lines[0].granted == 750);  // used and hold together
-  CHECK(asked->answer->lines[0].left == 99'250);
+  REQUIRE((asked && asked->response));
+  REQUIRE(asked->response->lines.size() == 2);
+  CHECK(asked->response->lines[0].granted == 750);  // used and hold together
+  CHECK(asked->response->lines[0].available == 99'250);
   REQUIRE(ledger.apply(committed(kLedgerFile, "tick")));
   const auto corrected = ledger.apply(committed(kLedgerFile, "correct"));
   REQUIRE(corrected);
-  CHECK(corrected->corrected == Applied::Corrected::yes);
+  CHECK(corrected->corrected == CorrectionOutcome::applied);
   REQUIRE(ledger.apply(committed(kLedgerFile, "expire")));
   REQUIRE(ledger.apply(committed(kLedgerFile, "replace")));
   CHECK(ledger.fault().empty());
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -13,17 +13,18 @@
 
 constexpr Time kSecond = seconds(1), kLease = seconds(6);
 
-AskLine line(Units used, Units hold, Units need = 0, std::uint8_t span = 1, std::int64_t window = 7) {
-  AskLine l;
+LeaseRequestLine line(Units used, Units hold, Units need = 0, std::uint8_t span = 1,
+                      std::int64_t window = 7) {
+  LeaseRequestLine l;
   l.key = "a", l.span = span, l.amount = 1000, l.per_s = span == 0 ? 100 : 0, l.window = window,
-  l.used = used, l.hold = hold, l.need = need;
+  l.used = used, l.requested = hold, l.need = need;
   return l;
 }
-std::optional<Applied> ask(Ledger& ledger, Session session, std::uint64_t number, AskLine l,
+std::optional<Applied> ask(Ledger& ledger, Session session, std::uint64_t number, LeaseRequestLine l,
                            std::int64_t elapsed = 0) {
-  Command command(CommandKind::ask);
+  Command command(CommandKind::lease_request);
   command.elapsed = elapsed;
-  command.ask = {session, number, number == 1, false, {std::move(l)}};
+  command.lease_request = {session, number, number == 1, false, {std::move(l)}};
   return ledger.apply(Ledger::write(command));
 }
 
@@ -36,7 +37,7 @@
                                              {"r1", "s", "127.0.0.1:2", "router", 0}});
     for (std::size_t i = 0; i < 2; ++i) {
       QuotaLeaseOptions options;
-      options.self = i, options.roster = roster, options.copies = 1,
+      options.self = i, options.roster = roster, options.replica_count = 1,
       options.run = 100 * static_cast<std::uint32_t>(i + 1), options.lease = kLease, options.block = 0.5;
       options.outlive_lease = outlive;
       purses[i] = std::make_unique<QuotaLeaseClient>(
@@ -51,18 +52,18 @@
   void turn(std::size_t i) {
     purses[i]->tick(now);
     for (const auto& bytes : std::exchange(sent[i], {})) {
-      Command command(CommandKind::ask);
+      Command command(CommandKind::lease_request);
       command.elapsed = now - std::exchange(told, now);
-      command.ask = *read<Ask>(read<MessageHeader>(bytes)->body);
+      command.lease_request = *read<LeaseRequest>(read<MessageHeader>(bytes)->body);
       const auto outcome = ledger.apply(Ledger::write(command));
       last[i] = now;
-      if (!outcome->answer) continue;
-      const auto answer = write(Kind::answer, 0, *outcome->answer);
-      purses[i]->on_message(now, 0, 0, Kind::answer, read<MessageHeader>(answer)->body);
+      if (!outcome->response) continue;
+      const auto answer = write(MessageKind::lease_response, 0, *outcome->response);
+      purses[i]->on_message(now, 0, 0, MessageKind::lease_response, read<MessageHeader>(answer)->body);
     }
   }
   void expire(std::size_t i) {
-    Command command(CommandKind::expire);
+    Command command(CommandKind::expiry);
     command.elapsed = now - std::exchange(told, now);
     for (const auto& [session, state] : ledger.sessions()) {
       if (router_of(session) == roster->id_of(i)) command.expired.push_back(session);
@@ -122,11 +123,11 @@
             line(used, *rc::gen::inRange(0, 500), *rc::gen::inRange(0, 300), span, *rc::gen::inRange(5, 9)),
             *rc::gen::inRange(0, 2'000'000));
       } else if (kind == 5) {
-        Command command(CommandKind::expire);
+        Command command(CommandKind::expiry);
         command.expired = {session};
         ledger.apply(Ledger::write(command));
       } else if (kind == 6) {
-        Command command(CommandKind::correct);
+        Command command(CommandKind::correction);
         command.correction = {static_cast<std::uint64_t>(*rc::gen::inRange(1, 9)),
                               *rc::gen::arbitrary<bool>(), *rc::gen::inRange(-900, 900), line(0, 0, 0, span)};
         ledger.apply(Ledger::write(command));
@@ -143,18 +144,18 @@
 TEST_CASE("a ledger: repeats and questions that were overtaken change nothing, and a correction holds once") {
   Ledger ledger;
   const Session session = session_of(1, 1);
-  CHECK(ask(ledger, session, 1, line(0, 300, 300))->answer->lines[0].granted == 300);
-  CHECK(ask(ledger, session, 2, line(100, 300, 300))->answer->lines[0].granted == 400);
+  CHECK(ask(ledger, session, 1, line(0, 300, 300))->response->lines[0].granted == 300);
+  CHECK(ask(ledger, session, 2, line(100, 300, 300))->response->lines[0].granted == 400);
   const std::string before = ledger.snapshot();
-  CHECK_FALSE(ask(ledger, session, 2, line(100, 300))->answer);
-  CHECK_FALSE(ask(ledger, session, 1, line(0, 0))->answer);  // a giving back that was overtaken
+  CHECK_FALSE(ask(ledger, session, 2, line(100, 300))->response);
+  CHECK_FALSE(ask(ledger, session, 1, line(0, 0))->response);  // a giving back that was overtaken
   CHECK(ledger.snapshot() == before);
-  CHECK(ask(ledger, session, 3, line(150, 50))->answer->lines[0].left == 800);
-  Command command(CommandKind::correct);
+  CHECK(ask(ledger, session, 3, line(150, 50))->response->lines[0].available == 800);
+  Command command(CommandKind::correction);
   command.correction = {77, false, -500, line(0, 0)};
-  CHECK(ledger.apply(Ledger::write(command))->corrected == Applied::Corrected::yes);
-  CHECK(ledger.apply(Ledger::write(command))->corrected == Applied::Corrected::before);
-  CHECK(ledger.accounts().at("a").windows.at(7).left == 300);
+  CHECK(ledger.apply(Ledger::write(command))->corrected == CorrectionOutcome::applied);
+  CHECK(ledger.apply(Ledger::write(command))->corrected == CorrectionOutcome::already_applied);
+  CHECK(ledger.accounts().at("a").windows.at(7).available == 300);
   CHECK_FALSE(ledger.apply("no command"));
 }
 
@@ -164,9 +165,9 @@
   CHECK(ledger.sessions().size() == Ledger::kSessionsARouter);
   const WindowLedger& book = ledger.accounts().at("a").windows.at(7);
   CHECK(book.charged == 200);
-  CHECK(book.left == 400);
+  CHECK(book.available == 400);
   CHECK(ledger.fault() == "");
-  CHECK(ask(ledger, session_of(1, 1), 9, line(10, 0))->answer->stranger);
+  CHECK(ask(ledger, session_of(1, 1), 9, line(10, 0))->response->unknown_session);
 }
 
 TEST_CASE("a purse: stopped for longer than its lease, it uses nothing that others may have by then") {
--- a/tests/replication/replica_placement.cpp
+++ b/tests/replication/replica_placement.cpp
@@ -28,10 +28,10 @@
   for (const std::size_t copies : {3, 5}) {
     for (const std::size_t sites : {1, 2, 3, 4}) {
       const auto r = roster(60, sites, 2);
-      CHECK(bears_loss_of_a_site(r, 16, copies) == (sites >= 3));
+      CHECK(survives_site_loss(r, 16, copies) == (sites >= 3));
       for (std::size_t ledger = 0; ledger < 16; ++ledger) {
         std::set<std::string> machines;
-        const auto holders = holders_of(r, ledger, copies);
+        const auto holders = place_replicas(r, ledger, copies);
         for (const std::size_t m : holders)
           machines.insert(r.at(m).address.substr(0, r.at(m).address.find(':')));
         CHECK(machines.size() == copies);
@@ -49,14 +49,14 @@
     std::size_t all = 0, most = 0;
     std::vector<std::size_t> held(routers, 0);
     for (std::size_t ledger = 0; ledger < ledgers_for(routers); ++ledger) {
-      for (const std::size_t m : holders_of(r, ledger, 3)) most = std::max(most, ++held[m]), ++all;
+      for (const std::size_t m : place_replicas(r, ledger, 3)) most = std::max(most, ++held[m]), ++all;
     }
     CHECK(all == 3 * ledgers_for(routers));
     CHECK(most <= 6);
   }
   const auto r = roster(9, 3);
   for (std::size_t ledger = 0; ledger < 3; ++ledger) {
-    const auto before = holders_of(r, ledger, 3), after = holders_of(r, ledger, 3, {{"r0", "r3"}});
+    const auto before = place_replicas(r, ledger, 3), after = place_replicas(r, ledger, 3, {{"r0", "r3"}});
     std::set<std::size_t> kept(before.begin(), before.end()), now(after.begin(), after.end());
     CHECK(now.count(0) == 0);
     if (kept.contains(0)) CHECK(now.contains(3));
