--- a/src/membership/claim_handler.cpp
+++ b/src/membership/claim_handler.cpp
@@ -7,14 +7,15 @@
 namespace thornwick::membership {
 namespace {
 
-// By how much another router may raise a member's incarnation: a faulty one must not use up its numbers.
+// The most by which another router's claim may raise a member's incarnation, so that a faulty router cannot
+// use up the member's numbers.
 constexpr std::uint64_t kMostIncarnationJump = std::uint64_t{1} << 26;
-// Suspicions that others' claims may end before the member has to answer itself: a faulty router could keep a
-// failed one alive otherwise.
+// The number of suspicions that other routers' claims may end before the member has to answer itself. Without
+// this limit a faulty router could keep a failed member alive.
 constexpr std::uint32_t kMostIndirectExcuses = 3;
 constexpr std::size_t kMostAccusers = 4;
-// An answer to this router within so many periods outweighs another's suspicion.
-constexpr Time kRecentAnswerPeriods = 2;
+// An answer to this router within this many periods outweighs another router's suspicion.
+constexpr int kRecentAnswerPeriods = 2;
 
 }  // namespace
 
@@ -46,13 +47,13 @@
   on_newer_incarnation(member, claim, from_itself ? Source::member_itself : Source::another);
 }
 
-// A claim at the incarnation that is known.
+// Handles a claim at the known incarnation.
 void ClaimHandler::on_current_claim(std::size_t member, const Claim& claim, std::size_t reporter) {
   MemberRecord& record = state_.members[member];
   if (claim.claim_kind == ClaimKind::suspected) {
     if (reporter != member) on_suspicion(member, claim, reporter);
   } else if (claim.claim_kind == ClaimKind::alive) {
-    // The reporter reaches it: this router should try again.
+    // The reporter reaches the member, so this router probes it again.
     if (record.view.state == MemberState::gone) state_.expedite_probe(member);
   } else if (record.view.state != MemberState::left) {
     record.claim_kind = ClaimKind::leaving;
@@ -61,7 +62,7 @@
   }
 }
 
-// Takes over the claim's incarnation and what is claimed at it.
+// Takes over the claim's incarnation and its kind.
 void ClaimHandler::adopt(std::size_t member, const Claim& claim) {
   identities_.on_newer_claim(member, claim);
   MemberRecord& record = state_.members[member];
@@ -70,7 +71,7 @@
   record.accusers.clear();
 }
 
-// The member refuted what was claimed of it, restarted, or announces its end.
+// Handles a higher incarnation: the member refuted a suspicion, restarted, or announces its shutdown.
 void ClaimHandler::on_newer_incarnation(std::size_t member, const Claim& claim, Source source) {
   adopt(member, claim);
   MemberRecord& record = state_.members[member];
--- a/src/membership/claim_handler.hpp
+++ b/src/membership/claim_handler.hpp
@@ -1,4 +1,4 @@
-// What other routers claim of members: incarnations, suspicions, announced ends.
+// Evaluates other routers' claims about members: incarnations, suspicions, announced shutdowns.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
   ClaimHandler(SwimState& state, Time now)
       : state_(state), now_(now), group_(state, now), identities_(state, now) {}
 
-  // `reporter` is the member that sent the claim, perhaps one of itself.
+  // Handles one claim. `reporter` is the member that sent it; the claim may be about the reporter itself.
   void accept(const Claim& claim, std::size_t reporter);
 
  private:
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -7,22 +7,22 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::uint32_t kMostLostRounds = 4;  // of one doubt that count as losses
-// Times as many rounds for a member that was reached through a helper: four hops lose more.
+constexpr std::uint32_t kMostLostRounds = 4;  // failed rounds of one doubt that count as lost messages
+// Factor on the rounds for a member that is reached through a helper, because four hops lose more messages.
 constexpr std::uint32_t kIndirectFactor = 2;
 // Rounds of this router's own that another's suspicion replaces; one is always needed.
 constexpr std::uint32_t kRoundsPerAccuser = 2;
-// Periods of silence before a member is called gone: it may only be slow.
-constexpr Time kLeastSilentPeriods = 2;
+// Periods of silence before a member is called gone, because a silent member may only be slow.
+constexpr int kLeastSilentPeriods = 2;
 // An answer of another member that is at most so many periods old shows that this router is not cut off.
-constexpr Time kRecentAnswerPeriods = 1;
-constexpr std::uint32_t kRoundsUntilLeft = 2;  // of a member that announced its end
-// A round that was looked at later than this fraction of a period after its end was neglected by this process
-// itself, and says nothing about the member.
-constexpr Time kNeglectedFraction = 4;
+constexpr int kRecentAnswerPeriods = 1;
+constexpr std::uint32_t kRoundsUntilLeft = 2;  // failed rounds of a member that announced its shutdown
+// This process was itself too slow for a round that it handles later than a period divided by this after the
+// round's end. Such a round is no evidence against the member.
+constexpr int kNeglectedDivisor = 4;
 constexpr double kRoundTripWeight = 8;  // an eighth, as in RFC 6298
 
-// A member that answers badly has its own loss; others have the group's.
+// The loss towards a member is its own rate, and at least the group's.
 double loss_towards(const SwimState& state, const MemberRecord& member) {
   return std::max(state.loss.value(), member.loss.value());
 }
@@ -35,7 +35,7 @@
 
 // ---------------------------------------------------------------- silence
 
-// By index, as a failed round may start others.
+// Iterates by index, because a failed round may start others.
 void FailureDetector::process_rounds() {
   rounds_.erase_old();
   for (std::size_t i = 0; i < state_.probes.rounds.size(); ++i) process_round(i);
@@ -56,7 +56,7 @@
 void FailureDetector::on_round_failed(const ProbeRound& round) {
   MemberRecord& member = state_.members[round.member];
   member.probing = false;
-  if (now_ > round.due + state_.options.period / kNeglectedFraction) return;
+  if (now_ > round.due + state_.options.period / kNeglectedDivisor) return;
   ++state_.metrics.unanswered;
   const MemberState state = member.view.state;
   if (is_absent(state)) return;
@@ -105,10 +105,11 @@
   return long_enough && member.failed_rounds >= rounds_until_failure(member);
 }
 
-// A router that no member answers cannot know which of the two has failed. Only a recent answer counts: an
-// earlier one, though it came since the doubt began, may be from before this router was cut off.
+// Whether another member has answered recently. A router that no member answers cannot know whether the
+// silent member or the router itself is cut off. An answer that is not recent does not count, even if it came
+// after the doubt began, because it may be from before this router was cut off.
 bool FailureDetector::another_answers(const MemberRecord& silent) const {
-  if (state_.members.size() == 2) return true;  // there is no other
+  if (state_.members.size() == 2) return true;  // the group has no third member
   const Time recently = now_ - kRecentAnswerPeriods * state_.options.period;
   return state_.condition.last_answer_at >= std::max(silent.doubted_since, recently);
 }
@@ -121,11 +122,11 @@
   if (another_answers(record)) {
     state_.probes.failure_verdicts.push_back(member);
   } else {
-    rounds_.probe_at_random(1);  // its answer calls condemn_silent_members()
+    rounds_.probe_at_random(1);  // an answer to this probe calls condemn_silent_members()
   }
 }
 
-// Another member answers now.
+// Called when a member has answered: other silent members may be called gone now.
 void FailureDetector::condemn_silent_members() {
   group_.refresh();
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
@@ -174,7 +175,7 @@
     state_.loss.on_answered();
     state_.health.improve();
   }
-  // Which ping an answer belongs to is not known once there were two.
+  // After a second ping it is not known which of the two was answered.
   if (!direct || round.stage != ProbeRound::Stage::pinged) return;
   double& smoothed = member.view.round_trip;
   const auto sample = static_cast<double>(std::max<Time>(1, now_ - round.started_at));
@@ -195,7 +196,8 @@
   group_.update_confidence();
 }
 
-// Only once the member proved that it runs: the silence of a failed one is no loss.
+// Counts the failed rounds as lost messages. Called only when the member has proved that it runs, because the
+// silence of a failed member is no message loss.
 void FailureDetector::learn_loss(MemberRecord& member) {
   member.loss.on_answered();
   for (std::uint32_t count = std::min(member.failed_rounds, kMostLostRounds); count > 0; --count) {
@@ -219,7 +221,8 @@
   if (record.view.state == MemberState::left)
     group_.set_state(member, MemberState::leaving, "it answers still");
   if (is_present(record.view.state)) return;
-  // Others may still hold the claim that this router believed: only the member itself can refute it.
+  // Other routers may still believe the claim that this router believed. Only the member itself can refute
+  // it, so it is warned.
   record.warn = record.view.state != MemberState::silent;
   record.claim_kind = ClaimKind::alive;
   group_.set_state(member, MemberState::alive,
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,4 +1,5 @@
-// What answers and their absence mean: suspicion, failure, and proof that a member runs.
+// Draws the conclusions from answers and from missing answers: suspicion, failure, and proof that a member
+// runs.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +11,7 @@
 
 namespace thornwick::membership {
 
-// How many members are probed when it may be this router that fails.
+// The number of members to probe when this router itself may be the one that fails.
 inline constexpr std::size_t kWideProbe = 8;
 
 class FailureDetector {
@@ -18,13 +19,15 @@
   FailureDetector(SwimState& state, Time now)
       : state_(state), now_(now), group_(state, now), rounds_(state, now) {}
 
-  // Advances or ends the rounds whose time has come.
+  // Advances or ends the rounds that are due.
   void process_rounds();
-  // Calls gone whom the rounds of this tick condemned, unless something else was found out in it.
+  // Calls the members gone that this tick's rounds condemned, unless the tick also found that this router is
+  // cut off or that the member answers.
   void apply_verdicts();
-  // An answer to a round of this router's; `via` is the member itself or a helper.
+  // Handles an answer to one of this router's rounds. `via` is the member itself or a helper.
   void on_answer(std::size_t member, std::size_t via, std::uint32_t number);
-  // The member answered something that was asked after it was last known to run: it runs, and is reached.
+  // Handles proof that the member runs and is reachable: an answer to a probe that was sent after the last
+  // such proof.
   void on_proof_of_life(std::size_t member, std::size_t via);
 
  private:
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -6,15 +6,16 @@
 namespace thornwick::membership {
 namespace {
 
-// Ordinary probes of different members in a row without an answer: this router is cut off.
+// Consecutive ordinary probes of different members without an answer after which this router is cut off.
 constexpr std::size_t kUnansweredWhenCutOff = 16;
-// While cut off, a fraction of 1/16 more has to be reachable than half: a large group that is split in halves
-// would be called cut off and whole again with each message otherwise.
+// A router that is cut off is so until it reaches half of the members and a further 1/16 of them. Without the
+// margin a router of a large group that is split in halves would change its mind with each message.
 constexpr std::size_t kReconnectMargin = 16;
-// A member that was called gone within so many periods may have been this router's mistake.
-constexpr Time kRecentFailurePeriods = 10;
+// A member that was called gone within this many periods before this router was cut off may still run.
+constexpr int kRecentFailurePeriods = 10;
 constexpr std::size_t kEnoughAnswers = 10;
-// In larger groups all would probe a member at once that one of them suspects.
+// In groups larger than this, rounds for a member that another router suspects are delayed at random, so that
+// not all routers probe it at once.
 constexpr std::size_t kLargeGroup = 20;
 
 }  // namespace
@@ -43,7 +44,7 @@
   MemberRecord& record = state_.members[member];
   record.failed_rounds = std::max<std::uint32_t>(record.failed_rounds, 1);
   if (record.doubted_since == 0) record.doubted_since = now_;
-  // Another router suspects it: it may have answered that one by now.
+  // Another router suspects the member, which may have answered that router by now.
   if (state_.members.size() > kLargeGroup && !record.accusers.empty()) {
     const double delay = state_.random.unit() * static_cast<double>(state_.options.period);
     record.next_round_at = now_ + static_cast<Time>(delay);
@@ -86,8 +87,8 @@
   return reach;
 }
 
-// A member that was not probed often enough yet is neither reachable nor not. Another router's suspicion does
-// not make it this one that is cut off: a round of its own has to have failed.
+// A member that was not probed often enough yet does not count as unreachable. Nor does a member that only
+// another router suspects: one of this router's own rounds has to have failed.
 bool GroupEvaluation::counts_as_unreachable(const MemberRecord& member) const {
   switch (member.view.state) {
     case MemberState::gone: return true;
@@ -124,7 +125,7 @@
 }
 
 void GroupEvaluation::on_reconnected(const Reach& reach) {
-  // Probes that were not answered meanwhile are no evidence.
+  // Probes that were not answered while this router was cut off are no evidence against a member.
   for (auto& member : state_.members) {
     if (member.failed_rounds == 0) continue;
     member.failed_rounds = 1;
--- a/src/membership/group_evaluation.hpp
+++ b/src/membership/group_evaluation.hpp
@@ -1,5 +1,5 @@
-// The states of the members, and what follows from them for the group: how many are present, whether this
-// router is cut off, and whether its judgement can be relied upon.
+// The states of the members, and the condition of the group that follows from them: how many members are
+// present, whether this router is cut off, and whether its view can be relied upon.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,13 @@
  public:
   GroupEvaluation(SwimState& state, Time now) : state_(state), now_(now) {}
 
-  // Reports the change, if it is one, and evaluates the group anew.
+  // Sets the member's state. If it changes, reports the change and evaluates the group.
   void set_state(std::size_t member, MemberState state, const std::string& reason);
-  // The member's state becomes suspected. Its next round of probes may be delayed at random.
+  // Sets the member's state to suspected. May delay its next round of probes at random.
   void suspect(std::size_t member, const std::string& reason);
-  // To be called when something changed of which the group's condition depends, but no state.
+  // Must be called when something other than a state changes on which the group's condition depends.
   void mark_stale() { state_.condition.stale = true; }
-  // Evaluates the group if something changed since the last time.
+  // Evaluates the group if something changed since the last evaluation.
   void refresh();
   // Reports once that enough members answered since the last reset.
   void update_confidence();
@@ -42,7 +42,7 @@
   Time now_;
 };
 
-// Rounds without an answer after which a member is suspected, at this loss.
+// The number of unanswered rounds after which a member is suspected, at this rate of message loss.
 std::uint32_t rounds_until_suspicion(const SwimState& state, double loss);
 
 }  // namespace thornwick::membership
--- a/src/membership/identity_tracker.cpp
+++ b/src/membership/identity_tracker.cpp
@@ -8,14 +8,14 @@
 
 constexpr std::size_t kMostSupersededRuns = 4;
 constexpr std::size_t kMostRivals = 4;
-// So many returns of superseded processes ...
+// This many returns of superseded processes are a conflict, if each came within kReturnPeriods periods of the
+// one before.
 constexpr std::uint32_t kReturnsOfConflict = 3;
-// ... within so many periods are a conflict ...
-constexpr Time kReturnPeriods = 60;
-// ... which is over when none was seen for so many.
-constexpr Time kConflictPeriods = 60;
-// While two processes use a name, each refutes the other only as often.
-constexpr Time kRivalRefutationPeriods = 5;
+constexpr int kReturnPeriods = 60;
+// A conflict ends when no return was seen for this many periods.
+constexpr int kConflictPeriods = 60;
+// While two processes use a name, each refutes the other at most once in this many periods.
+constexpr int kRivalRefutationPeriods = 5;
 
 }  // namespace
 
@@ -42,8 +42,9 @@
   return known ? Known::before : Known::now_first;
 }
 
-// A superseded process has a higher incarnation now: it runs, and so does the one that superseded it. Or it
-// had that incarnation before it ended, and the claim is late; but that cannot happen again and again.
+// A claim shows a superseded process with a higher incarnation. Either both processes run, or the process had
+// that incarnation before it ended and the claim is late. A late claim cannot come again and again, so that
+// repeated returns are a conflict.
 void IdentityTracker::on_superseded_run_returned(std::size_t member) {
   MemberRecord& record = state_.members[member];
   const bool recent = now_ - record.returned_at <= kReturnPeriods * state_.options.period;
--- a/src/membership/identity_tracker.hpp
+++ b/src/membership/identity_tracker.hpp
@@ -1,4 +1,5 @@
-// Which process speaks under a name: restarts with and without the disk, and two processes that share a name.
+// Tracks which process uses a member's name: restarts with and without the disk, and two processes that share
+// a name.
 #pragma once
 
 #include <cstddef>
@@ -13,14 +14,14 @@
  public:
   IdentityTracker(SwimState& state, Time now) : state_(state), now_(now) {}
 
-  // A claim with a higher incarnation than the known one names the process that uses the member's name.
+  // Handles a claim with a higher incarnation than the known one, which names the process that uses the name.
   void on_newer_claim(std::size_t member, const Claim& claim);
-  // Another process claims, or once claimed, this router's own name, with an incarnation that is not below
-  // this router's.
+  // Handles a claim of another process that uses, or used, this router's own name. Its incarnation is not
+  // below this router's.
   void on_rival(const Claim& claim);
-  // Two processes use the member's name.
+  // Notes that two processes use the member's name.
   void raise_conflict(std::size_t member);
-  // Conflicts that were not seen for a while are over.
+  // Ends conflicts that were not confirmed recently.
   void expire_conflicts();
 
  private:
--- a/src/membership/local_health.hpp
+++ b/src/membership/local_health.hpp
@@ -1,5 +1,5 @@
-// Lifeguard's local health score (Dadgar, Phillips and Currey 2018): how likely it is that this router itself
-// is the slow one.
+// Lifeguard's local health score (Dadgar, Phillips and Currey 2018). A high score means that this router
+// itself is likely to be slow.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 class LocalHealth {
  public:
-  // A probe of a healthy member was not answered, or this router had to refute a suspicion.
+  // Called when a probe of a healthy member was not answered, or this router had to refute a suspicion.
   void worsen() { score_ = std::min(kWorst, score_ + 1); }
   void improve() {
     if (score_ > 0) --score_;
--- a/src/membership/loss_rate.hpp
+++ b/src/membership/loss_rate.hpp
@@ -1,4 +1,5 @@
-// How many probe rounds go unanswered although the member runs, and what that says about a silence.
+// The rate of probe rounds that are lost although the member runs, and the number of unanswered rounds that
+// such losses explain.
 #pragma once
 
 #include <cstdint>
@@ -19,8 +20,8 @@
   double weight_;
 };
 
-// Rounds in a row without an answer after which the probability that loss alone explains them is below
-// `probability`. `loss` is limited to a plausible range first: no measurement is exact.
+// The number of consecutive unanswered rounds at which the probability that loss alone explains them is below
+// `probability`. Clamps `loss` to a plausible range first, because no measurement is exact.
 std::uint32_t rounds_until(double probability, double loss);
 
 }  // namespace thornwick::membership
--- a/src/membership/member_record.hpp
+++ b/src/membership/member_record.hpp
@@ -1,4 +1,4 @@
-// All that this router keeps for one member, behind what others may read of it (MemberView).
+// This router's whole record of one member. Other modules read the MemberView in it only.
 #pragma once
 
 #include <cstddef>
@@ -22,41 +22,43 @@
   MemberView view;
 
   // Doubt.
-  std::uint32_t failed_rounds = 0;  // in a row since the last answer; 0: there is no doubt
+  std::uint32_t failed_rounds = 0;  // consecutive, since the last answer; 0: the member is not in doubt
   Time doubted_since = 0;
-  Time next_round_at = 0;              // no round of a doubted member before
-  std::vector<std::size_t> accusers;   // others that suspect it, too, at this incarnation
-  std::uint32_t indirect_excuses = 0;  // suspicions that others' claims ended since its last own answer
+  Time next_round_at = 0;              // a doubted member gets no round before this time
+  std::vector<std::size_t> accusers;   // other members that suspect it at this incarnation
+  std::uint32_t indirect_excuses = 0;  // suspicions that other members' claims ended since its last answer
 
   // Probes.
   bool probing = false;
-  bool answered_since_reset = false;  // since this process started, was suspended or cut off
-  std::size_t helper;                 // through which it was reached last; the roster's size: none
+  bool answered_since_reset = false;  // since this process last started, was suspended or cut off
+  std::size_t helper;                 // the helper that last reached it; the roster's size: none
   LossRate loss{0, kMemberLossWeight};
 
   // Claims.
-  ClaimKind claim_kind = ClaimKind::alive;     // the strongest claim at this incarnation
-  bool warn = false;                           // to be told what is claimed of it, so that it can refute that
-  std::uint64_t contradicted_incarnation = 0;  // at which a suspicion of it was found to be untrue
+  ClaimKind claim_kind = ClaimKind::alive;  // the strongest claim at this incarnation
+  bool warn = false;                        // the next message to it carries the claim that it should refute
+  std::uint64_t contradicted_incarnation =
+      0;  // the latest at which this router contradicted a suspicion of it
 
   // Processes under its name.
   std::deque<std::uint32_t> superseded_runs;  // the latest last
-  std::uint32_t returns = 0;                  // of superseded runs, lately
+  std::uint32_t returns = 0;                  // recent claims of superseded runs
   Time returned_at = 0;
   Time conflict_at = 0;  // when `view.name_conflict` was last confirmed
 
   // The member as a peer.
-  TokenBucket credit{kMostContradictions};  // as a reporter: contradictions that it may still cause
+  TokenBucket credit{kMostContradictions};  // contradictions that it may still cause as a reporter
   Time distrusted_until = 0;
-  TokenBucket answers{kAnswersPerPeriod};  // of this router to it
+  TokenBucket answers{kAnswersPerPeriod};  // that this router may still send to it
 };
 
-// It is not expected to answer probes.
+// Whether a member in this state is not expected to answer probes.
 inline bool is_absent(MemberState state) { return state == MemberState::gone || state == MemberState::left; }
-// It counts among the routers that are there.
+// Whether a member in this state counts as running.
 inline bool is_present(MemberState state) {
   return state == MemberState::alive || state == MemberState::leaving;
 }
+// Whether a member in this state has not answered for a while.
 inline bool is_doubted(MemberState state) {
   return state == MemberState::suspected || state == MemberState::gone;
 }
--- a/src/membership/member_view.hpp
+++ b/src/membership/member_view.hpp
@@ -1,4 +1,4 @@
-// What this router knows of each member of its group, as other modules read it. Plain data; no I/O.
+// This router's view of each member of its group, for other modules. Plain data; no I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace thornwick::membership {
 
-// This router's judgement of another one.
+// The state of a member, as this router judges it.
 enum class MemberState : std::uint8_t {
   silent,     // no message since this process started
   alive,      // answers probes, or said itself that it runs
-  suspected,  // does not answer; whether it has failed is being found out
+  suspected,  // does not answer; further probes decide whether it has failed
   gone,       // its silence is more unlikely than message loss explains
   leaving,    // announced that it shuts down
   left        // announced it, and does not answer any more
@@ -21,7 +21,7 @@
 // The name in status output and logs.
 const char* name_of(MemberState state);
 
-// With which state on disk a member restarted, compared with the process that used its name before.
+// The state of the disk with which a member restarted, compared with the previous process of its name.
 enum class RecoveryState : std::uint8_t {
   first,  // no earlier process is known
   kept,   // the same disk
@@ -45,7 +45,7 @@
   std::uint32_t starts = 0;     // restarts under its name that were seen since this process started
   std::uint16_t stops = 0;      // how often its process found that it had been suspended
   std::uint16_t stopped_s = 0;  // seconds that the last suspension took
-  std::vector<std::uint8_t> sees;  // routers by site that it reported as present
+  std::vector<std::uint8_t> sees;  // by site, the routers that it reported as running
 };
 
 }  // namespace thornwick::membership
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -1,5 +1,5 @@
-// Datagrams and views that routers of a group send each other about themselves: content, limits, encoding. No
-// I/O. The encoding has no version negotiation: both sides speak kVersion, or do not read each other.
+// The datagrams and claim lists of the membership protocol: content, limits and encoding. No I/O. There is no
+// version negotiation: a datagram of another version than kVersion is not read.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 inline constexpr std::size_t kMostBytes = 256;  // of a datagram
 inline constexpr std::uint8_t kVersion = 1;
 
-// Which process it is that uses a router's name.
+// Identifies the process that uses a router's name.
 struct Identity {
   std::uint32_t disk = 0;   // drawn at random when the state file was made
   std::uint32_t start = 0;  // counted in that file
@@ -25,10 +25,10 @@
   bool operator==(const Identity&) const = default;
 };
 
-// In rising order: of two claims with the same incarnation the later kind wins.
+// In rising order: of two claims with the same incarnation the one with the later kind wins.
 enum class ClaimKind : std::uint8_t { alive, suspected, leaving };
 
-// What is said of a member. Only the member itself raises its incarnation, to refute earlier claims.
+// A claim about a member. Only the member itself raises its incarnation, to refute earlier claims.
 struct Claim {
   std::uint32_t member = 0;  // id_of() its name; never 0 in a message
   ClaimKind claim_kind = ClaimKind::alive;
@@ -50,19 +50,20 @@
   std::uint32_t group = 0;  // Roster::hash()
   Claim from;               // the sender's claim of itself
   std::uint32_t number = 0;
-  std::uint32_t about = 0;         // id of a third member; 0: none
-  std::uint16_t stops = 0;         // how often the sender found that its process had been suspended
-  std::uint16_t stopped_s = 0;     // seconds that the last suspension took
-  std::vector<std::uint8_t> seen;  // of each site, routers that the sender believes to run; 255: or more
-  std::vector<Claim> claims;       // at most room_for(seen.size())
+  std::uint32_t about = 0;      // id of a third member; 0: none
+  std::uint16_t stops = 0;      // how often the sender found that its process had been suspended
+  std::uint16_t stopped_s = 0;  // seconds that the last suspension took
+  std::vector<std::uint8_t>
+      seen;  // by site, the number of routers that the sender believes to run; 255: 255 or more
+  std::vector<Claim> claims;  // at most room_for(seen.size())
 };
 
-// Claims that fit into a message that counts the routers of so many sites.
+// The number of claims that fit into a message of a group with this many sites.
 std::size_t room_for(std::size_t sites);
 
 std::string write(const Message& message);
 
-// Why a datagram was not read.
+// The reason why a datagram cannot be read.
 enum class ReadError : std::uint8_t {
   none,
   length,   // too short, too long, or no whole number of claims
@@ -92,12 +93,12 @@
   ReadError error_ = ReadError::none;
 };
 
-// Reads any bytes; `group` is that of the receiver.
+// Decodes any bytes. `group` is the hash of the receiver's roster.
 [[nodiscard]] ReadResult read(std::span<const std::uint8_t> bytes, std::uint32_t group);
 
-// A list of claims, for links.
+// Encodes a list of claims, for links.
 std::string write_view(const std::vector<Claim>& claims);
-// None if the bytes are no list of claims, or more than `most`.
+// Decodes a list of claims. None if the bytes are no list of claims, or of more than `most` claims.
 [[nodiscard]] std::optional<std::vector<Claim>> read_view(std::string_view bytes, std::size_t most);
 
 }  // namespace thornwick::membership
--- a/src/membership/message_handler.hpp
+++ b/src/membership/message_handler.hpp
@@ -16,12 +16,12 @@
   MessageHandler(SwimState& state, Time now)
       : state_(state), now_(now), claims_(state, now), detector_(state, now) {}
 
-  // Counts what cannot be read or is of no member, and ignores it.
+  // Handles a datagram. Counts and ignores one that cannot be read or comes from no member.
   void handle(std::span<const std::uint8_t> datagram);
 
  private:
-  // Whether the sender is the process that is known under its name. If not, its message proves nothing: it is
-  // either a late datagram of a process that has ended, or of one that has to refute the known one first.
+  // Whether the sender is the known process of its name. If not, its message proves nothing: the datagram is
+  // late, from a process that has ended, or the sender has to refute the known process first.
   enum class Sender { known, unknown };
 
   void on_message(const Message& message, std::size_t from);
--- a/src/membership/output.hpp
+++ b/src/membership/output.hpp
@@ -1,4 +1,4 @@
-// What the failure detector hands to its owner: datagrams to send, changes to log, counters.
+// The output of the failure detector for its owner: datagrams to send, changes to log, counters.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,14 @@
 
 namespace thornwick::membership {
 
-// Something that an operator may want to know.
+// The level at which a change is logged.
+enum class Severity : std::uint8_t { info, warning };
+
+// A change that an operator may want to know.
 struct Change {
-  std::size_t member = 0;  // index in the roster; this router's own: it concerns itself
+  std::size_t member = 0;  // the member that it concerns, perhaps this router itself; index in the roster
   std::string text;
-  bool severe = false;  // to be logged as a warning
+  Severity severity = Severity::info;
 };
 
 // A datagram for another member.
@@ -29,8 +32,8 @@
   std::uint64_t received = 0;
   std::uint64_t probes = 0;                // rounds that were started
   std::uint64_t unanswered = 0;            // rounds that ended without an answer
-  std::uint64_t suspicions = 0;            // own ones and those of others that were adopted
-  std::uint64_t announced_suspicions = 0;  // own ones that were passed on
+  std::uint64_t suspicions = 0;            // of this router, and of others that it adopted
+  std::uint64_t announced_suspicions = 0;  // of this router, passed on to others
   std::uint64_t false_suspicions = 0;      // ended by an answer of the member
   std::uint64_t gone = 0;                  // members called gone
   std::uint64_t refuted = 0;               // suspicions of this router that it refuted
--- a/src/membership/probe_rounds.cpp
+++ b/src/membership/probe_rounds.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr std::size_t kMostRounds = 64;
-constexpr Time kRoundsPerPeriod = 4;    // a round takes a quarter of a period ...
-constexpr Time kStagesPerRound = 3;     // ... in three stages
-constexpr Time kKeepRoundsPeriods = 5;  // for answers that come late
-// More members than these in doubt, or more loss, are no single bad link: one helper is enough then.
+constexpr int kRoundsPerPeriod = 4;    // a round takes a quarter of a period
+constexpr int kStagesPerRound = 3;     // of equal duration
+constexpr int kKeepRoundsPeriods = 5;  // ended rounds are kept this long, for late answers
+// If more members than this are in doubt, or more messages than this are lost, the cause is not a single bad
+// link. One helper suffices then.
 constexpr std::size_t kFewDoubted = 3;
 constexpr double kWidespreadLoss = 0.06;
 
@@ -74,7 +75,7 @@
   if (is_absent(record.view.state)) return;
   send(state_, round.member, {.kind = MessageKind::ping, .number = round.number});
   const bool last_stage = round.stage == ProbeRound::Stage::helpers_asked;
-  // A member that is reached only through a helper is asked for over that one in the second stage already.
+  // A member that is reached only through a helper is probed through it in the second stage already.
   if (!last_stage && !state_.has_helper(record)) return;
   const bool known_first = !last_stage || record.failed_rounds % 2 == 0;
   const MessageHead request{
@@ -84,9 +85,10 @@
     send(state_, helper, request);
 }
 
-// The helper that reached the member last comes first, as between two routers that do not reach each other it
-// is always the same; but not every time, or no other would be asked once that one fails to. Then come
-// members that answer directly, and last those that are reached through helpers themselves.
+// The order in which helpers are chosen, the lowest rank first. With FirstHelper::last_successful the helper
+// that reached the member last comes first: between two routers that do not reach each other the same helper
+// usually works. It does not come first every time, so that others are tried once it fails. Members that
+// answer directly come next, and members that are themselves reached through helpers last.
 int ProbeRounds::helper_rank(std::size_t helper, std::size_t member, FirstHelper first) const {
   if (first == FirstHelper::last_successful && helper == state_.members[member].helper) return 0;
   const MemberView& view = state_.members[helper].view;
--- a/src/membership/probe_rounds.hpp
+++ b/src/membership/probe_rounds.hpp
@@ -1,5 +1,5 @@
-// Rounds of probes: a ping, a second one, and pings of helpers that are asked for them (SWIM's indirect
-// probe; Das, Gupta and Motivala 2002).
+// Rounds of probes: a ping, a second ping, and pings by helpers on request (SWIM's indirect probe; Das, Gupta
+// and Motivala 2002).
 #pragma once
 
 #include <cstddef>
@@ -14,16 +14,17 @@
  public:
   ProbeRounds(SwimState& state, Time now) : state_(state), now_(now) {}
 
-  // No effect on this router itself, on a member that is being probed, or while too many rounds are open.
+  // Starts a round. Does nothing for this router itself, for a member that is being probed, or while too many
+  // rounds are open.
   void start(std::size_t member);
-  // The round goes to its next stage: it was not answered so far.
+  // Moves a round without an answer to its next stage.
   void advance(ProbeRound& round);
-  // Probes up to `count` members that are alive or suspected, chosen at random: is it the silent member that
-  // fails, or this router?
+  // Probes up to `count` random members that are alive or suspected, to find out whether a silent member has
+  // failed or this router itself is cut off.
   void probe_at_random(std::size_t count);
-  // When the first open round needs attention; `latest` if none does before.
+  // When the first open round reaches its next stage, or `latest` if that is earlier.
   static Time next_due(const SwimState& state, Time latest);
-  // Forgets rounds that ended long ago.
+  // Erases rounds that ended long ago.
   void erase_old();
 
  private:
--- a/src/membership/probe_schedule.cpp
+++ b/src/membership/probe_schedule.cpp
@@ -7,9 +7,10 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::size_t kMostDoubtRounds = 4;  // open at a time
-constexpr Time kExpeditedPerPeriod = 4;
-// Ordinary probes follow each other by a period, give or take a tenth, so that routers do not fall into step.
+constexpr std::size_t kMostDoubtRounds = 4;  // rounds for doubted members that are open at a time
+constexpr int kExpeditedPerPeriod = 4;       // probes out of turn
+// The gap between two ordinary probes is a period, plus or minus a tenth at random, so that the routers'
+// probes do not synchronise.
 constexpr double kLeastGap = 0.9;
 constexpr double kGapSpread = 0.2;
 
@@ -74,8 +75,9 @@
   state_.random.shuffle(order);
 }
 
-// In a random order in which each member occurs once, so that the time until its turn is bounded. Absent ones
-// have turns of their own: they are not forgotten, and cost the others little.
+// Probes the members in a random order in which each occurs once, so that the time between two probes of a
+// member is bounded. Absent members are probed in a fraction of the turns: often enough to notice their
+// return, and rarely enough to delay the probes of others little.
 void ProbeSchedule::probe_next_member() {
   const std::vector<std::size_t> absent = absent_members();
   RandomSequence& random = state_.random;
--- a/src/membership/probe_schedule.hpp
+++ b/src/membership/probe_schedule.hpp
@@ -1,4 +1,5 @@
-// Whom to probe, and when: all members in random order, doubted ones more often, some out of turn.
+// Decides which member to probe, and when: all members in a random order, doubted ones more often, and some
+// out of turn.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +14,14 @@
  public:
   ProbeSchedule(SwimState& state, Time now) : state_(state), now_(now), rounds_(state, now) {}
 
-  // When a probe or a round needs attention next.
+  // When the next probe or the next stage of a round is due.
   static Time next_due(const SwimState& state);
-  // Doubted members in turn, a few at a time: the failure of a whole site must not cause a storm.
+  // Probes doubted members in turn, a few at a time, so that the failure of a whole site causes no burst of
+  // messages.
   void probe_doubted();
-  // The next member that is to be probed out of turn, if it is time.
+  // Probes the next member that waits for a probe out of turn, if one is due.
   void probe_expedited();
-  // The next ordinary probe, if it is time.
+  // Sends the next ordinary probe, if it is due.
   void probe_ordinary();
 
  private:
--- a/src/membership/probe_state.hpp
+++ b/src/membership/probe_state.hpp
@@ -1,4 +1,4 @@
-// Probes under way and what is to be probed next.
+// The probes in flight, and the members to probe next.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace thornwick::membership {
 
-// One attempt to get an answer of a member: a ping, a second one, then pings of helpers, too.
+// One attempt to get an answer from a member: a ping, a second ping, and then pings by helpers as well.
 struct ProbeRound {
   enum class Stage : std::uint8_t { pinged = 1, pinged_twice, helpers_asked };
 
@@ -18,7 +18,7 @@
   std::uint32_t number = 0;  // in its messages
   Time started_at = 0;
   Time next_stage_at = 0;
-  Time due = 0;           // without an answer until then the round has failed
+  Time due = 0;           // the round fails if no answer comes before this time
   bool ordinary = false;  // of a member that is not in doubt
   Stage stage = Stage::pinged;
   bool over = false;
@@ -35,17 +35,17 @@
 struct ProbeState {
   explicit ProbeState(Time now) : budget(0, now) {}
 
-  std::vector<ProbeRound> rounds;  // those that are over are kept for a while, for late answers
+  std::vector<ProbeRound> rounds;  // ended rounds are kept for a while, for late answers
   std::deque<IndirectProbe> indirect;
   std::uint32_t last_number = 0;
 
-  std::vector<std::size_t> order;  // whom to probe next, from the back
+  std::vector<std::size_t> order;  // members to probe, the next one at the back
   Time next_probe_at = 0;          // ordinary ones
   Time last_probe_at = 0;
   TokenBucket budget;  // messages that may be sent before the next ordinary probe has to wait
 
   std::size_t last_doubted = 0;               // the doubted member that was probed last
-  std::vector<std::size_t> failure_verdicts;  // silent for long enough to be called gone, in this tick
+  std::vector<std::size_t> failure_verdicts;  // members to call gone at the end of this tick
   std::deque<std::size_t> expedited;          // to be probed out of turn
   Time next_expedited_at = 0;
 };
--- a/src/membership/reporter_trust.cpp
+++ b/src/membership/reporter_trust.cpp
@@ -3,8 +3,9 @@
 namespace thornwick::membership {
 namespace {
 
-// Periods in which a reporter's whole credit is renewed, and for which it is distrusted once that is used up.
-constexpr Time kCreditPeriods = 30;
+// A reporter's credit is renewed completely within this many periods. A reporter that has used up its credit
+// is distrusted for as long.
+constexpr int kCreditPeriods = 30;
 
 }  // namespace
 
--- a/src/membership/reporter_trust.hpp
+++ b/src/membership/reporter_trust.hpp
@@ -9,8 +9,8 @@
 
 [[nodiscard]] bool is_trusted(const SwimState& state, Time now, std::size_t reporter);
 
-// `reporter` suspects `member`, which answered this router just now. Counts once for each incarnation of the
-// member, whoever else repeats the suspicion.
+// Notes that `reporter` suspects `member`, although the member answered this router just now. Counts once for
+// each incarnation of the member, even if other members repeat the suspicion.
 void note_contradiction(SwimState& state, Time now, std::size_t member, std::size_t reporter);
 
 }  // namespace thornwick::membership
--- a/src/membership/roster.hpp
+++ b/src/membership/roster.hpp
@@ -18,11 +18,11 @@
 struct RouterEntry {
   std::string name;
   std::string site;
-  std::string address;          // where others reach it, with datagrams and links
+  std::string address;          // host:port of its datagrams and links
   std::string role = "router";  // or "holder": stores replicas of ledgers and serves no clients
-  std::uint32_t line = 0;       // where the file has it; 0: it is from no file
+  std::uint32_t line = 0;       // line of the operator's file; 0: not from a file
 
-  // The same router, wherever the file has it.
+  // Compares all but the line.
   bool operator==(const RouterEntry& other) const {
     return name == other.name && site == other.site && address == other.address && role == other.role;
   }
@@ -44,7 +44,7 @@
   std::size_t find(std::string_view name) const;
   std::size_t find_id(std::uint32_t id) const;
   const std::vector<std::string>& sites() const { return sites_; }
-  // Members at a site.
+  // The number of members at a site.
   std::size_t site_size(std::size_t site) const;
   // Of the group's name, its sites and its members' names and sites: routers whose files differ in these do
   // not read each other's messages.
@@ -62,13 +62,13 @@
 // A router's name as 32 bits in messages; never 0.
 std::uint32_t id_of(std::string_view name);
 
-// Something wrong in the operator's file.
+// An error in the operator's file.
 struct Fault {
   std::uint32_t line = 0;
   std::string text;  // "router.name: what is wrong"
 };
-// All faults of a group: names or addresses that occur twice, sites that are unknown or without routers, too
-// many of either. `group_line` is where the file has the group.
+// All errors of a group: names or addresses that occur twice, sites that are unknown or without routers, too
+// many sites or routers. `group_line` is the line of the group in the file.
 std::vector<Fault> faults_of(const std::vector<std::string>& sites, const std::vector<RouterEntry>& routers,
                              std::uint32_t group_line);
 
--- a/src/membership/sending.cpp
+++ b/src/membership/sending.cpp
@@ -10,14 +10,15 @@
 constexpr double kMessagesPerPeriod = 2.2;
 constexpr double kMostBudget = 8;
 constexpr double kLeastBudget = -6;
-// Periods after which an ordinary probe is sent however much else was.
-constexpr Time kMostPeriodsWithoutProbe = 5;
-constexpr std::uint32_t kGossipFactor = 3;  // times the logarithm of the group's size: sendings of an update
-constexpr std::size_t kMostSeen = 255;      // a count has one byte
+// An ordinary probe is sent after this many periods, whatever the budget is.
+constexpr int kMostPeriodsWithoutProbe = 5;
+constexpr std::uint32_t kGossipFactor =
+    3;  // an update is sent this often, times the logarithm of the group's size
+constexpr std::size_t kMostSeen = 255;  // a count of the message has one byte
 
-// Fills a message with claims: first what its receiver should know of itself, then news, the least often sent
-// first, and in the room that is left the claims of all members in turn. So a router that was away learns
-// everything, and no difference stays because an update was lost.
+// Fills a message with claims: first a claim about its receiver that the receiver should refute, then gossip
+// updates, the least often sent first, and then the claims of all members in turn while there is room. The
+// claims in turn bring a router up to date that was away or missed an update.
 class ClaimFiller {
  public:
   ClaimFiller(SwimState& state, Message& message)
--- a/src/membership/sending.hpp
+++ b/src/membership/sending.hpp
@@ -1,4 +1,4 @@
-// Messages to other members: what is in them, and how many are allowed.
+// Messages to other members: their content, and the limits on their number.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace thornwick::membership {
 
-// What differs between the messages of a router; the rest is its own claim, and gossip.
+// The part of a message that its kind determines. The rest is the sender's own claim, and gossip.
 struct MessageHead {
   MessageKind kind = MessageKind::ping;
   std::uint32_t number = 0;
@@ -18,12 +18,12 @@
 // Queues a message, filled with claims. It counts against the budget of ordinary probes.
 void send(SwimState& state, std::size_t to, const MessageHead& head);
 
-// Takes one answer from the member's allowance; false, and counted, if there is none left. Bounds what a
-// member that asks too often makes this router send.
+// Takes one answer from the member's allowance. Returns false, and counts the request as ignored, if the
+// allowance is used up. This bounds the messages that a member can make this router send.
 [[nodiscard]] bool may_answer(SwimState& state, Time now, std::size_t member);
 
-// Whether an ordinary probe may be sent. What doubts and answers cost is saved on these probes, so that
-// losses do not multiply what is sent.
+// Whether the message budget allows an ordinary probe. Probes of doubted members and answers use up the same
+// budget, so that message loss does not multiply the messages sent.
 [[nodiscard]] bool may_probe(SwimState& state, Time now);
 
 }  // namespace thornwick::membership
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -11,19 +11,18 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr Time kSecond = seconds(1);
-constexpr Time kLeastSuspension = kSecond;  // a shorter gap is only a slow process
-constexpr Time kLeastSuspensionPeriods = 2;
+constexpr Time kLeastSuspension = seconds(1);  // a shorter gap is only a slow process
+constexpr int kLeastSuspensionPeriods = 2;
 
 void note_suspension(SwimState& state, Time gap) {
   constexpr Time kMostSeconds = std::numeric_limits<std::uint16_t>::max();
   MemberView& own = state.own().view;
   ++state.metrics.stops;
   ++own.stops;
-  own.stopped_s = static_cast<std::uint16_t>(std::min<Time>(gap / kSecond, kMostSeconds));
+  own.stopped_s = static_cast<std::uint16_t>(std::min<Time>(gap / seconds(1), kMostSeconds));
 }
 
-// Ends all rounds and doubts: nothing that was not answered meanwhile is evidence.
+// Ends all rounds and doubts, because missing answers during the suspension are no evidence.
 void discard_evidence(SwimState& state) {
   for (auto& round : state.probes.rounds) round.over = true;
   for (auto& member : state.members) {
@@ -46,7 +45,7 @@
   if (gap <= std::max(kLeastSuspension, kLeastSuspensionPeriods * state.options.period)) return;
   note_suspension(state, gap);
   discard_evidence(state);
-  // Claims of before are refuted, whatever they were.
+  // Other routers may have suspected this process meanwhile; a higher incarnation refutes every such claim.
   state.refute(now, state.own().view.incarnation);
   state.report(state.self,
                "this process stood still for " + std::to_string(state.own().view.stopped_s) +
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -42,7 +42,7 @@
   ProbeSchedule schedule(state_, now);
   detector.process_rounds();
   group.refresh();
-  // Everything that this tick found out counts before a member is called gone.
+  // Verdicts are applied after all rounds were processed, so that every result of this tick counts.
   detector.apply_verdicts();
   schedule.probe_doubted();
   IdentityTracker(state_, now).expire_conflicts();
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -1,11 +1,12 @@
-// Which routers of the group run: the SWIM protocol with suspicion and incarnations (Das, Gupta and Motivala
-// 2002), with thresholds that follow the measured message loss, over the routers of the operator's file.
+// The failure detector: finds out which routers of the operator's file run. It uses the SWIM protocol with
+// suspicion and incarnations (Das, Gupta and Motivala 2002), with thresholds that follow the measured message
+// loss.
 //
-// Guarantees: no I/O; the clock and the seed of all randomness are handed in, so that the same calls give the
-// same results; a value: a copy continues on its own. Not thread-safe.
+// Guarantees: it does no I/O. The caller hands in the clock and the seed of all randomness, so that the same
+// calls give the same results. It is a value: a copy continues independently. It is not thread-safe.
 //
-// Each call first checks whether this process was suspended since the last one, before it uses anything that
-// it believed.
+// Each call first checks whether this process was suspended since the last call, because its view of the
+// members is out of date then.
 #pragma once
 
 #include <cstddef>
@@ -34,14 +35,15 @@
   // When tick() is due next; changes with each call below.
   Time next() const;
   void tick(Time now);
-  // A datagram, of whatever content.
+  // Handles a datagram with any content.
   void on_message(Time now, std::span<const std::uint8_t> bytes);
-  // All claims of another member at once, from a link to it.
+  // Handles all claims of another member, received over a link.
   void on_view(Time now, std::size_t reporter, const std::vector<Claim>& claims);
-  // This router shuts down: some members are told at once, and every message says so from then on.
+  // Announces this router's shutdown to some members at once, and with every later message.
   void leave(Time now);
 
-  // Datagrams to send and changes to log since the last time. To be taken after each call above.
+  // The datagrams to send and the changes to log since the previous take. The owner takes both after each
+  // call above.
   [[nodiscard]] std::vector<Sending> take_sendings() { return std::exchange(state_.sendings, {}); }
   std::vector<Change> take_changes() { return std::exchange(state_.changes, {}); }
 
@@ -50,23 +52,23 @@
   // Throws std::out_of_range for an index that is not in the roster; so does present(site).
   const MemberView& view(std::size_t member) const { return state_.members.at(member).view; }
   std::uint64_t incarnation() const { return state_.own().view.incarnation; }
-  // Routers that are believed to run, this one included; of one site, by its index in the roster.
+  // The number of routers that are believed to run, this one included, in all or at one site.
   std::size_t present() const { return state_.condition.present; }
   std::size_t present(std::size_t site) const { return state_.condition.present_by_site.at(site); }
-  // This router reaches fewer than half of those that have not left: it is the one that is cut off. It calls
-  // no member gone meanwhile.
+  // Whether this router is cut off: it reaches fewer than half of the members that have not left. It calls no
+  // member gone while it is cut off.
   bool cut_off() const { return state_.condition.cut_off; }
-  // What is believed may be acted upon: since the start, or since this process was last suspended or cut off,
-  // half of the others (ten, in a large group) have answered.
+  // Whether the view of the members may be acted upon: half of the other members (ten in a large group) have
+  // answered since this process last started, was suspended or cut off.
   bool sure() const { return state_.condition.sure; }
-  // Two processes use this router's own name.
+  // Whether two processes use this router's own name.
   bool name_conflict() const { return state_.own().view.name_conflict; }
-  // Fraction of the rounds of probes that members did not answer although they ran.
+  // The fraction of probe rounds that running members did not answer.
   double loss() const { return state_.loss.value(); }
   const Metrics& metrics() const { return state_.metrics; }
-  // All that is known, for on_view() of another member.
+  // All claims of this router, for on_view() of another member.
   std::vector<Claim> claims() const;
-  // Everything that later behaviour depends on, except times and counters: tells states apart.
+  // A text of the whole state except times and counters. Equal texts mean equal later behaviour.
   std::string digest() const;
 
  private:
--- a/src/membership/swim_state.cpp
+++ b/src/membership/swim_state.cpp
@@ -44,7 +44,7 @@
 }
 
 void SwimState::report(std::size_t member, std::string text, Severity severity) {
-  changes.push_back({member, std::move(text), severity == Severity::warning});
+  changes.push_back({member, std::move(text), severity});
 }
 
 }  // namespace thornwick::membership
--- a/src/membership/swim_state.hpp
+++ b/src/membership/swim_state.hpp
@@ -1,12 +1,12 @@
-// The whole state of the failure detector, as a value. The classes that work on it, one for each concern, are
-// made for the length of a call and keep nothing:
+// The whole state of the failure detector, as a value. The classes that work on it, one for each concern,
+// live for one call and have no state of their own:
 //
-//   GroupEvaluation   member states and what follows for the group: presence, partition, confidence
+//   GroupEvaluation   member states, and the condition of the group: presence, partition, confidence
 //   ProbeRounds       starting rounds, asking again, asking helpers
 //   FailureDetector   answers and their absence: suspicion, failure, recovery
-//   ProbeSchedule     whom to probe when
+//   ProbeSchedule     the order and the times of probes
 //   IdentityTracker   restarts, and two processes under one name
-//   ClaimHandler      what other routers claim
+//   ClaimHandler      claims of other routers
 //   MessageHandler    datagrams that arrive
 //
 // Each uses only those above it.
@@ -36,7 +36,7 @@
 
 // The group as a whole.
 struct GroupCondition {
-  bool stale = true;                         // something that it depends on has changed
+  bool stale = true;                         // has to be evaluated again
   std::size_t present = 1;                   // this router included
   std::vector<std::size_t> present_by_site;  // the same by site
   bool cut_off = false;                      // this router reaches fewer than half of the others
@@ -45,15 +45,13 @@
   Time last_answer_at = 0;                   // of any member
 };
 
-// Another process that uses this router's own name, or did.
+// Another process that uses, or used, this router's own name.
 struct Rival {
   std::uint32_t run = 0;
-  std::uint64_t refuted_with = 0;  // this router's incarnation against it
+  std::uint64_t refuted_with = 0;  // the incarnation with which this router refuted it
   std::uint32_t returns = 0;       // with a higher incarnation afterwards
 };
 
-enum class Severity : std::uint8_t { info, warning };
-
 struct SwimState {
   SwimState(std::shared_ptr<const Roster> group_roster, std::size_t own_index, const Options& tunables,
             std::uint64_t seed, Time now);
@@ -61,19 +59,19 @@
   MemberRecord& own() { return members[self]; }
   const MemberRecord& own() const { return members[self]; }
   bool has_helper(const MemberRecord& member) const { return member.helper != roster->size(); }
-  // What this router passes on about a member: what was claimed at this incarnation, not what this router
-  // makes of it. A doubt of its own that it did not announce must not become a suspicion at an incarnation
-  // that the member has only just reached.
+  // The claim about a member that this router passes on: the strongest claim at the member's incarnation, not
+  // this router's own judgement. A doubt that this router has not announced must not become a suspicion at an
+  // incarnation that the member has only just reached.
   Claim claim_of(std::size_t member) const;
-  // Whether a claim may be passed on: a router that is cut off suspects nobody aloud.
+  // Whether a claim may be passed on. A router that is cut off passes on no suspicions.
   bool may_pass_on(const Claim& claim) const {
     return !(condition.cut_off && claim.claim_kind == ClaimKind::suspected);
   }
   // Passes on the member's current claim with the next messages.
   void announce(std::size_t member) { gossip.push(claim_of(member)); }
-  // Has a member probed out of turn, unless too many wait already.
+  // Queues a member to be probed out of turn, unless too many members are queued.
   void expedite_probe(std::size_t member);
-  // Raises this router's incarnation above one that was claimed of it, and announces that.
+  // Raises this router's incarnation above a claimed one, and announces it.
   void refute(Time now, std::uint64_t claimed);
   void report(std::size_t member, std::string text, Severity severity = Severity::info);
 
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -163,7 +163,8 @@
 
 void Cluster::log_change(const membership::Change& change) const {
   const auto& member = membership_.roster->at(change.member);
-  auto line = change.severe ? logging::warning("group") : logging::info("group");
+  auto line =
+      change.severity == membership::Severity::warning ? logging::warning("group") : logging::info("group");
   line.with("member", member.name).with("site", member.site);
   line << member.name << ": " << change.text;
 }
