--- a/src/persistence/ledger_store.cpp
+++ b/src/persistence/ledger_store.cpp
@@ -80,7 +80,7 @@
   return *records;
 }
 
-void LedgerStore::for_each_stored(std::size_t ledger, const replication::Visit& visitor) const {
+void LedgerStore::for_each_stored(std::size_t ledger, const replication::RecordVisitor& visitor) const {
   const auto found = stored_.find(ledger);
   if (found == stored_.end()) return;
   for (const StoredRecord& record : found->second) visitor(record.key, record.value);
--- a/src/persistence/ledger_store.hpp
+++ b/src/persistence/ledger_store.hpp
@@ -30,7 +30,7 @@
 
   // Calls the visitor with each record of that ledger that the file had when it was opened, in the order of
   // the keys. After release_stored() there is none.
-  void for_each_stored(std::size_t ledger, const replication::Visit& visitor) const;
+  void for_each_stored(std::size_t ledger, const replication::RecordVisitor& visitor) const;
   // Frees the memory of those records.
   void release_stored() { stored_.clear(); }
 
