--- a/src/persistence/tables.cpp
+++ b/src/persistence/tables.cpp
@@ -19,8 +19,8 @@
 
 std::string encode_key(std::uint64_t number) {
   std::string key(kKeyBytes, '\0');
-  for (auto position = key.rbegin(); position != key.rend(); ++position) {
-    *position = static_cast<char>(number & kByteMask);
+  for (std::size_t i = kKeyBytes; i > 0; --i) {
+    key[i - 1] = static_cast<char>(number & kByteMask);
     number >>= kBitsPerByte;
   }
   return key;
--- a/src/policy/interval_cuts.cpp
+++ b/src/policy/interval_cuts.cpp
@@ -58,8 +58,7 @@
 }
 
 double IntervalCuts::share_of(Time now, Side side, const Replica& replica, const Totals& totals) const {
-  // If most replicas of a side are ejected, something else than they is at fault: ejecting all would serve
-  // nobody.
+  // If most of a side is ejected, the fault is elsewhere, and ejecting all would leave nobody to serve.
   const bool trust_ejections = totals.ejected <= kMaxEjectedPart * totals.all;
   const double warmth = health_.warmth(now, replica);
   double share = health_.capacity_of(replica) * (trust_ejections ? health_.recovery(now, replica) : 1);
--- a/src/policy/interval_cuts.hpp
+++ b/src/policy/interval_cuts.hpp
@@ -20,7 +20,7 @@
   // Computes both cuts again if they are stale or refresh_period() old.
   void update(Time now);
 
-  // The age in microseconds at which cuts are computed again, to follow warm-up and health.
+  // The age, in microseconds, at which cuts are computed again so that they follow warm-up and health.
   static Time refresh_period();
 
  private:
--- a/src/policy/overload.cpp
+++ b/src/policy/overload.cpp
@@ -4,29 +4,21 @@
 
 namespace thornwick {
 
-// An answer is slow if its first token takes more than this part of the latency objective.
-constexpr double kSlowPart = 0.6;
-// Changes of PolicyState::zone_overflow with each answer. It settles where one answer in eight is slow.
-constexpr double kZoneOverflowUp = 0.04;     // a slow answer from home
-constexpr double kZoneOverflowDown = 0.006;  // another answer from home
-constexpr double kMaxZoneOverflow = 0.7;
-// Changes of PolicyState::load_shedding with each answer. It settles where about one answer in nine is late.
-constexpr double kLoadSheddingUp = 0.08;    // a late answer
-constexpr double kLoadSheddingDown = 0.01;  // another answer
-constexpr double kMaxLoadShedding = 0.9;    // some requests must be sent to learn that an overload is over
-// The number of answers in time in a row after which load shedding falls as fast as it rose.
-constexpr int kCalmRun = 20;
-// Load shedding above which the silence of a replica is no sign of a failure.
-constexpr double kSevere = 0.5;
-// In a large group all routers learn from a late answer, so it counts for this many divided by the group
-// size.
-constexpr double kLargeGroupWeight = 8;
-// The least Retry-After, as a part of the longest, for a rejection without any overload.
-constexpr double kMinRetryAfterPart = 0.1;
+constexpr double kSlowPart = 0.6;            // an answer after more than this part of the objective is slow
+constexpr double kZoneOverflowUp = 0.04;     // added to the zone overflow by a slow answer from home
+constexpr double kZoneOverflowDown = 0.006;  // taken from it by any other: it settles at one slow in eight
+constexpr double kMaxZoneOverflow = 0.7;     // the largest part of the sessions that leaves the zone
+constexpr double kLoadSheddingUp = 0.08;     // added to load shedding by a late answer
+constexpr double kLoadSheddingDown = 0.01;   // taken from it by any other: it settles at one late in nine
+constexpr int kCalmRun = 20;  // answers in time in a row, after which load shedding falls as fast as it rose
+constexpr double kMaxLoadShedding = 0.9;     // some requests must be sent to learn that an overload is over
+constexpr double kSevere = 0.5;              // load shedding above which a silent replica may just be busy
+constexpr double kLargeGroupWeight = 8;      // answers in a large group count this much, by its size
+constexpr double kMinRetryAfterPart = 0.1;   // the least Retry-After, as a part of the longest
 constexpr std::size_t kRankedArrivals = 64;  // recent arrivals among which a request is ranked by its weight
 constexpr double kRepeatWeight = 0.1;        // factor on the weight of a request that its client sends again
 constexpr double kOverShare = 1.25;          // a tenant is over its share beyond this multiple of it
-constexpr double kTenantPrior = 8;    // requests added to the usage at the shares: guards small samples
+constexpr double kTenantPrior = 8;    // requests added to the usage at the shares, to guard small samples
 constexpr double kTenantFade = 0.98;  // factor on earlier usage with each request
 
 bool Overload::must_shed(const Request& request) {
--- a/src/policy/peer_observations.cpp
+++ b/src/policy/peer_observations.cpp
@@ -6,8 +6,7 @@
 namespace thornwick {
 
 constexpr std::uint32_t kLargeGroup = 16;  // a group of more routers than this is large
-constexpr double kReporters =
-    40;  // in a group of more routers, each reports only a part, as many as 40 would
+constexpr double kReporters = 40;          // a larger group sends as many reports as this number of routers
 
 bool is_large_group(const Settings& settings) { return settings.group_size > kLargeGroup; }
 
--- a/src/policy/peer_observations.hpp
+++ b/src/policy/peer_observations.hpp
@@ -13,15 +13,17 @@
 class Overload;
 class ReplicaHealth;
 
-// Whether there are so many routers that each sees little of a single replica.
+// Whether the group has so many routers that each sees too few answers of a replica to judge it alone.
 bool is_large_group(const Settings& settings);
-// The same, and the routers may send messages to each other.
+// Whether the routers of this group exchange observations: it is large, and they may send messages to each
+// other.
 bool shares_observations(const Settings& settings);
-// The number of routers that a report stands for: a router reports one in so many of its observations.
-// Keeps what an observation costs in messages from growing with the group.
+// The number of observations that a report stands for, 1 or more. A router reports one in this number of its
+// observations at random, so that the number of messages does not grow with the group.
 double report_weight(const Settings& settings);
 
-// Sends this router's observations to its peers and applies theirs. In a small group it does nothing.
+// Sends this router's observations to its peers and applies those of the peers. Does nothing in a small
+// group.
 class PeerObservations {
  public:
   PeerObservations(PolicyState& state, ReplicaHealth& health, Overload& overload)
@@ -29,9 +31,9 @@
 
   // Queues an observation for the next message to all peers.
   void report(Time now, const Replica& replica, Observation observation);
-  // A message of a peer. One that cannot be read changes nothing.
+  // Applies the observations in a peer's message. A message that does not parse is ignored.
   void on_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message);
-  // The time to gather observations is over.
+  // Sends the queued observations if the token is that of the gossip timer.
   void on_timer(std::uint32_t token);
 
  private:
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -30,8 +30,7 @@
 const IntervalCut* Placement::choose_cut(const PendingRequest& pending) {
   const IntervalCut& home = state_.home_cut;
   const IntervalCut& remote = state_.remote_cut;
-  // If all replicas at home are cold, a part of the requests is rejected. They are drawn at random, so that
-  // it is not always the same sessions.
+  // If all at home are cold, requests are rejected at random, so that it is not always the same sessions.
   const bool by_session = pending.request.session != 0 && home.any_warm;
   const double position = by_session ? unit(mix(pending.request.session)) : state_.random.draw();
   if (!home.members.empty() && position < std::min(home.fill, 1 - state_.zone_overflow)) return &home;
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -24,7 +24,7 @@
 struct IntervalCut {
   std::vector<Replica*> members;
   std::vector<double> edges;
-  double fill = 0;  // part of the usual load that its shares can take now
+  double fill = 0;  // 0..1; part of the load of all its replicas that the members can take now
   bool any_warm = false;
 
   // The index of the replica whose interval holds the position. Requires members.
@@ -51,7 +51,7 @@
     state_ = mix(state_);
     return unit(state_);
   }
-  // The pause made longer or shorter by up to half of it.
+  // A random pause between half of the given one and one and a half times it.
   Time jittered(Time pause) { return static_cast<Time>((0.5 + draw()) * static_cast<double>(pause)); }
 
  private:
@@ -71,7 +71,7 @@
   void cancel(RequestId id, std::size_t attempt) {
     push({.kind = ActionKind::cancel, .id = id, .attempt = static_cast<std::uint8_t>(attempt)});
   }
-  // The final answer of this router: a rejection or a failure, with the advised absence.
+  // Ends a request with this router's own answer: a rejection or a failure, with its Retry-After.
   void finish(ActionKind kind, RequestId id, Time retry_after, RefusalReason refusal) {
     push({.kind = kind, .id = id, .time = retry_after, .refusal = refusal});
   }
@@ -126,7 +126,7 @@
   void decay();
 
   const Table& table() const { return table_; }
-  // The part of a prefix in all work, 0..1, if there is so much other work too; 0 for an unknown prefix.
+  // The part of a prefix in all recorded work and `other_work` together, 0..1; 0 for an unknown prefix.
   double fraction_of(std::uint64_t prefix, double other_work) const {
     const auto found = table_.find(prefix);
     return found == table_.end() ? 0 : found->second / std::max(1e-9, total_ + other_work);
@@ -147,9 +147,9 @@
     for (auto& [id, replica] : replicas) replica.listing.state = EndpointState::gone;
   }
 
-  // Drops the replicas that are gone and that no request refers to. Bounds the memory where replicas are
-  // replaced all day, and keeps the record of one that is gone from a newcomer with its id. Invalidates the
-  // cuts.
+  // Drops the replicas that are gone and that no request refers to, and invalidates the cuts. This bounds the
+  // memory where replicas are replaced often, and a new replica does not get the record of an earlier one
+  // with its id.
   void forget_gone_replicas();
 
   // The record of a replica; nullptr if the id is unknown.
@@ -163,12 +163,12 @@
     return found == pending.end() ? nullptr : &found->second;
   }
 
-  // Another module has sent a request to a replica that it shares with this one.
+  // Counts a request that another pool's policy has sent to a replica that both pools share.
   void count_shared_send(ReplicaId id) {
     if (Replica* replica = find_replica(id)) ++replica->in_flight;
   }
 
-  // The listed replicas that get nothing now because they failed.
+  // The ready replicas that are ejected and get no share of the cuts.
   std::vector<ReplicaId> ejected(Time now) const;
 
   Settings settings;
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -17,11 +17,11 @@
   int failure_points = 0;  // of the failures in a row
   Time ejected_until = 0;
   bool excluded_from_cut = false;  // the latest cut gave it no share
-  double pace = 1;                 // learned part of its listed weight; falls while its answers are slow
+  double pace = 1;                 // 0..1; learned factor on its listed weight; falls while answers are slow
   Time last_alive = 0;             // when it last answered anything
   DecayedValue reported_failures;  // failure points reported by other routers
 
-  // Forgets what was learned of an earlier start of it.
+  // Resets what was learned, because the replica has restarted.
   void reset_record() {
     failure_points = 0;
     ejected_until = 0;
@@ -66,7 +66,7 @@
 // The wanted time to the first token, in microseconds, as the request's class defines it.
 Time latency_objective_of(const ClassSettings& request_class, const Request& request);
 
-// The attempt ended without an answer for a reason that may lie in the replica.
+// Whether an attempt with this outcome failed for a reason that may lie in the replica.
 bool is_failure(Outcome outcome);
 
 }  // namespace thornwick
--- a/src/policy/replica_health.cpp
+++ b/src/policy/replica_health.cpp
@@ -59,9 +59,8 @@
 }
 
 void ReplicaHealth::recover_paces(Time elapsed) {
-  const bool large = shares_observations(state_.settings);
-  const double part =
-      large ? std::min(1.0, static_cast<double>(elapsed) / static_cast<double>(kPaceRecoveryTime)) : 0;
+  const double passed = static_cast<double>(elapsed) / static_cast<double>(kPaceRecoveryTime);
+  const double part = shares_observations(state_.settings) ? std::min(1.0, passed) : 0;
   for (auto& [id, replica] : state_.replicas) replica.pace += part * (1 - replica.pace);
 }
 
--- a/src/store/contents.hpp
+++ b/src/store/contents.hpp
@@ -21,7 +21,7 @@
   std::uint64_t serial = 0;      // number of batches ever written
   std::uint64_t file_bytes = 0;  // the file's size
   std::uint64_t used_bytes = 0;  // of the pages in use
-  std::uint64_t max_bytes = 0;  // the largest size that the file may grow to
+  std::uint64_t max_bytes = 0;   // the largest size that the file may grow to
 };
 
 // Called with (records seen so far, records in all).
