--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -66,7 +66,8 @@
 }  // namespace
 
 TEST_CASE(
-    "links: of two connections one stays; frames arrive whole and in order; a full queue rejects frames, and "
+    "links: of two connections one stays, frames arrive whole and in order, and a full queue rejects frames, "
+    "and "
     "reports "
     "room later") {
   LinkEnd first(0);
@@ -98,7 +99,7 @@
   CHECK(first.links->send(1, 7, large_frame));
 }
 
-TEST_CASE("links: another group is rejected; a closed link is detected and connects again by itself") {
+TEST_CASE("links: another group is rejected, and a closed link is detected and connects again by itself") {
   {
     LinkEnd first(0);
     LinkEnd second(1, 8);
@@ -148,7 +149,8 @@
 }
 
 TEST_CASE(
-    "a start is counted in the state file; an empty, a damaged and an unwritable file each give a new disk "
+    "a start is counted in the state file, and an empty, a damaged and an unwritable file each give a new "
+    "disk "
     "identity") {
   Scratch scratch;
   const std::string path = scratch.path("group");
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -167,7 +167,8 @@
 }
 
 TEST_CASE(
-    "a failed member is suspected, then gone; its restarts with its disk, an empty one and an older copy are "
+    "a failed member is suspected, then gone, and its restarts with its disk, an empty one and an older copy "
+    "are "
     "distinguished") {
   SettledGroup settled(5);
   settled.group.kill(2);
--- a/tests/group/processes.cpp
+++ b/tests/group/processes.cpp
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE(
-    "processes: a suspended process detects and reports it first; a process that shuts down is never "
+    "processes: a suspended process detects and reports it first, and a process that shuts down is never "
     "suspected") {
   ProcessGroup group(4, 2);
   group.mark();
@@ -166,7 +166,7 @@
 }
 
 TEST_CASE(
-    "processes: a process replaced under load hands its name over; no router suspects it, no request is "
+    "processes: a process replaced under load hands its name over, and no router suspects it, no request is "
     "lost") {
   ProcessGroup group(3, 1, AdminEndpoint::open);
   group.mark();
@@ -219,7 +219,8 @@
   CHECK(group.harness.status(1).at("name_used_twice").get<bool>());
 }
 
-TEST_CASE("processes: garbled, repeated and late datagrams are counted and ignored; links connect again") {
+TEST_CASE(
+    "processes: garbled, repeated and late datagrams are counted and ignored, and links connect again") {
   ProcessGroup group(3);
   LinkFaults faults;
   faults.garble = 0.5;
@@ -310,7 +311,7 @@
   CHECK(error_of("[[router]]\nname = \"r1\"\n").find("there is no [group]") != std::string::npos);
   CHECK_THROWS_WITH(read_rig_script(file("[rig]\nrouters = 2\nsites = 3\n[[fault]]\nat_s = 1\nkind = "
                                          "\"eat\"\n[[fault]]\nkind = \"kill\"\nrouters = [7]\n")),
-                    Catch::Contains(":3: harness.sites") && Catch::Contains(":6: fault.kind: 'eat'") &&
+                    Catch::Contains(":3: rig.sites") && Catch::Contains(":6: fault.kind: 'eat'") &&
                         Catch::Contains(":9: fault.routers: there is no number 7"));
 }
 
