--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr const char* kTextPattern = "%l %n: %v";
-// The message (%v) is the line's own fields, already in JSON.
+// The message (%v) is already JSON: the members part, message and the fields of the line.
 constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
-// The process-wide log: its settings and its output.
+// The log of this process: its threshold, its format and the stream that it writes to.
 class Output {
  public:
   Output() { set_format(Format::text); }
@@ -57,7 +57,8 @@
   return spdlog::level::err;
 }
 
-// Texts come from clients and replicas: invalid UTF-8 is replaced, as the line would not be JSON otherwise.
+// Returns the text as a JSON string. Invalid UTF-8 is replaced, because clients and replicas can send any
+// bytes and the line would not be JSON otherwise.
 std::string json_text(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -1,6 +1,8 @@
-// Log lines on standard error, behind a level filter: as text, or as one JSON object for each line, whose
-// fields have names. Each line is written in one piece, through spdlog. Not thread-safe: all lines come from
-// the thread of the event loop.
+// Writes log lines to standard error, as text or as one JSON object per line. Lines below a threshold are
+// dropped. Each line is written in one piece, through spdlog.
+//
+// Not thread-safe: only the thread of the event loop may log. docs/oncall.md is the catalogue of all lines;
+// tests/log_catalogue_test.py reports a line that it lacks.
 #pragma once
 
 #include <sstream>
@@ -9,37 +11,41 @@
 #include <type_traits>
 #include <vector>
 
+#include "logging/level.hpp"
+
 namespace thornwick::logging {
 
-// In order of severity.
-enum class Level { debug, info, warning, error };
+// How lines are written: `LEVEL PART: TEXT`, or a JSON object with time (UTC), level, part, message and the
+// line's fields.
 enum class Format { text, json };
 
-// Lines below the threshold are not written, and their text is not formatted. Info unless it is set.
+// The lowest level that is written, `Level::info` until it is set. The text of a line below it is never
+// formatted.
 Level threshold();
 void set_threshold(Level level);
-// Whether debug lines are written: for callers whose fields cost more than a look at this.
+// Returns whether debug lines are written. Callers check it before they compute fields that are expensive.
 [[nodiscard]] inline bool writes_debug() { return threshold() <= Level::debug; }
-// Text unless it is set.
+// Sets the format of all later lines. It is `Format::text` until then.
 void set_format(Format format);
 
-// A value that has a name in JSON; in text it is only its value. Refers to the value: for use within one
-// statement.
+// A value that is a named field in JSON and only its value in text. It refers to the value, so it must not
+// outlive the statement that creates it.
 template <typename T>
 struct Field {
   std::string_view name;
   const T& value;
 };
+// Names a value for use in a line: `info("store") << "loaded from " << field("file", path)`.
 template <typename T>
 Field<T> field(std::string_view name, const T& value) {
   return {name, value};
 }
 
-// One line: its level, the part of the program that it comes from, then what is streamed in. It is written
-// when the object is destroyed, at the end of the statement.
+// One log line: its level, the part of the program that it comes from, and the text that is streamed into it.
+// The destructor writes it, so a temporary is written at the end of its statement.
 class Line {
  public:
-  // `part` has to outlive the line.
+  // `part` is kept by reference and must outlive the line.
   Line(Level level, std::string_view part) : level_(level), part_(part), enabled_(level >= threshold()) {}
   Line(const Line&) = delete;
   Line& operator=(const Line&) = delete;
@@ -56,7 +62,8 @@
   Line& operator<<(const Field<T>& named) {
     return with(named.name, named.value) << named.value;
   }
-  // Adds a field that appears in JSON only. Integers become JSON numbers, everything else strings.
+  // Adds a field that appears in JSON only and returns this line. Integers become JSON numbers, everything
+  // else strings.
   template <typename T>
   Line& with(std::string_view name, const T& value) {
     constexpr bool is_number = std::is_integral_v<T> && !std::is_same_v<T, char>;
@@ -82,6 +89,7 @@
   std::vector<FormattedField> fields_;
 };
 
+// A line of the given level. `part` must outlive it.
 inline Line debug(std::string_view part) { return {Level::debug, part}; }
 inline Line info(std::string_view part) { return {Level::info, part}; }
 inline Line warning(std::string_view part) { return {Level::warning, part}; }
--- a/src/logging/rate_limiter.hpp
+++ b/src/logging/rate_limiter.hpp
@@ -1,29 +1,37 @@
-// Limits repeated log lines: one a second for each kind. Events that may come thousands of times, such as bad
-// entries of a list, would otherwise load the machine with their log lines; counters hold their full number.
-// No I/O and no clock.
+// Limits repeated log lines to one per second and kind. Some events, such as invalid entries of an endpoint
+// list, can occur thousands of times per second; logging each of them would slow the router down. Counters
+// still count all of them.
+//
+// No I/O and no clock: the caller passes the time in.
 #pragma once
 
-#include <cstdint>
 #include <map>
 #include <string_view>
 
+#include "thornwick/time.hpp"
+
 namespace thornwick::logging {
 
 class RateLimiter {
  public:
-  static constexpr std::int64_t kInterval = 1'000'000;  // microseconds between two lines of a kind
+  // The shortest time between two lines of one kind.
+  static constexpr Time kInterval = seconds(1);
 
-  // Whether a line of this kind may be written at `now`, in microseconds on a monotonic clock; if so, it is
-  // counted. `kind` has to be one of a few string literals: each is remembered, by reference.
-  [[nodiscard]] bool due(std::int64_t now, std::string_view kind) {
-    const auto [latest, is_first] = latest_.try_emplace(kind, now);
-    if (!is_first && now - latest->second < kInterval) return false;
-    latest->second = now;
+  // Returns whether a line of this kind may be written at `now`, a time on a monotonic clock. If so, the next
+  // one is allowed `kInterval` later.
+  //
+  // `kind` is kept by reference for the lifetime of the limiter: it must be a string literal, and there must
+  // be few of them.
+  [[nodiscard]] bool due(Time now, std::string_view kind) {
+    const auto [last_line, is_first] = last_lines_.try_emplace(kind, now);
+    if (is_first) return true;
+    if (now - last_line->second < kInterval) return false;
+    last_line->second = now;
     return true;
   }
 
  private:
-  std::map<std::string_view, std::int64_t> latest_;  // line of each kind
+  std::map<std::string_view, Time> last_lines_;  // kind -> time of its last line
 };
 
 }  // namespace thornwick::logging
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -16,7 +16,7 @@
 
 constexpr Time kWatchGap = milliseconds(50);  // after an answer without news; a watch goes on for 200 ms
 constexpr Time kMicrosecondsPerMillisecond = 1000;
-constexpr std::string_view kLogPart = "route_table";
+constexpr std::string_view kLogPart = "discovery";
 
 Owned<GSocketAddress> discovery_address(const std::string& text) {
   auto address = parse_address(text);
@@ -111,7 +111,7 @@
   while (calls_out_.size() > most) {
     const auto given_up = calls_out_.begin() + (calls_out_.size() > 1 ? 1 : 0);
     ++counters_.failures;
-    logging::debug(kLogPart) << "call " << (*given_up)->call().number << " of discovery is given up";
+    logging::debug(kLogPart) << "call " << (*given_up)->call().number << " abandoned";
     drop(std::move(*given_up));
     calls_out_.erase(given_up);
   }
@@ -165,7 +165,7 @@
   const bool due = log_limiter_.due(now_us(), failure.kind);
   const auto level = due ? logging::Level::info : logging::Level::debug;
   logging::Line line(level, kLogPart);
-  line << "a call of discovery failed: " << logging::field("reason", failure.kind);
+  line << "call failed: " << logging::field("reason", failure.kind);
   if (!failure.detail.empty()) line << " (" << logging::field("detail", failure.detail) << ")";
   describe_call(line, call);
   if (call.number == counters_.calls) call_at(schedule_.failed(now_us(), call.plan));
@@ -186,10 +186,10 @@
 void DiscoveryClient::log_answer(const DiscoveryCall& call, simdjson::dom::element list,
                                  std::uint64_t revision_before) const {
   const auto level = revision_ == revision_before ? logging::Level::debug : logging::Level::info;
-  const std::string whole = is_whole_list(list) ? "yes" : "no";
+  const std::string full = is_whole_list(list) ? "yes" : "no";
   logging::Line line(level, kLogPart);
-  line << "discovery answered: revision " << logging::field("revision", revision_) << " after "
-       << logging::field("revision_before", revision_before) << ", whole=" << logging::field("whole", whole);
+  line << "endpoint list received: revision " << logging::field("revision", revision_) << " after "
+       << logging::field("revision_before", revision_before) << ", full=" << logging::field("full", full);
   describe_call(line, call);
 }
 
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -42,8 +42,8 @@
   if (std::exchange(left_, true)) return;
   if (logging::writes_debug()) {
     const std::string request = state_ == State::busy ? request_id_ : "none";
-    logging::debug("clients") << "a connection closes: " << logging::field("reason", reason)
-                              << ", request in work: " << logging::field("request", request);
+    logging::debug("downstream") << "connection closed: " << logging::field("reason", reason)
+                                 << ", request in flight: " << logging::field("request", request);
   }
   stream_.close();
   limit_.stop();
@@ -271,7 +271,7 @@
 void DownstreamServer::Connection::reject_bad_request(const BadMessage& bad) {
   ++owner_.counters_.bad;
   keep_ = false;
-  logging::debug("clients") << "bad request: " << logging::field("reason", bad.what());
+  logging::debug("downstream") << "bad request: " << logging::field("reason", bad.what());
   answer(bad_request_answer(dialect(), bad), 0);
   on_answered();
 }
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -133,8 +133,7 @@
   for (const EndpointEntry* other = find(id);
        other != nullptr && other->uid != uid && other->listing.state != EndpointState::gone;
        other = find(id)) {
-    logging::warning("route_table") << logging::field("target", uid) << " shares its number with "
-                                    << other->uid;
+    logging::warning("endpoints") << logging::field("replica", uid) << " has the same id as " << other->uid;
     ++id;
   }
   return id;
@@ -143,7 +142,7 @@
 void EndpointTable::reject_entry(std::string_view reason, const std::string& uid) {
   ++counters_.bad;
   if (!log_limiter_.due(now_us(), reason)) return;
-  logging::warning("route_table") << "a bad entry: " << logging::field("target", uid) << ": " << reason;
+  logging::warning("endpoints") << "invalid entry: " << logging::field("replica", uid) << ": " << reason;
 }
 
 // One line for each replica whose state is another than the log has. What the router knew at its start is no
@@ -154,8 +153,8 @@
     const EndpointState state = entry.listing.state;
     if (entry.logged_state == state) continue;
     const char* const before = entry.logged_state ? name_of(*entry.logged_state) : "unknown";
-    logging::Line(level, "route_table")
-        << "replica " << logging::field("target", entry.uid) << ": " << logging::field("before", before)
+    logging::Line(level, "endpoints")
+        << "replica " << logging::field("replica", entry.uid) << ": " << logging::field("before", before)
         << " -> " << logging::field("state", name_of(state)) << ", revision "
         << logging::field("revision", client_.revision().value_or(0));
     entry.logged_state = state;
--- a/src/net/flow_exporter.cpp
+++ b/src/net/flow_exporter.cpp
@@ -49,7 +49,7 @@
   const gssize sent =
       g_socket_send_to(socket_.get(), collector_.get(), message.data(), message.size(), nullptr, error.out());
   if (sent < 0) {
-    logging::warning("flows") << "records were lost: " << logging::field("reason", error.message());
+    logging::warning("flows") << "flow records lost: " << logging::field("reason", error.message());
   }
 }
 
--- a/src/net/handover_client.cpp
+++ b/src/net/handover_client.cpp
@@ -43,8 +43,7 @@
     g_socket_set_timeout(handover_state.line.get(), 0);
     return handover_state;
   } catch (const std::exception& problem) {
-    logging::warning("handover") << "nothing is taken over from the process at " << path << ": "
-                                 << problem.what();
+    logging::warning("handover") << "handover from the process at " << path << " failed: " << problem.what();
     return std::nullopt;
   }
 }
--- a/src/net/handover_server.cpp
+++ b/src/net/handover_server.cpp
@@ -57,7 +57,8 @@
   const std::size_t bytes = offer.rest.size();
   successor_->write(std::move(offer.rest));
   serving_limit_.start(kServingLimit, [this] { on_lost(); });
-  logging::info("handover") << "a successor has come: " << offer.sockets << " sockets, " << bytes << " bytes";
+  logging::info("handover") << "successor connected: handing over " << offer.sockets << " sockets and "
+                            << bytes << " bytes";
 }
 
 void HandoverServer::on_bytes(std::string_view bytes) {
@@ -90,7 +91,8 @@
   successor_->close();
   deferred_delete(std::exchange(successor_, nullptr));
   if (passed_on_) return;
-  logging::warning("handover") << "the successor has gone " << (served_ ? "after" : "before") << " it served";
+  logging::warning("handover") << "the successor disconnected " << (served_ ? "after" : "before")
+                               << " it was serving";
   callbacks_.lost();
   if (!listener_) reopen();
 }
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -129,16 +129,16 @@
   if (is_acceptable(greeting) && !up_) return owner_.on_greeted(*this, greeting.from);
   ++owner_.counters_.rejected;
   const bool same_group = greeting.group == owner_.options_.group;
-  logging::warning("links") << "refused: version " << greeting.version
-                            << (same_group ? "" : ", another group") << ", from number " << greeting.from
-                            << " to number " << greeting.to;
+  logging::warning("links") << "greeting rejected: version " << greeting.version
+                            << (same_group ? "" : ", another group") << ", from member " << greeting.from
+                            << " to member " << greeting.to;
   owner_.on_ended(*this);
   return false;
 }
 
 void Links::Link::fail(const char* reason) {
   ++owner_.counters_.spoilt;
-  logging::warning("links") << "a link ends: " << reason;
+  logging::warning("links") << "link closed: " << reason;
   owner_.on_ended(*this);
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -68,7 +68,7 @@
     if (!socket) {
       if (error.would_block()) return;
       // Guards against EMFILE: the loop would spin on a listener that stays readable.
-      logging::warning("net") << "accepting pauses: " << error.message();
+      logging::warning("net") << "accepting connections paused: " << error.message();
       return pause();
     }
     accepted_(std::move(socket));
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -28,7 +28,7 @@
 void PeerSocket::tell(std::uint32_t rank, const std::string& message) {
   GSocketAddress* to = rank < addresses_.size() ? addresses_[rank].get() : all_.get();
   if (!socket_ || to == nullptr || message.size() > kMaxDatagram) {
-    logging::warning("peers") << "a message of " << message.size() << " bytes was not sent";
+    logging::warning("gossip") << "message of " << message.size() << " bytes not sent";
     return;
   }
   socket_->send(to, message);  // it may be lost on the way as well: nobody waits for it
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -39,8 +39,8 @@
 void UpstreamPool::Connection::close(std::string_view reason) {
   if (std::exchange(closed_, true)) return;
   if (logging::writes_debug()) {
-    describe_attempt(logging::debug("servers")) << "a connection to " << logging::field("endpoint", endpoint_)
-                                                << " closes: " << logging::field("reason", reason);
+    describe_attempt(logging::debug("upstream")) << "connection to " << logging::field("endpoint", endpoint_)
+                                                 << " closed: " << logging::field("reason", reason);
   }
   job_ = Job::none;
   limit_.stop();
@@ -131,8 +131,8 @@
     stream_.write(std::move(bytes.body));
     on_drained();
   } catch (const BadMessage& bad) {
-    describe_attempt(logging::info("servers"))
-        << "a body cannot be said in the target's dialect: " << logging::field("reason", bad.what());
+    describe_attempt(logging::info("upstream"))
+        << "request cannot be translated to the replica's dialect: " << logging::field("reason", bad.what());
     return finish(Outcome::not_sent, Reuse::keep, "the target's dialect cannot say it");
   }
   payload_.reset();
@@ -245,8 +245,8 @@
 // connection broke. The connection is of no further use.
 void UpstreamPool::Connection::on_broken_answer(const char* reason) {
   ++owner_.counters_.spoilt;
-  describe_attempt(logging::warning("servers"))
-      << "a target's answer is broken: " << logging::field("reason", reason);
+  describe_attempt(logging::warning("upstream"))
+      << "invalid response from the replica: " << logging::field("reason", reason);
   finish(Outcome::reset, Reuse::close, reason);
 }
 
@@ -277,7 +277,7 @@
   const Job job = std::exchange(job_, Job::none);
   if (job == Job::none) return;
   if (job == Job::attempt && logging::writes_debug()) {
-    describe_attempt(logging::debug("servers")) << "an attempt ends: " << logging::field("reason", reason);
+    describe_attempt(logging::debug("upstream")) << "attempt ended: " << logging::field("reason", reason);
   }
   limit_.stop();
   payload_.reset();
@@ -307,9 +307,9 @@
 // In JSON a line says which attempt to which replica it is about; its text is the same for all of them.
 logging::Line& UpstreamPool::Connection::describe_attempt(logging::Line&& line) const {
   const EndpointEntry* entry = owner_.endpoints_.find(replica_);
-  return line.with("exchange", attempt_.request_id)
+  return line.with("request_number", attempt_.request_id)
       .with("attempt", attempt_.number + 1)
-      .with("target", entry == nullptr ? std::string("one that has gone") : entry->uid);
+      .with("replica", entry == nullptr ? std::string("removed") : entry->uid);
 }
 
 }  // namespace thornwick::net
--- a/src/node/affinity_report.cpp
+++ b/src/node/affinity_report.cpp
@@ -45,17 +45,17 @@
 
 void AffinityLog::fleet_lost(Time) {
   logging::warning("affinity")
-      << "kept copies are gone over the whole fleet: believing none until boxes prove it";
+      << "cached prompts lost across the fleet: none is expected until replicas report hits";
 }
 
 void AffinityLog::replica_lost(Time, ReplicaId replica) {
-  logging::warning("affinity") << "kept copies are gone at " << logging::field("target", uid_of_(replica))
-                               << ": not believed until it proves it";
+  logging::warning("affinity") << "cached prompts lost at " << logging::field("replica", uid_of_(replica))
+                               << ": none is expected there until it reports hits";
 }
 
 void AffinityLog::replica_regained(Time, ReplicaId replica) {
-  logging::info("affinity") << "kept copies are found again at "
-                            << logging::field("target", uid_of_(replica));
+  logging::info("affinity") << "cached prompts found again at "
+                            << logging::field("replica", uid_of_(replica));
 }
 
 }  // namespace thornwick::node
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -18,14 +18,14 @@
 void log_charge(const budgets::Charge& charge, const config::Config& config, const std::string& replica_uid) {
   using logging::field;
   const auto& subject = charge.subject;
-  logging::info("charge").with("exchange", charge.request_id).with("attempt", charge.attempt + 1)
+  logging::info("charge").with("request_number", charge.request_id).with("attempt", charge.attempt + 1)
       << "member=" << field("member", name_at(config.names.tenants, subject.member))
       << " class=" << field("class", name_at(config.names.classes, subject.cls))
       << " model=" << field("model", config.operator_file.catalogue.name_of(subject.model))
-      << " target=" << field("target", replica_uid) << " prompt=" << field("prompt", charge.tokens.prompt)
-      << " kept=" << field("kept", charge.tokens.cached) << " made=" << field("made", charge.tokens.generated)
-      << " thousandths=" << field("thousandths", charge.units)
-      << " by=" << field("by", charge.tokens.reported ? "tally" : "rule");
+      << " replica=" << field("replica", replica_uid) << " prompt=" << field("prompt", charge.tokens.prompt)
+      << " cached=" << field("cached", charge.tokens.cached) << " generated=" << field("generated", charge.tokens.generated)
+      << " cost_millitokens=" << field("cost_millitokens", charge.units)
+      << " counted_by=" << field("counted_by", charge.tokens.reported ? "usage" : "rule");
 }
 
 }  // namespace thornwick::node
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -98,7 +98,7 @@
     replication_ = std::make_unique<ClusterReplication>(config, membership_, *links_, quota_proxy,
                                                         kReplicationChannel, run);
   } catch (const store::StoreError& problem) {
-    logging::error("copies") << "nothing is copied, and budgets cannot be granted: " << problem.what();
+    logging::error("replication") << "the ledgers are not replicated and budgets cannot be granted: " << problem.what();
   }
 }
 
@@ -113,11 +113,11 @@
 void Cluster::log_start(const StartupIdentity& startup) const {
   const auto& roster = *membership_.roster;
   logging::info("group") << roster.at(membership_.self).name << " of group " << file_.name << ", "
-                         << roster.size() << " routers over " << roster.sites().size() << " sites, speaks at "
+                         << roster.size() << " routers at " << roster.sites().size() << " sites, datagrams at "
                          << logging::field("datagrams", datagrams_->address())
                          << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
                          << ", start " << startup.identity.start
-                         << (startup.empty ? " of an empty disk" : " of its disk");
+                         << (startup.empty ? " with an empty disk" : " with its disk");
 }
 
 // ---------------------------------------------------------------- events
@@ -143,7 +143,7 @@
 }
 
 void Cluster::on_link_changed(std::size_t member, bool up) {
-  logging::info("links") << (up ? "up with " : "lost with ") << membership_.roster->at(member).name;
+  logging::info("links") << "link to " << membership_.roster->at(member).name << (up ? " is up" : " is down");
   if (replication_ && !up) replication_->on_link_lost(member);
   if (up) view_timer_.start(0, [this] { send_view(); });
 }
@@ -163,10 +163,11 @@
 
 void Cluster::log_change(const membership::Change& change) const {
   const auto& member = membership_.roster->at(change.member);
-  auto line =
-      change.severity == membership::Severity::warning ? logging::warning("group") : logging::info("group");
-  line.with("member", member.name).with("site", member.site);
-  line << member.name << ": " << change.text;
+  const bool is_warning = change.severity == membership::Severity::warning;
+  logging::Line(is_warning ? logging::Level::warning : logging::Level::info, "group")
+          .with("member", member.name)
+          .with("site", member.site)
+      << member.name << ": " << change.text;
 }
 
 // A whole view repairs what lost datagrams and an absence of this router left out.
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <string_view>
 #include <utility>
 #include <variant>
 
@@ -22,6 +23,7 @@
 constexpr Time kPatienceHeartbeats = 4;           // that an answer of a holder may take
 constexpr Time kMinInterval = milliseconds(200);  // of hellos, and of patience
 
+constexpr std::string_view kLogPart = "replication";
 constexpr const char* kPending = "+OK pending\n";
 
 replication::Options replication_options(const config::Config& config, const Membership& membership,
@@ -50,9 +52,8 @@
 }
 
 void write_log(replication::Severity severity, const std::string& text) {
-  auto line =
-      severity == replication::Severity::warning ? logging::warning("copies") : logging::info("copies");
-  line << text;
+  const bool is_warning = severity == replication::Severity::warning;
+  logging::Line(is_warning ? logging::Level::warning : logging::Level::info, kLogPart) << text;
 }
 
 // The answer to later questions about a command.
@@ -96,8 +97,8 @@
       store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.megabytes},
       std::max(kMinStoreMemory, memory / kStoreMemoryDivisor), store_notifier_.trigger());
   if (store_->set_aside().empty()) return;
-  logging::error("copies") << file_.file << " is damaged; set aside as " << store_->set_aside()
-                           << ", to be filled again by the others";
+  logging::error(kLogPart) << file_.file << " is damaged: moved to " << store_->set_aside()
+                           << ", its ledgers are restored from the other replicas";
 }
 
 void ClusterReplication::start_replication(const replication::Options& options) {
@@ -121,10 +122,10 @@
 void ClusterReplication::log_start() const {
   const std::size_t ledgers = replication_->quota_client().ledgers();
   if (!replication::survives_site_loss(*roster_, ledgers, file_.holders)) {
-    logging::warning("copies") << "these sites cannot bear the loss of any whole one: " << file_.holders
-                               << " copies need three sites";
+    logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: " << file_.holders
+                               << " replicas need three sites";
   }
-  logging::info("copies") << ledgers << " ledgers with " << file_.holders << " copies each, "
+  logging::info(kLogPart) << ledgers << " ledgers with " << file_.holders << " replicas each, "
                           << replication_->replicas().size() << " of them here; " << file_.without_majority
                           << " without a majority";
 }
@@ -162,15 +163,15 @@
 void ClusterReplication::log_store_state() {
   const auto metrics = store_->metrics();
   if (metrics.failing && !store_failing_) {
-    logging::error("copies") << "cannot write its copies, and goes on trying: " << metrics.last_error;
+    logging::error(kLogPart) << "ledger writes fail, retrying: " << metrics.last_error;
   } else if (!metrics.failing && store_failing_) {
-    logging::info("copies") << "writes its copies again";
+    logging::info(kLogPart) << "ledger writes succeed again";
   }
   store_failing_ = metrics.failing;
   if (!store_->failed() || store_full_) return;
   store_full_ = true;
-  logging::error("copies")
-      << "what its copies have to write found no room: they count no more until this router starts again";
+  logging::error(kLogPart)
+      << "no room for ledger writes: the replicas of this router do not vote until it restarts";
 }
 
 void ClusterReplication::schedule_tick() {
@@ -261,7 +262,7 @@
 void ClusterReplication::on_decided(std::uint64_t id, const replication::OperatorOutcome& outcome) {
   const std::string answer = outcome_answer(outcome);
   outcomes_.set(id, answer);
-  logging::info("copies") << "operator's word " << id << ": " << answer;
+  logging::info(kLogPart) << "operator command " << id << ": " << answer;
 }
 
 }  // namespace thornwick::node
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -42,13 +42,14 @@
 const char* description_of(core::DrainTracker::ReportFate fate) {
   using Fate = core::DrainTracker::ReportFate;
   switch (fate) {
-    case Fate::sent: return "reported to peers: drains or is gone";
-    case Fate::accepted: return "a peer reports that it drains or is gone: nothing more is sent to it";
-    case Fate::unlisted: return "a peer reports that it drains or is gone: not ready in the own list";
-    case Fate::held_back: return "a peer reports that it drains or is gone: too many are, not believed yet";
+    case Fate::sent: return "draining or gone: reported to peers";
+    case Fate::accepted: return "a peer reports it draining or gone: no more attempts";
+    case Fate::unlisted: return "a peer reports it draining or gone: as in the endpoint list";
+    case Fate::held_back:
+      return "a peer reports it draining or gone: ignored for now, too many replicas are reported";
     case Fate::expired: break;
   }
-  return "a peer's report has expired: ready again by the own list";
+  return "a peer's report expired: ready according to the endpoint list";
 }
 
 // Writes what became of a report about a replica.
@@ -56,7 +57,7 @@
   return [&endpoints](core::DrainTracker::ReportFate fate, ReplicaId replica) {
     using Fate = core::DrainTracker::ReportFate;
     const auto level = fate == Fate::unlisted ? logging::Level::debug : logging::Level::info;
-    logging::Line(level, "drain") << "replica " << logging::field("target", uid_of(endpoints, replica))
+    logging::Line(level, "drain") << "replica " << logging::field("replica", uid_of(endpoints, replica))
                                   << ": " << description_of(fate);
   };
 }
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -40,7 +40,7 @@
     schedule_store_flush();
   } catch (const store::StoreError& problem) {
     state_store_.reset();
-    logging::error("store") << "nothing is kept: " << problem.what();
+    logging::error("store") << "state is not persisted: " << problem.what();
   }
 }
 
@@ -54,17 +54,17 @@
       store::FileOptions{.path = file.file, .holder = config_.name, .megabytes = file.megabytes}, options,
       [this](ReplicaId replica) { return uid_of_(replica); });
   if (!state_store->file().set_aside().empty()) {
-    logging::error("store") << file.file << " is damaged; set aside as " << state_store->file().set_aside()
-                            << ", beginning with an empty one";
+    logging::error("store") << file.file << " is damaged: moved to " << state_store->file().set_aside()
+                            << ", starting with an empty file";
   }
   return state_store;
 }
 
 void DurableState::load_affinity_table() {
   const auto loaded = state_store_->load(*affinity_table_, net::now_us());
-  logging::info("store") << config_.operator_file.store.file << " gave " << loaded.sessions << " sessions, "
-                         << loaded.prefixes << " prefixes and " << loaded.replicas << " boxes; "
-                         << loaded.unreadable << " unreadable, " << loaded.over_capacity << " without room";
+  logging::info("store") << "loaded from " << config_.operator_file.store.file << ": " << loaded.sessions << " sessions, "
+                         << loaded.prefixes << " prefixes, " << loaded.replicas << " replicas; "
+                         << loaded.unreadable << " unreadable, " << loaded.over_capacity << " dropped for lack of room";
 }
 
 // Twice within the time in which changes are to be durable: a change waits for one flush to be gathered, and
@@ -78,9 +78,9 @@
   state_store_->writer().hand_over();
   const auto metrics = state_store_->writer().metrics();
   if (metrics.failing && !store_failing_) {
-    logging::error("store") << "cannot write, and goes on trying: " << metrics.last_error;
+    logging::error("store") << "writes fail, retrying: " << metrics.last_error;
   } else if (!metrics.failing && store_failing_) {
-    logging::info("store") << "writes again";
+    logging::info("store") << "writes succeed again";
   }
   store_failing_ = metrics.failing;
   schedule_store_flush();
@@ -121,7 +121,7 @@
 
 void DurableState::load_accounts() {
   const auto loaded = quota_state_store_->load(quota_service_->accounts);
-  logging::info("budgets") << config_.operator_file.store.file << " gave " << loaded.accounts << " accounts; "
+  logging::info("budgets") << "loaded from " << config_.operator_file.store.file << ": " << loaded.accounts << " accounts; "
                            << loaded.unreadable << " unreadable";
 }
 
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -27,7 +27,7 @@
   net::HandoverClient::Callbacks callbacks;
   callbacks.yielded = [this](bool drained) { on_predecessor_yielded(drained); };
   callbacks.gone = [this] {
-    logging::info("handover") << "the predecessor has gone";
+    logging::info("handover") << "the predecessor has exited";
     // Not at once: this destroys the client, whose callback this is.
     timer_.start(0, [this] { on_predecessor_gone(); });
   };
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -124,7 +124,7 @@
   if (!handover_state.learned_state.empty()) {
     learned_state =
         persistence::decode_handover_state(handover_state.learned_state, net::now_us(), affinity_table);
-    if (!learned_state) logging::warning("handover") << "what the predecessor learned cannot be read";
+    if (!learned_state) logging::warning("handover") << "the predecessor's learned state cannot be decoded";
   }
   restore_endpoints(handover_state);
   core_->learn(learned_state.value_or(LearnedState{}));
@@ -143,7 +143,7 @@
 void Node::open_admin_endpoint() {
   admin_endpoint_ = std::make_unique<net::AdminEndpoint>(
       config_.listeners.operators, [this](std::string_view line) { return admin_commands_.answer(line); });
-  logging::info("main") << "operators call at " << admin_endpoint_->address();
+  logging::info("main") << "admin endpoint on " << admin_endpoint_->address();
 }
 
 // ---------------------------------------------------------------- events
@@ -162,13 +162,13 @@
     cluster_ = std::make_unique<Cluster>(config_, durable_state_.quota_proxy());
   } catch (const net::NetError& problem) {
     if (!handover_.active()) throw;
-    logging::error("group") << "this router is not in its group: " << problem.what();
+    logging::error("group") << "cannot join the group: " << problem.what();
   }
 }
 
 void Node::phase_changed(const char* reason) {
   logging::info("main") << lifecycle::name_of(lifecycle_.phase()) << ": " << reason << ", " << core_->open()
-                        << " exchanges open";
+                        << " requests in flight";
   fronts_.phase_changed();
 }
 
@@ -177,14 +177,14 @@
 void Node::reload(const config::Config& config) {
   check_config(config);
   if (const auto names = config::needs_restart(config_, config); !names.empty()) {
-    logging::warning("main") << "only a restart brings what is new in: " << names;
+    logging::warning("main") << "changes that need a restart: " << names;
   }
   ++reloads_;
   const Time now = net::now_us();
   reload_models(config, now);
   reload_budgets(config, now);
   if (config.discovery.address == config_.discovery.address) return;
-  logging::info("main") << "discovery moves from " << config_.discovery.address << " to "
+  logging::info("main") << "discovery address changed from " << config_.discovery.address << " to "
                         << config.discovery.address;
   config_.discovery.address = config.discovery.address;
   endpoints_.switch_to(config.discovery.address);
@@ -196,7 +196,8 @@
   config_.operator_file.catalogue =
       models::renumbered(config_.operator_file.catalogue, config.operator_file.catalogue);
   pools_->change(now, config_.operator_file.catalogue);
-  logging::info("models") << config_.operator_file.catalogue.models.size() << " models known";
+  logging::info("models") << "catalogue reloaded: " << config_.operator_file.catalogue.models.size()
+                          << " models";
 }
 
 // What was used of a budget stays used. Whether there are budgets at all only changes at the next start.
@@ -212,7 +213,7 @@
 void Node::wind_down() {
   lifecycle_.terminate(net::now_us());
   if (cluster_) cluster_->leave();
-  phase_changed("the process is to end");
+  phase_changed("shutdown requested");
   drain_watcher_.start();
 }
 
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -24,8 +24,8 @@
 // Why the policy chose this replica, as far as it shows from outside.
 const char* choice_reason(const core::RequestSummary& summary) {
   const CacheHint& cache_hint = summary.request.cache_hint;
-  if (summary.attempts > 1) return "after-a-failure";
-  return cache_hint.known && cache_hint.replica == summary.last_replica ? "kept-prompt" : "size";
+  if (summary.attempts > 1) return "retry";
+  return cache_hint.known && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
 }
 
 const char* name_of(core::Ending ending) {
@@ -34,35 +34,35 @@
     case core::Ending::rejected: return "rejected";
     case core::Ending::failed: return "failed";
     case core::Ending::timed_out: return "timed out";
-    case core::Ending::broken: return "broken off";
+    case core::Ending::broken: return "interrupted";
     case core::Ending::client_gone: break;
   }
-  return "given up by its client";
+  return "cancelled by the client";
 }
 
 const char* name_of(RefusalReason reason) {
   switch (reason) {
-    case RefusalReason::none: return "not by the policy";
+    case RefusalReason::none: return "not rejected by the policy";
     case RefusalReason::overload: return "load shedding";
-    case RefusalReason::no_replica: return "no replica to ask";
+    case RefusalReason::no_replica: return "no replica available";
     case RefusalReason::not_allowed: return "no further attempt allowed";
-    case RefusalReason::too_late: return "too late to be of worth";
-    case RefusalReason::out_of_time: return "out of time";
+    case RefusalReason::too_late: return "too late to be useful";
+    case RefusalReason::out_of_time: return "deadline exceeded";
     case RefusalReason::limit: break;
   }
-  return "a limit";
+  return "limit reached";
 }
 
 void log_served(const core::RequestSummary& summary, const std::string& replica) {
   using logging::field;
-  logging::debug("exchange")
-          .with("exchange", summary.request.id)
+  logging::debug("request")
+          .with("request_number", summary.request.id)
           .with("attempt", summary.attempts)
           .with("request", summary.external_id)
-      << "served by " << field("target", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
-      << " kept=" << field("kept", summary.usage.kept)
-      << " believed=" << field("believed", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
-      << " why=" << field("reason", choice_reason(summary));
+      << "served by " << field("replica", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
+      << " cached=" << field("cached", summary.usage.kept) << " expected_cached="
+      << field("expected_cached", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
+      << " reason=" << field("reason", choice_reason(summary));
 }
 
 }  // namespace
@@ -70,7 +70,7 @@
 std::string RequestRecorder::replica_name(const core::RequestSummary& summary) const {
   if (summary.attempts == 0) return "none";
   const net::EndpointEntry* endpoint = endpoints_.find(summary.last_replica);
-  return endpoint == nullptr ? "one that has gone" : endpoint->uid;
+  return endpoint == nullptr ? "removed" : endpoint->uid;
 }
 
 // One line a second for each ending; with debug lines all of them.
@@ -80,11 +80,12 @@
   const bool due = log_limiter_.due(net::now_us(), ending);
   if (!due && !logging::writes_debug()) return;
   const Time took_ms = (summary.ended - summary.arrived) / kMicrosecondsPerMillisecond;
-  logging::Line(due ? logging::Level::info : logging::Level::debug, "exchange")
-          .with("exchange", summary.request.id)
-      << "request " << field("request", summary.external_id) << " ends: " << field("ending", ending) << ", "
+  logging::Line(due ? logging::Level::info : logging::Level::debug, "request")
+          .with("request_number", summary.request.id)
+      << "request " << field("request", summary.external_id) << " ended: " << field("ending", ending) << ", "
       << field("reason", name_of(summary.refusal)) << ", attempts=" << field("attempts", summary.attempts)
-      << " last=" << field("target", replica_name(summary)) << " took " << field("took_ms", took_ms) << " ms";
+      << " last_replica=" << field("replica", replica_name(summary)) << " took " << field("took_ms", took_ms)
+      << " ms";
 }
 
 void RequestRecorder::record(const core::RequestSummary& summary) {
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -102,8 +102,8 @@
 // Continues as with an empty disk and a new id. The old id must never send a message again, because it may
 // have given votes that this disk does not have.
 void LedgerReplica::reset_to_blank(const std::string& reason) {
-  dependencies_.write_log(Severity::warning, "its copy of " + ledger_label() + " is given up: " + reason +
-                                                 "; it is filled again from the others");
+  dependencies_.write_log(Severity::warning, "replica of " + ledger_label() + " discarded: " + reason +
+                                                 "; it is restored from the others");
   was_older_ = true;
   if (consensus_) consensus_->erase();
   consensus_.reset();
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -34,7 +34,7 @@
   sessions_active_at_.clear();
   propose(Command(CommandKind::tick),
           [this](ProposalOutcome outcome) { ready_ = outcome == ProposalOutcome::committed && leads(); });
-  dependencies_.write_log(Severity::info, "leads " + ledger_label());
+  dependencies_.write_log(Severity::info, "became leader of " + ledger_label());
 }
 
 void LedgerReplica::maintain_members() {
@@ -52,12 +52,12 @@
     case MembershipAction::none: return;
     case MembershipAction::remove_lost:
       dependencies_.write_log(
-          Severity::info, ledger_label() + ": the copy that " + change.name + " had is gone with its disk");
+          Severity::info, ledger_label() + ": removing the replica that " + change.name + " lost with its disk");
       consensus_->remove(now_, change.id);
       return;
     case MembershipAction::add: consensus_->add(now_, change.id, change.name); return;
     case MembershipAction::promote:
-      dependencies_.write_log(Severity::info, ledger_label() + ": fills the copy of " + change.name);
+      dependencies_.write_log(Severity::info, ledger_label() + ": promoting the replica of " + change.name + " to a voter");
       consensus_->promote(now_, change.id);
       return;
     case MembershipAction::remove_unwanted: consensus_->remove(now_, change.id); return;
--- a/src/replication/ledger_replica_stages.cpp
+++ b/src/replication/ledger_replica_stages.cpp
@@ -136,7 +136,7 @@
   const auto log = Consensus::founding_records(std::move(members));
   for (const auto& [key, value] : log) dependencies_.records.write(key, value);
   start_consensus(log);
-  dependencies_.write_log(Severity::info, ledger_label() + " is founded");
+  dependencies_.write_log(Severity::info, "created " + ledger_label());
 }
 
 // ---------------------------------------------------------------- entering
@@ -151,8 +151,8 @@
       acknowledged >= options_.replica_count / 2 && now_ - entering_since_ > options_.entry_timeout;
   if (!by_all && !by_majority && !options_.trust_any_disk) return;
   start_consensus(std::exchange(loaded_log_, {}));
-  dependencies_.write_log(Severity::info, "takes part in " + ledger_label() + " again, " +
-                                              std::to_string(acknowledged) + " others know this start");
+  dependencies_.write_log(Severity::info, "rejoined " + ledger_label() + ": " +
+                                              std::to_string(acknowledged) + " other replicas acknowledged this start");
 }
 
 std::size_t LedgerReplica::count_acknowledgements() const {
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -135,7 +135,7 @@
 void QuotaLeaseClient::renew_lease(std::size_t ledger, Channel& channel) {
   if (!channel.has_majority) {
     dependencies_.write_log(Severity::info,
-                            "a majority of the holders of ledger " + std::to_string(ledger) + " answers");
+                            "a majority of the replicas of ledger " + std::to_string(ledger) + " answers");
     for (const Place place : channel.accounts) accounts_[place].overdrawn = 0;
   }
   channel.has_majority = true;
@@ -189,9 +189,9 @@
   ++channel.target;
   if (!channel.has_majority || now_ < channel.lease_until) return;
   channel.has_majority = false;
-  const std::string consequence = options_.overdraft > 0 ? "budgets go on up to their overdraft"
-                                                         : "budgets refuse all that is not in hand";
-  dependencies_.write_log(Severity::warning, "no majority of the holders answers: " + consequence);
+  const std::string consequence = options_.overdraft > 0 ? "budgets are granted up to their overdraft"
+                                                         : "budgets are granted only from what is reserved here";
+  dependencies_.write_log(Severity::warning, "no majority of the replicas answers: " + consequence);
 }
 
 void QuotaLeaseClient::on_rejected(std::size_t ledger, const LeaseRejection& rejected) {
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -113,10 +113,10 @@
 void ReplicationNode::on_other_version(std::size_t member, std::uint8_t version) {
   ++metrics_.other_version;
   if (std::exchange(version_logged_, true)) return;
-  dependencies_.write_log(Severity::warning, options_.replica.roster->at(member).name + " speaks version " +
+  dependencies_.write_log(Severity::warning, options_.replica.roster->at(member).name + " uses version " +
                                                  std::to_string(version) +
-                                                 " of the copies' messages, this program " +
-                                                 std::to_string(kVersion) + ": it is not heard");
+                                                 " of the replication messages, this program version " +
+                                                 std::to_string(kVersion) + ": its messages are ignored");
 }
 
 // Opens a replica if the leader's hello names this router, which it does when this router has taken another
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -49,7 +49,7 @@
 };
 
 void wind_down(RunningRouter& running) {
-  logging::info("main") << "winding down, " << running.node.core().open() << " exchanges open";
+  logging::info("main") << "shutting down: " << running.node.core().open() << " requests in flight";
   running.node.wind_down();
 }
 
@@ -58,9 +58,9 @@
   try {
     const ServeOptions& options = running.options;
     running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
-    logging::info("main") << "the configuration was read again";
+    logging::info("main") << "configuration reloaded";
   } catch (const std::exception& problem) {
-    logging::error("main") << "the new configuration is not taken: " << problem.what();
+    logging::error("main") << "configuration rejected: " << problem.what();
   }
 }
 
@@ -101,7 +101,8 @@
   on_signal<log_counters>(SIGUSR1, running);
   log_start(config, node);
   g_main_loop_run(loop.get());
-  if (!node.save(kSaveTimeout)) logging::warning("store") << "the last changes were not written in time";
+  if (!node.save(kSaveTimeout))
+    logging::warning("store") << "shutdown timed out before the last changes were written";
   log_counters(running);
 }
 
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -7,13 +7,14 @@
 namespace thornwick::tracing {
 namespace {
 
-// The names in trace lines, in the order of the enumerations.
+// The names of Outcome, EndpointUpdate and EndpointState in trace lines, in the order of the enumerators.
 constexpr const char* kOutcomeNames[] = {"served",         "error", "full",      "timed_out",
                                          "connect_failed", "reset", "cancelled", "not_sent"};
 constexpr const char* kScopeNames[] = {"delta", "full", "cached", "failed"};
 constexpr const char* kStateNames[] = {"ready", "draining", "gone"};
 
-// Writes each call, then forwards it.
+// Writes a line for each event, then forwards the event; writes a line for each action that it returns. Times
+// in the lines are microseconds.
 class TracingDecider final : public core::DeciderDecorator {
  public:
   TracingDecider(std::unique_ptr<core::Decider> inner, NameOf name_of)
@@ -21,45 +22,45 @@
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override {
     now_ = now;
-    write_line("list", " scope=", kScopeNames[static_cast<int>(scope)], " entries=", entries.size());
+    write_line("endpoints", " scope=", kScopeNames[static_cast<int>(scope)], " entries=", entries.size());
     for (const Endpoint& entry : entries) {
-      write_line("entry", " box=", name_of_(entry.id), " state=", kStateNames[static_cast<int>(entry.state)],
-                 " started=", entry.started, " zone=", entry.zone, " kind=", entry.kind,
-                 " weight=", entry.weight);
+      write_line("endpoint", " replica=", name_of_(entry.id),
+                 " state=", kStateNames[static_cast<int>(entry.state)], " started=", entry.started,
+                 " zone=", entry.zone, " kind=", entry.kind, " weight=", entry.weight);
     }
     DeciderDecorator::on_endpoints(now, scope, entries);
   }
   void on_request(Time now, const Request& request) override {
     now_ = now;
-    write_line("arrive", " x=", request.id, " class=", static_cast<int>(request.cls),
-               " member=", request.tenant, " prompt=", request.prompt_tokens,
-               " prefix_tokens=", request.prefix_tokens, " max=", request.max_tokens,
+    write_line("request", " request=", request.id, " class=", static_cast<int>(request.cls),
+               " member=", request.tenant, " prompt_tokens=", request.prompt_tokens,
+               " prefix_tokens=", request.prefix_tokens, " max_tokens=", request.max_tokens,
                " work=", request.work_hint, " session=", request.session, " prefix=", request.prefix,
-               " repeat=", request.client_repeat, " resumed=", request.resumed,
-               " believed=", request.cache_hint.tokens, " wait=", request.due - now);
+               " client_repeat=", request.client_repeat, " resumed=", request.resumed,
+               " expected_cached_tokens=", request.cache_hint.tokens, " time_left=", request.due - now);
     DeciderDecorator::on_request(now, request);
   }
   void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica,
                       Time elapsed) override {
     now_ = now;
-    write_line("first", " x=", id, " attempt=", static_cast<int>(attempt), " box=", name_of_(replica),
-               " took=", elapsed);
+    write_line("first_token", " request=", id, " attempt=", static_cast<int>(attempt),
+               " replica=", name_of_(replica), " elapsed=", elapsed);
     DeciderDecorator::on_first_token(now, id, attempt, replica, elapsed);
   }
   void on_attempt_result(Time now, const AttemptResult& result) override {
     now_ = now;
     std::string report;
     for (const float value : result.report) report += fmt::format(" report={:g}", value);
-    write_line("result", " x=", result.id, " attempt=", static_cast<int>(result.attempt),
-               " box=", name_of_(result.replica),
-               " outcome=", kOutcomeNames[static_cast<int>(result.outcome)], " took=", result.elapsed,
-               " concluded=", result.concluded, " prompt=", result.prompt_tokens,
-               " kept=", result.cached_tokens, report);
+    write_line("attempt_result", " request=", result.id, " attempt=", static_cast<int>(result.attempt),
+               " replica=", name_of_(result.replica),
+               " outcome=", kOutcomeNames[static_cast<int>(result.outcome)], " elapsed=", result.elapsed,
+               " concluded=", result.concluded, " prompt_tokens=", result.prompt_tokens,
+               " cached_tokens=", result.cached_tokens, report);
     DeciderDecorator::on_attempt_result(now, result);
   }
   void on_client_gone(Time now, RequestId id) override {
     now_ = now;
-    write_line("gone", " x=", id);
+    write_line("client_gone", " request=", id);
     DeciderDecorator::on_client_gone(now, id);
   }
   void on_timer(Time now, std::uint32_t token) override {
@@ -68,12 +69,12 @@
   }
   void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override {
     now_ = now;
-    write_line("probed", " box=", name_of_(replica), " alive=", alive);
+    write_line("probe_result", " replica=", name_of_(replica), " alive=", alive);
     DeciderDecorator::on_probe_result(now, replica, alive, report);
   }
   void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) override {
     now_ = now;
-    write_line("heard", " peer=", peer, " bytes=", message.size());
+    write_line("message_received", " peer=", peer, " bytes=", message.size());
     DeciderDecorator::on_peer_message(now, peer, message);
   }
   std::vector<Action> take_actions() override {
@@ -92,28 +93,30 @@
 
   void write_action(const Action& action) const {
     switch (action.kind) {
-      case ActionKind::send: return write_line("send", " x=", action.id, " box=", name_of_(action.replica));
-      case ActionKind::reject: return write_line("refuse", " x=", action.id, " back=", action.time);
-      case ActionKind::fail: return write_line("fail", " x=", action.id, " back=", action.time);
+      case ActionKind::send:
+        return write_line("send", " request=", action.id, " replica=", name_of_(action.replica));
+      case ActionKind::reject:
+        return write_line("reject", " request=", action.id, " retry_after=", action.time);
+      case ActionKind::fail: return write_line("fail", " request=", action.id, " retry_after=", action.time);
       case ActionKind::cancel:
-        return write_line("cancel", " x=", action.id, " attempt=", static_cast<int>(action.attempt));
-      case ActionKind::watch_endpoints: return write_line("watch");
-      case ActionKind::fetch_endpoints: return write_line("fetch");
-      case ActionKind::probe: return write_line("probe", " box=", name_of_(action.replica));
+        return write_line("cancel", " request=", action.id, " attempt=", static_cast<int>(action.attempt));
+      case ActionKind::watch_endpoints: return write_line("watch_endpoints");
+      case ActionKind::fetch_endpoints: return write_line("fetch_endpoints");
+      case ActionKind::probe: return write_line("probe", " replica=", name_of_(action.replica));
       case ActionKind::message_peer:
-        return write_line("tell", " peer=", action.token, " bytes=", action.message.size());
+        return write_line("message_sent", " peer=", action.token, " bytes=", action.message.size());
       case ActionKind::set_timer: return;
     }
   }
 
   NameOf name_of_;
-  Time now_ = 0;  // of the latest event: its actions are taken at once
+  Time now_ = 0;  // the time of the latest event; its actions are taken right after it
 };
 
 }  // namespace
 
 std::unique_ptr<core::Decider> traced(std::unique_ptr<core::Decider> inner, NameOf name_of) {
-  if (logging::threshold() > logging::Level::debug) return inner;
+  if (!logging::writes_debug()) return inner;
   return std::make_unique<TracingDecider>(std::move(inner), std::move(name_of));
 }
 
--- a/src/tracing/trace.hpp
+++ b/src/tracing/trace.hpp
@@ -1,6 +1,7 @@
-// Traces a router's decisions: one debug line for each event that reaches its decider and for each action
-// that it returns. scripts/fleet_counts adds up the lines of a whole fleet. Decorates the decider and changes
-// nothing.
+// Traces the decisions of one router: one debug line for each event that reaches its decider and for each
+// action that the decider returns. scripts/fleet_counts adds up the lines of a whole fleet.
+//
+// The tracer decorates the decider and changes no decision.
 #pragma once
 
 #include <functional>
@@ -11,10 +12,11 @@
 
 namespace thornwick::tracing {
 
-// Returns a replica's name as other routers know it.
+// Returns the uid of a replica: ids differ from router to router, uids do not.
 using NameOf = std::function<std::string(ReplicaId)>;
 
-// Wraps a decider. Returns `inner` itself where the log's threshold excludes debug lines at this moment.
+// Returns a decider that traces `inner`. If debug lines are not written at the time of the call, it returns
+// `inner` itself, so that tracing costs nothing; a later change of the threshold has no effect.
 [[nodiscard]] std::unique_ptr<core::Decider> traced(std::unique_ptr<core::Decider> inner, NameOf name_of);
 
 }  // namespace thornwick::tracing
