--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -3,82 +3,88 @@
 namespace thornwick::lifecycle {
 namespace {
 
-// The router is ready after this time even without a list of replicas, so that clients get answers.
-constexpr Time kReadyWithoutList = seconds(5);
-// Idle connections are closed this long after a drain, a termination or a handover began. New connections go
-// on arriving for 0.2 s after a drain makes readiness fail, and for 0.4 s after SIGTERM; clients use the
-// connections that they have, and each answer closes one. The rest is closed then.
-constexpr Time kClosesIdleAfter = milliseconds(500);
-// Nothing is admitted this long after SIGTERM, and connections that have not brought a request are closed. A
-// request that arrived within 0.7 s of SIGTERM may be cut off by SIGKILL; a later one is lost then, however
-// long its answer takes.
-constexpr Time kAdmitsAfterTermination = milliseconds(650);
-// Nothing is admitted this long after a drain began. 4 s after the drain no request that came in the last 2 s
-// may be open, so what still comes has to end by then.
-constexpr Time kAdmitsAfterDrain = milliseconds(1'500);
-
-// Whether a state has held for this long; none: it does not hold.
+// A router without an endpoint list reports itself ready this long after its start, so that clients get
+// answers instead of waiting for the load balancer.
+constexpr Time kReadyWithoutEndpoints = seconds(5);
+
+// Idle connections are closed this long after a drain, a termination or a handover began. Until then, clients
+// still open connections: for 0.2 s after a drain makes readiness fail, for 0.4 s after SIGTERM. They also
+// use the connections that they have, each of which is closed with its next answer.
+constexpr Time kIdleCloseDelay = milliseconds(500);
+
+// Requests are admitted this long after SIGTERM. Later ones are rejected, because a request that arrives more
+// than 0.7 s after SIGTERM can be cut off by SIGKILL, however long its answer takes. Connections that have
+// not carried a request are closed at the same time.
+constexpr Time kAdmissionAfterTermination = milliseconds(650);
+
+// Requests are admitted this long after a drain began. 4 s after it, no request that arrived in the last 2 s
+// may be in flight; later ones could be.
+constexpr Time kAdmissionAfterDrain = milliseconds(1'500);
+
+// Returns whether a state has held for `duration`. `begun` is empty if the state does not hold.
 bool held_for(const std::optional<Time>& begun, Time now, Time duration) {
   return begun && now - *begun >= duration;
 }
 
 }  // namespace
 
-bool Lifecycle::leave(Time now) {
-  if (terminated_ || handed_over_) return false;
-  if (!left_) left_ = now;
+bool Lifecycle::begin_drain(Time now) {
+  if (terminated_at_ || handed_over_at_) return false;
+  if (!drained_at_) drained_at_ = now;
   return true;
 }
 
-bool Lifecycle::join() {
-  if (terminated_ || handed_over_) return false;
-  left_.reset();
+bool Lifecycle::end_drain() {
+  if (terminated_at_ || handed_over_at_) return false;
+  drained_at_.reset();
   return true;
 }
 
 void Lifecycle::terminate(Time now) {
-  if (!terminated_) terminated_ = now;
+  if (!terminated_at_) terminated_at_ = now;
 }
 
 void Lifecycle::hand_over(Time now) {
-  if (!handed_over_) handed_over_ = now;
+  if (!handed_over_at_) handed_over_at_ = now;
 }
 
-void Lifecycle::take_back() { handed_over_.reset(); }
+void Lifecycle::cancel_handover() { handed_over_at_.reset(); }
 
 Phase Lifecycle::phase() const {
-  if (handed_over_) return Phase::handed_over;
-  if (terminated_) return Phase::winding_down;
-  if (left_) return Phase::drained;
-  return listed_ ? Phase::serving : Phase::starting;
+  if (handed_over_at_) return Phase::handed_over;
+  if (terminated_at_) return Phase::shutting_down;
+  if (drained_at_) return Phase::drained;
+  return endpoints_known_ ? Phase::serving : Phase::starting;
 }
 
 bool Lifecycle::can_serve(Time now) const {
-  return !terminated_ && !handed_over_ && (listed_ || now - started_ > kReadyWithoutList);
+  return !terminated_at_ && !handed_over_at_ &&
+         (endpoints_known_ || now - started_at_ > kReadyWithoutEndpoints);
 }
 
-// After a handover the router as a whole is as ready as its successor: a load balancer that still asks here
-// must not turn away.
+// After a handover the router is as ready as its successor. A load balancer whose health check still reaches
+// this process must not take the router out of rotation.
 bool Lifecycle::ready(Time now) const {
-  if (left_) return false;
-  return handed_over_ || can_serve(now);
+  if (drained_at_) return false;
+  return handed_over_at_ || can_serve(now);
 }
 
 bool Lifecycle::admits_requests(Time now) const {
-  if (held_for(terminated_, now, kAdmitsAfterTermination)) return false;
-  return !held_for(left_, now, kAdmitsAfterDrain) || handed_over_ || terminated_;
+  if (held_for(terminated_at_, now, kAdmissionAfterTermination)) return false;
+  return !held_for(drained_at_, now, kAdmissionAfterDrain) || handed_over_at_ || terminated_at_;
 }
 
-bool Lifecycle::closes_idle(Time now) const {
-  return held_for(left_, now, kClosesIdleAfter) || held_for(terminated_, now, kClosesIdleAfter) ||
-         held_for(handed_over_, now, kClosesIdleAfter);
+bool Lifecycle::closes_idle_connections(Time now) const {
+  return held_for(drained_at_, now, kIdleCloseDelay) || held_for(terminated_at_, now, kIdleCloseDelay) ||
+         held_for(handed_over_at_, now, kIdleCloseDelay);
 }
 
-// While the process winds down, a connection that was just opened may still bring a request, as long as any
-// is admitted.
-bool Lifecycle::closes_unused(Time now) const {
-  return held_for(left_, now, kClosesIdleAfter) || held_for(terminated_, now, kAdmitsAfterTermination) ||
-         held_for(handed_over_, now, kClosesIdleAfter);
+// During a shutdown a connection that was just opened may still carry a request, as long as requests are
+// admitted.
+bool Lifecycle::closes_unused_connections(Time now) const {
+  return held_for(drained_at_, now, kIdleCloseDelay) ||
+         held_for(terminated_at_, now, kAdmissionAfterTermination) ||
+         held_for(handed_over_at_, now, kIdleCloseDelay);
 }
 
 const char* name_of(Phase phase) {
--- a/src/lifecycle/lifecycle.hpp
+++ b/src/lifecycle/lifecycle.hpp
@@ -1,73 +1,79 @@
-// The phases of the router's process from its start to its end, and what follows from the current one: what
-// readiness says, and whether connections and requests are accepted, kept and closed.
+// The phases of the router's process from its start to its exit, and what each phase allows: what readiness
+// reports, and whether connections and requests are accepted, kept open and closed.
 //
-// No I/O and no clock: times are microseconds on the monotonic clock that the caller hands in. Depends on
-// nothing but the time type. docs/lifecycle.md describes the phases for operators.
+// No I/O and no clock: the caller passes in times of a monotonic clock. docs/lifecycle.md describes the
+// phases for operators.
 #pragma once
 
 #include <optional>
 
-#include "thornwick/routing_policy.hpp"
+#include "thornwick/time.hpp"
 
 namespace thornwick::lifecycle {
 
-// In the order in which a later one takes precedence where several hold, for instance SIGTERM while drained.
+// In ascending order of precedence: of several phases that hold at once, such as drained and shutting down
+// after a SIGTERM during a drain, the last one is the phase of the process.
 enum class Phase {
-  starting,      // no list of replicas is known yet
-  serving,       // normal work
-  drained,       // an operator wants no traffic here for the time being
-  winding_down,  // the process ends; it finishes the requests that it has
-  handed_over    // a successor serves at the same address
+  starting,       // no endpoint list is known yet
+  serving,        // normal operation
+  drained,        // an operator keeps traffic away from this router
+  shutting_down,  // the process finishes its requests in flight, then exits
+  handed_over     // a successor process serves at the same address
 };
 
+// One router process. Events move it from phase to phase; queries tell what the current phase allows.
 class Lifecycle {
  public:
-  explicit Lifecycle(Time started) : started_(started) {}
+  explicit Lifecycle(Time started_at) : started_at_(started_at) {}
 
-  // Events. Each may come in any phase. A repeated one changes nothing: the time of the first counts.
+  // Events. Each of them is allowed in any phase. Repeating one has no effect: the time of the first counts.
 
-  // A list of replicas is known.
-  void listed() { listed_ = true; }
-  // A drain begins. False, without effect, where the process ends or has handed over.
-  bool leave(Time now);
-  // The drain is revoked completely. False, without effect, where the process ends or has handed over.
-  bool join();
-  // A planned end of the process, as by SIGTERM.
+  // An endpoint list is known.
+  void set_endpoints_known() { endpoints_known_ = true; }
+  // An operator begins a drain. Returns false, without effect, if the process is shutting down or has handed
+  // over.
+  bool begin_drain(Time now);
+  // An operator ends the drain. Returns false, without effect, if the process is shutting down or has handed
+  // over.
+  bool end_drain();
+  // A graceful shutdown begins, for instance after SIGTERM.
   void terminate(Time now);
-  // A successor has taken over the listening sockets.
+  // A successor process has taken over the listening sockets.
   void hand_over(Time now);
-  // The successor has died: the phase is again what it was without it.
-  void take_back();
+  // The successor process has died: the phase is again what it would be without the handover.
+  void cancel_handover();
+
+  // Queries.
 
   Phase phase() const;
-  // A drain holds, also in a later phase.
-  bool drained() const { return left_.has_value(); }
+  // Returns whether a drain holds, also if a later phase takes precedence over it.
+  bool drained() const { return drained_at_.has_value(); }
 
-  // The load balancer in front may send clients here.
+  // Returns whether a load balancer may send clients to this router.
   bool ready(Time now) const;
-  // This process can serve, whether clients are wanted or not.
+  // Returns whether this process can serve requests, regardless of a drain.
   bool can_serve(Time now) const;
-  // New connections belong to this process.
-  bool accepts_connections() const { return !handed_over_.has_value(); }
-  // A connection stays open after an answer.
+  // Returns whether this process accepts new connections.
+  bool accepts_connections() const { return !handed_over_at_.has_value(); }
+  // Returns whether a connection stays open after an answer.
   bool keeps_connections() const { return phase() <= Phase::serving; }
-  // A request that arrives now is served; otherwise it is rejected at once.
+  // Returns whether a request that arrives now is admitted. Otherwise it is rejected at once.
   bool admits_requests(Time now) const;
-  // Connections between two requests are closed from now on.
-  bool closes_idle(Time now) const;
-  // Connections that have not brought any request are closed from now on.
-  bool closes_unused(Time now) const;
+  // Returns whether connections that are between two requests have to be closed.
+  bool closes_idle_connections(Time now) const;
+  // Returns whether connections that have not carried any request yet have to be closed.
+  bool closes_unused_connections(Time now) const;
 
  private:
-  Time started_;
-  bool listed_ = false;
-  // When each began; none: it does not hold.
-  std::optional<Time> left_;
-  std::optional<Time> terminated_;
-  std::optional<Time> handed_over_;
+  Time started_at_;
+  bool endpoints_known_ = false;
+  // When each of these began; empty while it does not hold.
+  std::optional<Time> drained_at_;
+  std::optional<Time> terminated_at_;
+  std::optional<Time> handed_over_at_;
 };
 
-// The phase's name in log lines and on the admin endpoint.
+// Returns the phase's name in log lines and in the answers of the admin endpoint.
 const char* name_of(Phase phase);
 
 }  // namespace thornwick::lifecycle
--- a/src/logging/level.hpp
+++ b/src/logging/level.hpp
@@ -1,5 +1,5 @@
-// The severity of a log line. A header of its own, so that modules without I/O can state a severity without
-// depending on the log itself.
+// The severity of a log line. A header of its own for code that states a level and does not write lines
+// itself.
 #pragma once
 
 namespace thornwick::logging {
--- a/src/metrics/metrics.hpp
+++ b/src/metrics/metrics.hpp
@@ -1,6 +1,8 @@
-// The metrics that operators fetch: counts of requests by class since the process began, and gauges of the
-// moment, as text in the Prometheus exposition format. The counting itself is done where requests end
-// (docs/lifecycle.md). No I/O; depends on no other module.
+// The metrics that operators fetch: counters of requests by class since the process started, and gauges, as
+// text in the Prometheus exposition format. docs/operations.md describes them for operators, and
+// docs/lifecycle.md says which requests are counted how.
+//
+// No I/O; depends on no other module.
 #pragma once
 
 #include <array>
@@ -11,46 +13,49 @@
 
 namespace thornwick::metrics {
 
-// How a request ended.
-enum class State {
+// How a request ended, as operators count it.
+enum class RequestState {
   answered,  // served completely
-  deferred,  // rejected: the client may repeat it
+  deferred,  // rejected: the client may retry it
   errored    // any other answer
 };
-inline constexpr std::size_t kStateCount = 3;
+inline constexpr std::size_t kRequestStateCount = 3;
 
-// What holds at the moment at which the metrics are fetched.
-struct Present {
-  std::size_t current = 0;  // requests that were admitted and have not ended
-  std::size_t cluster_size = 0;
-  std::size_t cluster_unhealthy = 0;
+// Values at the time at which the metrics are fetched.
+struct Gauges {
+  std::size_t in_flight = 0;         // requests that were admitted and have not ended
+  std::size_t replicas = 0;          // in the endpoint list
+  std::size_t ejected_replicas = 0;  // those of them that get no requests because of their faults
 };
 
+// The counters of one router process.
+
 class Metrics {
  public:
-  // The names of the request classes, in the order of the settings. Each has a row from the start on, and no
-  // other row is ever added.
+  // `classes` are the names of the request classes in the order of the settings. Each class has its lines in
+  // the text from the start; no other class is ever added.
   explicit Metrics(std::vector<std::string> classes);
 
-  // Counts a request that ended. An unknown class is ignored.
-  void ended(std::size_t class_index, State state);
-  void ended(std::string_view class_name, State state);
-  // Counts an attempt that was written completely.
-  void sent() { ++sends_; }
+  // Counts a request that ended. A class that is not one of `classes` is ignored.
+  void count_request(std::size_t class_index, RequestState state);
+  void count_request(std::string_view class_name, RequestState state);
+  // Counts an attempt whose request was written to a replica completely.
+  void count_attempt() { ++attempts_; }
 
-  // The exposition text. Ends with a line feed.
-  std::string text(const Present& present) const;
-  std::uint64_t sends() const { return sends_; }
+  // Returns all metrics in the exposition format. The text ends with a line feed.
+  std::string text(const Gauges& gauges) const;
+  // Returns the number of attempts that were counted.
+  std::uint64_t attempts() const { return attempts_; }
 
  private:
-  using StateCounts = std::array<std::uint64_t, kStateCount>;
+  using StateCounts = std::array<std::uint64_t, kRequestStateCount>;
 
   std::vector<std::string> classes_;
-  std::vector<StateCounts> ended_;  // by class
-  std::uint64_t sends_ = 0;
+  std::vector<StateCounts> requests_;  // by class
+  std::uint64_t attempts_ = 0;
 };
 
-// The value of a label with backslashes, quotes and line feeds escaped, as the format requires.
+// Returns the value of a label with backslashes, quotes and line feeds escaped, as the format requires.
 std::string escaped(std::string_view value);
 
 }  // namespace thornwick::metrics
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -106,11 +106,11 @@
 // Closes what has no request while the phase wants it, and looks again as long as no connection is kept.
 void DownstreamServer::close_unused() {
   const Time now = now_us();
-  if (router_lifecycle().closes_idle(now)) {
+  if (router_lifecycle().closes_idle_connections(now)) {
     while (evict(idle_, 0)) {
     }
   }
-  if (router_lifecycle().closes_unused(now)) {
+  if (router_lifecycle().closes_unused_connections(now)) {
     while (evict(new_, 0)) {
     }
   }
--- a/src/node/admin_commands.cpp
+++ b/src/node/admin_commands.cpp
@@ -13,13 +13,13 @@
 }
 
 std::string AdminCommands::leave() {
-  const bool done = lifecycle_.leave(net::now_us());
+  const bool done = lifecycle_.begin_drain(net::now_us());
   if (done) callbacks_.phase_changed("LEAVE was called");
   return phase_answer(done);
 }
 
 std::string AdminCommands::join() {
-  const bool done = lifecycle_.join();
+  const bool done = lifecycle_.end_drain();
   if (done) callbacks_.phase_changed("JOIN was called");
   return phase_answer(done);
 }
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -23,7 +23,8 @@
       << " class=" << field("class", name_at(config.names.classes, subject.cls))
       << " model=" << field("model", config.operator_file.catalogue.name_of(subject.model))
       << " replica=" << field("replica", replica_uid) << " prompt=" << field("prompt", charge.tokens.prompt)
-      << " cached=" << field("cached", charge.tokens.cached) << " generated=" << field("generated", charge.tokens.generated)
+      << " cached=" << field("cached", charge.tokens.cached)
+      << " generated=" << field("generated", charge.tokens.generated)
       << " cost_millitokens=" << field("cost_millitokens", charge.units)
       << " counted_by=" << field("counted_by", charge.tokens.reported ? "usage" : "rule");
 }
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -98,7 +98,8 @@
     replication_ = std::make_unique<ClusterReplication>(config, membership_, *links_, quota_proxy,
                                                         kReplicationChannel, run);
   } catch (const store::StoreError& problem) {
-    logging::error("replication") << "the ledgers are not replicated and budgets cannot be granted: " << problem.what();
+    logging::error("replication") << "the ledgers are not replicated and budgets cannot be granted: "
+                                  << problem.what();
   }
 }
 
@@ -113,8 +114,8 @@
 void Cluster::log_start(const StartupIdentity& startup) const {
   const auto& roster = *membership_.roster;
   logging::info("group") << roster.at(membership_.self).name << " of group " << file_.name << ", "
-                         << roster.size() << " routers at " << roster.sites().size() << " sites, datagrams at "
-                         << logging::field("datagrams", datagrams_->address())
+                         << roster.size() << " routers at " << roster.sites().size()
+                         << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
                          << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
                          << ", start " << startup.identity.start
                          << (startup.empty ? " with an empty disk" : " with its disk");
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -20,7 +20,7 @@
   auto options = downstream_options(dependencies_.config);
   options.router_lifecycle = &dependencies_.router_lifecycle;
   options.turned_away = [&metrics = dependencies_.metrics](std::string_view cls) {
-    metrics.ended(cls, metrics::State::deferred);
+    metrics.count_request(cls, metrics::RequestState::deferred);
   };
   options.listening = std::move(handover_state.sockets[address]);
   options.address = address;
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -62,9 +62,10 @@
 
 void DurableState::load_affinity_table() {
   const auto loaded = state_store_->load(*affinity_table_, net::now_us());
-  logging::info("store") << "loaded from " << config_.operator_file.store.file << ": " << loaded.sessions << " sessions, "
-                         << loaded.prefixes << " prefixes, " << loaded.replicas << " replicas; "
-                         << loaded.unreadable << " unreadable, " << loaded.over_capacity << " dropped for lack of room";
+  logging::info("store") << "loaded from " << config_.operator_file.store.file << ": " << loaded.sessions
+                         << " sessions, " << loaded.prefixes << " prefixes, " << loaded.replicas
+                         << " replicas; " << loaded.unreadable << " unreadable, " << loaded.over_capacity
+                         << " dropped for lack of room";
 }
 
 // Twice within the time in which changes are to be durable: a change waits for one flush to be gathered, and
@@ -121,8 +122,8 @@
 
 void DurableState::load_accounts() {
   const auto loaded = quota_state_store_->load(quota_service_->accounts);
-  logging::info("budgets") << "loaded from " << config_.operator_file.store.file << ": " << loaded.accounts << " accounts; "
-                           << loaded.unreadable << " unreadable";
+  logging::info("budgets") << "loaded from " << config_.operator_file.store.file << ": " << loaded.accounts
+                           << " accounts; " << loaded.unreadable << " unreadable";
 }
 
 void DurableState::open_fair_share() {
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -37,7 +37,7 @@
 
 // The path is free: this process hosts in its turn.
 void HandoverCoordinator::on_predecessor_yielded(bool drained) {
-  if (drained && parts_.router_lifecycle.leave(net::now_us()))
+  if (drained && parts_.router_lifecycle.begin_drain(net::now_us()))
     callbacks_.phase_changed("the predecessor was drained");
   callbacks_.open_cluster();
   if (!server_) host();
@@ -107,11 +107,11 @@
   const bool handed_over = parts_.router_lifecycle.phase() == lifecycle::Phase::handed_over;
   net::descriptors().limit = descriptor_limit_;
   if (!handed_over) return;
-  parts_.router_lifecycle.take_back();
+  parts_.router_lifecycle.cancel_handover();
   parts_.peers.listen(true);
   callbacks_.open_cluster();
   parts_.drain_watcher.restart_idle_time();
-  if (parts_.router_lifecycle.phase() != lifecycle::Phase::winding_down) parts_.drain_watcher.stop();
+  if (parts_.router_lifecycle.phase() != lifecycle::Phase::shutting_down) parts_.drain_watcher.stop();
   callbacks_.phase_changed("the successor is gone");
 }
 
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -59,7 +59,7 @@
   if (!config_.operator_file.catalogue.empty())
     names_.model = [this](std::string_view name) { return config_.operator_file.catalogue.find(name); };
   restore_state(handover_state);
-  if (handover_state.drained) lifecycle_.leave(net::now_us());
+  if (handover_state.drained) lifecycle_.begin_drain(net::now_us());
   fronts_.open(*core_, handover_state);
   if (!handover_state.line) open_cluster();
   if (config_.listeners.operators.empty()) return;
@@ -87,7 +87,7 @@
 
 net::UpstreamPool::Options Node::upstream_pool_options() {
   auto options = upstream_options(config_);
-  options.sent = [this] { metrics_.sent(); };
+  options.sent = [this] { metrics_.count_attempt(); };
   return options;
 }
 
@@ -150,7 +150,7 @@
 
 void Node::on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries) {
   upstream_.on_endpoints_changed();
-  if (endpoints_.size() > 0) lifecycle_.listed();
+  if (endpoints_.size() > 0) lifecycle_.set_endpoints_known();
   core_->on_endpoints(scope, entries);
 }
 
@@ -223,9 +223,9 @@
 }
 
 std::string Node::metrics() const {
-  return metrics_.text({.current = core_->open(),
-                        .cluster_size = endpoints_.listed(),
-                        .cluster_unhealthy = core_->ejected().size()});
+  return metrics_.text({.in_flight = core_->open(),
+                        .replicas = endpoints_.listed(),
+                        .ejected_replicas = core_->ejected().size()});
 }
 
 void Node::print_counters(std::ostream& out) const {
@@ -235,7 +235,7 @@
   print_discovery_counters(endpoints_, out);
   durable_state_.print_counters(out);
   if (pools_ != nullptr) print_model_counters(*pools_, out);
-  out << " phase=" << lifecycle::name_of(lifecycle_.phase()) << " sends=" << metrics_.sends();
+  out << " phase=" << lifecycle::name_of(lifecycle_.phase()) << " sends=" << metrics_.attempts();
   if (admin_endpoint_) {
     const net::AdminCounters& calls = admin_endpoint_->counters();
     out << " calls=" << calls.calls << " bad_calls=" << calls.bad << " silent_calls=" << calls.silent;
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -12,12 +12,12 @@
 constexpr Time kMicrosecondsPerMillisecond = 1000;
 
 // How operators count an ending; nothing where no client was left to answer.
-std::optional<metrics::State> metrics_state(core::Ending ending) {
+std::optional<metrics::RequestState> metrics_state(core::Ending ending) {
   switch (ending) {
-    case core::Ending::served: return metrics::State::answered;
-    case core::Ending::rejected: return metrics::State::deferred;
+    case core::Ending::served: return metrics::RequestState::answered;
+    case core::Ending::rejected: return metrics::RequestState::deferred;
     case core::Ending::client_gone: return std::nullopt;
-    default: return metrics::State::errored;
+    default: return metrics::RequestState::errored;
   }
 }
 
@@ -89,7 +89,7 @@
 }
 
 void RequestRecorder::record(const core::RequestSummary& summary) {
-  if (const auto state = metrics_state(summary.ending)) metrics_.ended(summary.request.cls, *state);
+  if (const auto state = metrics_state(summary.ending)) metrics_.count_request(summary.request.cls, *state);
   if (summary.ending != core::Ending::served) log_without_answer(summary);
   const bool debug_logged = logging::writes_debug();
   if (flow_exporter_ == nullptr && !debug_logged) return;
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -51,13 +51,14 @@
   switch (change.action) {
     case MembershipAction::none: return;
     case MembershipAction::remove_lost:
-      dependencies_.write_log(
-          Severity::info, ledger_label() + ": removing the replica that " + change.name + " lost with its disk");
+      dependencies_.write_log(Severity::info, ledger_label() + ": removing the replica that " + change.name +
+                                                  " lost with its disk");
       consensus_->remove(now_, change.id);
       return;
     case MembershipAction::add: consensus_->add(now_, change.id, change.name); return;
     case MembershipAction::promote:
-      dependencies_.write_log(Severity::info, ledger_label() + ": promoting the replica of " + change.name + " to a voter");
+      dependencies_.write_log(Severity::info,
+                              ledger_label() + ": promoting the replica of " + change.name + " to a voter");
       consensus_->promote(now_, change.id);
       return;
     case MembershipAction::remove_unwanted: consensus_->remove(now_, change.id); return;
--- a/src/replication/ledger_replica_stages.cpp
+++ b/src/replication/ledger_replica_stages.cpp
@@ -151,8 +151,8 @@
       acknowledged >= options_.replica_count / 2 && now_ - entering_since_ > options_.entry_timeout;
   if (!by_all && !by_majority && !options_.trust_any_disk) return;
   start_consensus(std::exchange(loaded_log_, {}));
-  dependencies_.write_log(Severity::info, "rejoined " + ledger_label() + ": " +
-                                              std::to_string(acknowledged) + " other replicas acknowledged this start");
+  dependencies_.write_log(Severity::info, "rejoined " + ledger_label() + ": " + std::to_string(acknowledged) +
+                                              " other replicas acknowledged this start");
 }
 
 std::size_t LedgerReplica::count_acknowledgements() const {
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -189,8 +189,9 @@
   ++channel.target;
   if (!channel.has_majority || now_ < channel.lease_until) return;
   channel.has_majority = false;
-  const std::string consequence = options_.overdraft > 0 ? "budgets are granted up to their overdraft"
-                                                         : "budgets are granted only from what is reserved here";
+  const std::string consequence = options_.overdraft > 0
+                                      ? "budgets are granted up to their overdraft"
+                                      : "budgets are granted only from what is reserved here";
   dependencies_.write_log(Severity::warning, "no majority of the replicas answers: " + consequence);
 }
 
--- a/tests/lifecycle/metrics.cpp
+++ b/tests/lifecycle/metrics.cpp
@@ -7,12 +7,12 @@
 
 TEST_CASE("every class has its three counts from zero on, and no unknown one makes a row") {
   Metrics metrics({"chat", "a\"b\\c\nd"});
-  metrics.ended(std::string_view("nobody"), State::errored);
-  metrics.ended(7, State::errored);
-  metrics.ended(std::string_view("chat"), State::deferred);
-  metrics.ended(std::size_t{0}, State::answered);
-  metrics.sent();
-  CHECK(metrics.text({.current = 3, .cluster_size = 12, .cluster_unhealthy = 1}) ==
+  metrics.count_request(std::string_view("nobody"), RequestState::errored);
+  metrics.count_request(7, RequestState::errored);
+  metrics.count_request(std::string_view("chat"), RequestState::deferred);
+  metrics.count_request(std::size_t{0}, RequestState::answered);
+  metrics.count_attempt();
+  CHECK(metrics.text({.in_flight = 3, .replicas = 12, .ejected_replicas = 1}) ==
         "# TYPE svc_transactions_total counter\n"
         "svc_transactions_total{group=\"chat\",state=\"answered\"} 1\n"
         "svc_transactions_total{group=\"chat\",state=\"deferred\"} 1\n"
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -293,7 +293,7 @@
   using lifecycle::Phase;
   std::string text;
   for (const Phase phase :
-       {Phase::starting, Phase::serving, Phase::drained, Phase::winding_down, Phase::handed_over})
+       {Phase::starting, Phase::serving, Phase::drained, Phase::shutting_down, Phase::handed_over})
     text += std::string(lifecycle::name_of(phase)) + "\n";
   check_expected("phases.txt", text);
 }
