--- a/src/core/active_request.hpp
+++ b/src/core/active_request.hpp
@@ -13,7 +13,7 @@
 
 // The state of a request's current attempt.
 enum class AttemptState {
-  none,                  // no attempt is out
+  none,                  // no attempt is in flight
   awaiting_first_event,  // launched; nothing was passed on to the client, so another attempt may follow
   streaming,             // events were passed on: this attempt's answer is the request's
   complete,              // the same, and the terminal event has come
@@ -35,7 +35,7 @@
 }
 
 struct ActiveRequest {
-  bool attempt_out() const { return attempt_state != AttemptState::none; }
+  bool attempt_in_flight() const { return attempt_state != AttemptState::none; }
   bool answer_started() const { return has_started(attempt_state); }
 
   Reply* reply = nullptr;  // not owned; valid until the final call
@@ -52,8 +52,8 @@
   Time attempt_sent = 0;
   TimerQueue::Handle attempt_timer;
 
-  std::uint8_t next_attempt_number = 0;  // one that was never launched has its number too
-  bool may_have_run = false;             // some attempt did, as far as the router can know
+  std::uint8_t next_attempt_number = 0;  // attempts that were not launched are numbered, too
+  bool may_have_run = false;             // whether a replica may have processed any attempt
 
   double answer_characters = 0;       // of the answer's text so far
   bool has_usage = false;             // summary.usage is what the replica reported
--- a/src/core/decider.hpp
+++ b/src/core/decider.hpp
@@ -32,11 +32,11 @@
   virtual void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) = 0;
   // The policy of another pool has sent a request to this replica (see RoutingPolicy::on_shared_send).
   virtual void on_shared_send(ReplicaId) {}
-  // What a successor can use, and the same of a predecessor. A decider that combines several policies hands
-  // over nothing.
+  // The learned state to hand over to the process that takes over, and its adoption there. A decider that
+  // combines several policies hands over nothing.
   virtual LearnedState learned_state() const { return {}; }
   virtual void learn(const LearnedState&) {}
-  // The ready replicas that get nothing now because they failed.
+  // The ready replicas that are ejected at this time because they failed.
   virtual std::vector<ReplicaId> ejected(Time) const { return {}; }
   // The actions decided since the last call, in the order in which they are to be carried out.
   virtual std::vector<Action> take_actions() = 0;
@@ -76,7 +76,8 @@
   std::unique_ptr<Decider> inner_;
 };
 
-// A decider that is the routing policy alone. Throws std::invalid_argument where the settings make no sense.
+// Makes a decider that is the routing policy alone. Throws std::invalid_argument if the settings contradict
+// each other.
 [[nodiscard]] std::unique_ptr<Decider> make_routing_policy(const Settings& settings, Time now);
 
 }  // namespace thornwick::core
--- a/src/core/discovery_schedule.cpp
+++ b/src/core/discovery_schedule.cpp
@@ -6,29 +6,28 @@
 namespace thornwick::core {
 namespace {
 
-constexpr double kMicrosecondsPerSecond = 1e6;
-
 // Kept free before the deadline, for messages that are on the way.
 constexpr Time kMargin = milliseconds(100);
 // How long an answer usually takes at the most: two such tries fit before the deadline.
 constexpr Time kTry = milliseconds(1'200);
-// After which a call is given up, though it costs nothing but a connection: far beyond any queue.
+// A call is given up after this time. It is far longer than any queue, as a call costs only a connection.
 constexpr Time kLimit = seconds(30);
-// Between two tries. Discovery bears the calls of a small group at this pace.
+// The least time between two tries. Discovery can answer a small group that calls at this pace.
 constexpr Time kMinPeriod = seconds(1);
-// How long a call waits for news: kMinWait + kGrace + 2 kTry < told_within.
+// How long a call waits for a change of the list: kMinWait + kGrace + 2 kTry < informed_within.
 constexpr Time kMinWait = milliseconds(2'500);
 constexpr Time kMaxWait = seconds(5);
-// After the end of the wait the answer is late.
+// An answer may come this long after the end of the wait before the subscription counts as silent.
 constexpr Time kGrace = milliseconds(400);
 
-// Pauses of a large group, in max_poll_interval: four of them are allowed after a failed call. The second one
-// holds while calls fail because they waited too long ...
+// The longest pauses of a large group, as multiples of max_poll_interval. The protocol allows a multiple of
+// four after a failed call. The congested pause holds while calls fail because they waited too long.
 constexpr double kMaxSpreadFactor = 2.4;
 constexpr double kCongestedFactor = 3.6;
-// ... or a longer one, until all routers together begin this many calls a second: late is better than never.
-constexpr double kCongestedCallsPerS = 3;
-// A call that fails after this time has waited in a queue: discovery is there, and is slow.
+// While discovery is congested, the pause grows until all routers together begin no more than this many calls
+// a second: a late list is better than none.
+constexpr double kCongestedCallsPerSecond = 3;
+// A call that fails after this time has waited in a queue: discovery can be reached, but is slow.
 constexpr Time kCongestedAfter = seconds(1);
 
 // Calls to an agent on this machine.
@@ -36,12 +35,17 @@
 constexpr Time kAgentTry = milliseconds(300);
 constexpr Time kAgentPeriod = milliseconds(100);
 
-// A next call is due at a random part of the period. Small groups keep the deadline by being a little early;
-// large ones never exceed the pace.
+// The next call begins after a random part of the period. Small groups call a little early, so that they meet
+// the deadline; large groups call a little late, so that they never exceed the pace.
 constexpr double kEarlyPart = 0.8;
 constexpr double kLatePart = 1.5;
 constexpr double kCongestedPart = 0.5;
 
+// How long all these routers need for one call each at this pace, in microseconds.
+double time_for_one_call_each(std::uint32_t routers, double calls_per_s) {
+  return routers / calls_per_s * static_cast<double>(seconds(1));
+}
+
 }  // namespace
 
 DiscoverySchedule::DiscoverySchedule(const Options& options, Chance chance)
@@ -52,27 +56,27 @@
     return;
   }
   const auto max_poll_interval = static_cast<double>(options.max_poll_interval);
-  spread_ = static_cast<Time>(
-      std::min(kMaxSpreadFactor * max_poll_interval, options.routers / kCallsPerS * kMicrosecondsPerSecond));
+  spread_ = static_cast<Time>(std::min(kMaxSpreadFactor * max_poll_interval,
+                                       time_for_one_call_each(options.routers, kCallsPerSecond)));
   period_ = std::max(kMinPeriod, spread_);
   if (in_time()) {
     // A small group keeps room for one try before the deadline, whatever happens, and for two where it can.
-    const Time room = options.told_within - kMargin - kTry;
+    const Time room = options.informed_within - kMargin - kTry;
     congested_period_ = std::clamp(2 * period_, room / 2, room);
   } else {
     const double congested = std::max(kCongestedFactor * max_poll_interval,
-                                      options.routers / kCongestedCallsPerS * kMicrosecondsPerSecond);
+                                      time_for_one_call_each(options.routers, kCongestedCallsPerSecond));
     congested_period_ = std::max(period_, static_cast<Time>(congested));
   }
 }
 
-bool DiscoverySchedule::in_time() const { return 2 * period_ + kTry + kMargin <= options_.told_within; }
+bool DiscoverySchedule::in_time() const { return 2 * period_ + kTry + kMargin <= options_.informed_within; }
 
 Time DiscoverySchedule::random_part_of(Time span) const {
   return static_cast<Time>(chance_() * static_cast<double>(span));
 }
 
-DiscoverySchedule::Call DiscoverySchedule::begin(Time now) {
+DiscoverySchedule::Call DiscoverySchedule::begin_call(Time now) {
   Call call{.begun = now, .limit = now + kLimit};
   if (options_.pushed) {
     call.wait = kAgentWait;
@@ -87,30 +91,31 @@
   return call;
 }
 
-Time DiscoverySchedule::failed(Time now, const Call& call) {
+Time DiscoverySchedule::on_call_failed(Time now, const Call& call) {
   renewing_ = false;
   if (options_.pushed) return now + period_;
-  // A subscription broke. Those of all routers may have, at the same moment.
+  // A subscription broke. The subscriptions of all routers may have broken at the same moment.
   if (call.wait > 0) return now + random_part_of(spread_);
-  // Prevents a queue in which every call fails because it waits, and is repeated. A call that is rejected at
-  // once costs discovery nothing.
+  // A longer pause empties a queue in which every call fails because it waits and is then repeated. A call
+  // that is rejected at once needs no longer pause, because it costs discovery nothing.
   const bool congested = now - call.begun >= kCongestedAfter;
   if (congested) return std::max(now, call.next);
   if (in_time()) return std::max(now, from_beginning(call.begun, kEarlyPart, 1, period_));
   return std::max(now, from_beginning(call.begun, 1, kLatePart, period_));
 }
 
-// A subscription that falls silent. Those of all routers may, at the same moment. Where the pace allows it,
-// the next call follows at once: the silence shows at another moment at each router, as its wait began.
+// When the next call begins if a subscription falls silent. The subscriptions of all routers may do so at the
+// same moment. In a small group the next call follows at once: each router notices the silence at another
+// moment, because its wait began at another moment.
 Time DiscoverySchedule::after_silence(Time begun, Time wait) const {
   const Time silent = begun + wait + kGrace;
   return in_time() ? silent : silent + random_part_of(spread_);
 }
 
-// Counts from the beginning of a call, so that one that fails late does not delay the next one. `least` and
-// `most` are parts of the period.
-Time DiscoverySchedule::from_beginning(Time begun, double least, double most, Time period) const {
-  const double part = least + (most - least) * chance_();
+// A random time between `min_part` and `max_part` of the period after the beginning of a call. It counts from
+// the beginning, so that a call that fails late does not delay the next one.
+Time DiscoverySchedule::from_beginning(Time begun, double min_part, double max_part, Time period) const {
+  const double part = min_part + (max_part - min_part) * chance_();
   return begun + static_cast<Time>(part * static_cast<double>(period));
 }
 
--- a/src/core/drain_message.cpp
+++ b/src/core/drain_message.cpp
@@ -10,7 +10,6 @@
 constexpr std::size_t kHeaderBytes = 2;
 constexpr std::size_t kFieldBytes = 4;
 constexpr std::size_t kReportBytes = 2 * kFieldBytes;
-constexpr Time kMicrosecondsPerMillisecond = 1'000;
 constexpr int kBitsPerByte = 8;
 constexpr std::uint32_t kByteMask = 0xff;
 
@@ -30,7 +29,7 @@
 }  // namespace
 
 std::uint32_t start_stamp(const Endpoint& replica) {
-  return static_cast<std::uint32_t>(replica.started / kMicrosecondsPerMillisecond);
+  return static_cast<std::uint32_t>(replica.started / milliseconds(1));
 }
 
 bool is_drain_message(std::span<const std::uint8_t> bytes) { return !bytes.empty() && bytes[0] == kMark; }
--- a/src/core/drain_tracker.cpp
+++ b/src/core/drain_tracker.cpp
@@ -39,7 +39,7 @@
 
 void DrainTracker::on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) {
   if (scope == EndpointUpdate::failed) return DeciderDecorator::on_endpoints(now, scope, entries);
-  // A list from before the start of this process holds no news.
+  // A list from before the start of this process is not reported, as its drains may be long over.
   const Reporting reporting = scope == EndpointUpdate::cached ? Reporting::off : Reporting::on;
   if (scope != EndpointUpdate::cached) list_received_ = now;
   if (scope != EndpointUpdate::delta) remove_unlisted(now, entries, reporting);
@@ -53,8 +53,8 @@
   review_held_back(now);  // there may be more ready replicas than before
 }
 
-// A whole list replaces the one before. Replicas that it does not name are gone; the others stay known as
-// they were, so that update_listed() sees what has changed.
+// Removes the replicas that a whole list does not have: they are gone. The others keep their state, so that
+// update_listed() sees what has changed.
 void DrainTracker::remove_unlisted(Time now, std::span<const Endpoint> entries, Reporting reporting) {
   auto unlisted = listed_;
   auto draining = std::exchange(draining_, {});
@@ -84,7 +84,7 @@
 
 void DrainTracker::update_not_ready(Time now, const Endpoint& entry, Reporting reporting) {
   const auto listed = listed_.find(entry.id);
-  if (reporting == Reporting::on && is_news(entry))
+  if (reporting == Reporting::on && is_unreported_drain(entry))
     schedule_report(now, listed == listed_.end() ? entry : listed->second);
   listed_.erase(entry.id);
   if (entry.state == EndpointState::draining) {
@@ -94,8 +94,8 @@
   }
 }
 
-// Whether peers may not know yet that this replica is not ready.
-bool DrainTracker::is_news(const Endpoint& entry) const {
+// Whether the drain has to be reported, because peers may not know of it yet.
+bool DrainTracker::is_unreported_drain(const Endpoint& entry) const {
   if (listed_.contains(entry.id)) return true;
   if (!is_small_group() || entry.state != EndpointState::draining) return false;
   const auto known = draining_.find(entry.id);
@@ -113,7 +113,7 @@
   return report != peer_reports_.end() && report->second.in_force;
 }
 
-// What a peer has reported already is not reported again.
+// Schedules a report to the peers, unless a peer has reported the same drain already.
 void DrainTracker::schedule_report(Time now, const Endpoint& replica) {
   if (peer_reports_.erase(replica.id) > 0 || pending_reports_.size() >= kMaxKeptReports) return;
   random_ = mix(random_);
@@ -160,8 +160,8 @@
   DeciderDecorator::on_endpoints(now, EndpointUpdate::delta, {&entry, 1});
 }
 
-// Reports that were held back hold once the own list is not renewed any more. Where it is, they are looked at
-// again when it may not be.
+// Puts reports that were held back in force where that is allowed by now. Where it is not, sets a timer for
+// the moment at which the own list would cease to be renewed.
 void DrainTracker::review_held_back(Time now) {
   for (auto& [replica, report] : peer_reports_) {
     if (report.in_force) continue;
@@ -170,15 +170,16 @@
   }
 }
 
-// A report about a later start than the own list has is true of the earlier one as well: that one has ended.
+// Whether the own list has the replica as ready with the start that the report is about, or with an earlier
+// one: that start has ended before the reported one began.
 bool DrainTracker::is_listed(const DrainReport& report) const {
   const auto listed = listed_.find(report.replica);
   return listed != listed_.end() && !is_earlier(report.start, start_stamp(listed->second));
 }
 
-// Whether one more report may take a replica out: a faulty peer can take out half of the ready replicas at
-// the most, but the own list only speaks against peers while discovery renews it. False only if there is a
-// list.
+// Whether one more report may take a replica out of use. While discovery renews the own list, reports take
+// out at most half of the ready replicas, which bounds the harm that a faulty peer does. Never false before
+// the first list.
 bool DrainTracker::may_take_out_another(Time now) const {
   if (!list_is_renewed(now)) return true;
   const auto out = static_cast<std::size_t>(std::count_if(
@@ -203,7 +204,7 @@
   review_held_back(now);
 }
 
-// As many as fit into one message; those that are to be repeated stay.
+// Takes the due reports, as many as fit into one message. Reports that are to be repeated remain pending.
 std::vector<DrainReport> DrainTracker::take_due_reports(Time now) {
   std::vector<DrainReport> due;
   for (auto at = pending_reports_.begin(); at != pending_reports_.end() && due.size() < kMaxDrainReports;) {
@@ -224,7 +225,7 @@
   const std::vector<DrainReport> due = take_due_reports(now);
   if (due.empty()) return;
   own_actions_.push_back(
-      {.kind = ActionKind::message_peer, .token = Gossip::kAll, .message = encode_drain_message(due)});
+      {.kind = ActionKind::message_peer, .token = Gossip::kAllPeers, .message = encode_drain_message(due)});
   if (pending_reports_.empty()) return;
   const auto next =
       std::min_element(pending_reports_.begin(), pending_reports_.end(),
@@ -232,7 +233,7 @@
   set_timer(next->second.send_at);
 }
 
-// What the router's own list has not confirmed in time is ready again.
+// Ends the reports that the router's own list has not confirmed in time; their replicas are ready again.
 void DrainTracker::expire_reports(Time now) {
   for (auto at = peer_reports_.begin(); at != peer_reports_.end();) {
     if (at->second.until <= now && may_hold_longer(now, at->second)) {
@@ -252,7 +253,8 @@
   }
 }
 
-// No list has come from discovery that could have confirmed or refuted the report.
+// Whether the report's lifetime doubles, because no list has arrived from discovery since that could have
+// confirmed or refuted it.
 bool DrainTracker::may_hold_longer(Time now, const PeerReport& report) const {
   const bool list_is_older = !list_received_ || *list_received_ <= report.received;
   return list_is_older && now < report.received + 2 * lifetime();
--- a/src/core/drain_tracker.hpp
+++ b/src/core/drain_tracker.hpp
@@ -1,21 +1,25 @@
-// Reports drains among the routers of a group: each router learns that a replica drains or is gone as soon as
-// one of them does, whatever became of its own subscription to discovery. Decorates the decider; no I/O.
+// Shares drains among the routers of a group: each router learns that a replica drains or is gone as soon as
+// one of them does, even if its own subscription to discovery fails. Decorates the decider; does no I/O.
 //
-// Guarantees: a peer's report only ever takes a replica out and never brings one in. While discovery renews
-// the own list, reports take out half of the ready replicas at the most, so that a faulty peer does limited
-// harm; further ones are held back. Once no list has come for kListIsRenewedFor those hold as well: peers are
-// then the only ones that know. A report is about one start of the replica and holds for earlier ones, too;
-// it ends when the own list says the same or names a later start. Without that it ends after
-// kReportLifetimeFactor x max_poll_interval, or after twice that time if no list has come from discovery
-// meanwhile: a list that is not renewed does not refute a peer. A message that is cut, too long or of another
-// version changes nothing and is counted.
+// Guarantees:
+// - A peer's report takes a replica out of use and never brings one into use.
+// - While discovery renews the router's own list, reports take out at most half of the ready replicas, which
+//   bounds the harm that a faulty peer does. Further reports are held back. They take effect once no list has
+//   arrived for kListIsRenewedFor, because the peers are then the only source.
+// - A report is about one start of the replica and also holds for earlier starts. It ends when the own list
+//   confirms it or has a later start.
+// - A report that the own list does not confirm ends after kReportLifetimeFactor x max_poll_interval, or
+// after
+//   twice that time if no list has arrived from discovery since: a list that is not renewed does not refute a
+//   peer.
+// - A message that is truncated, too long or of another version changes nothing and is counted.
 //
-// A router that learns of a drain waits for a random part of max_delay() before it reports it, and does not
-// report what it has heard from a peer meanwhile. The number of reports of a drain therefore depends on how
-// long a message takes, not on the number of routers that learned of it at the same moment. In a group of up
-// to kMaxSmallGroup routers, where few learn of a drain and each message is cheap, the sender repeats its
-// report kRepeats times, and a router also reports drains of replicas that it has never known as ready: its
-// own list may be the first that any router has for a while.
+// A router that learns of a drain from discovery waits for a random part of max_delay() before it reports the
+// drain, and drops its report if a peer's arrives first. The number of messages about a drain therefore
+// depends on the time that a message takes, and not on the number of routers that learned of the drain at
+// once. In a group of up to kMaxSmallGroup routers, where few learn of a drain and each message is cheap, the
+// sender repeats its report kRepeats times, and a router also reports drains of replicas that it has never
+// known as ready: it may be the first router of the group to receive them.
 #pragma once
 
 #include <functional>
@@ -29,32 +33,33 @@
 
 class DrainTracker final : public DeciderDecorator {
  public:
-  // The random delay of a report, in microseconds: at most this much for each router, and in all.
+  // The random delay of a report is at most kDelayPerRouter for each router of the group, and at most
+  // kMaxDelay.
   static constexpr Time kDelayPerRouter = milliseconds(2);
   static constexpr Time kMaxDelay = milliseconds(400);
-  // In max_poll_interval: the longest pause of a large group between two calls of discovery.
+  // A multiple of max_poll_interval: the longest pause of a large group between two calls of discovery.
   static constexpr double kReportLifetimeFactor = 2.4;
-  // Routers; above it reports are not repeated.
+  // The number of routers above which reports are not repeated.
   static constexpr std::uint32_t kMaxSmallGroup = 40;
-  // Further messages about a drain, and the time between them: all within the time after which the protocol
-  // takes routers to be informed. A datagram may be lost.
+  // How often a report is repeated, because a datagram may be lost, and the time between repeats. All of them
+  // are sent within the time after which the protocol takes routers to be informed.
   static constexpr int kRepeats = 2;
   static constexpr Time kRepeatAfter = seconds(1);
-  // The protocol's time from a change to the moment at which every router counts as informed. An own list
-  // that is older does not refute a peer.
+  // The time after a change at which the protocol takes every router to be informed. A list of the router's
+  // own that is older does not refute a peer.
   static constexpr Time kListIsRenewedFor = seconds(6);
-  // Bounds the memory: reports that are kept, from peers and for them.
+  // The most reports of peers, and the most reports to be sent, that are stored.
   static constexpr std::size_t kMaxKeptReports = 1024;
 
   // What became of a report, for the log.
   enum class ReportFate {
-    sent,       // to all peers
-    accepted,   // a peer's: the replica is out
-    unlisted,   // a peer's: the own list does not have this start of the replica as ready
-    held_back,  // a peer's: too many replicas are out by reports already
-    expired     // the own list has not confirmed it: the replica is ready again
+    sent,       // the router's own report went to all peers
+    accepted,   // a peer's report takes its replica out of use
+    unlisted,   // a peer's report is ignored: the own list does not have this start of the replica as ready
+    held_back,  // a peer's report waits: reports have taken out too many replicas already
+    expired     // the own list did not confirm a peer's report, and the replica is ready again
   };
-  // Called for each report, within the event that it came with. Must not call back.
+  // Called for each report, during the event that the report came with. Must not call the tracker.
   using Observer = std::function<void(ReportFate fate, ReplicaId replica)>;
 
   // `observer` may be empty.
@@ -65,7 +70,8 @@
   void on_timer(Time now, std::uint32_t token) override;
   std::vector<Action> take_actions() override;
 
-  // Whether a peer's report takes this replica out now. What is not sent yet may not be sent either.
+  // Whether a peer's report takes this replica out of use now. An attempt that was launched but not written
+  // yet must not be written then.
   bool is_reported(ReplicaId replica) const;
   // Drain messages of peers that could not be decoded.
   std::uint64_t unreadable() const { return unreadable_; }
@@ -82,7 +88,7 @@
     std::uint32_t start = 0;
     Time received = 0;
     Time until = 0;
-    bool in_force = false;  // false: it is held back
+    bool in_force = false;  // false: the report is held back
   };
 
   // Whether a change of the list is reported to the peers.
@@ -93,7 +99,7 @@
   void update_listed(Time now, const Endpoint& entry, Reporting reporting);
   void update_ready(const Endpoint& entry);
   void update_not_ready(Time now, const Endpoint& entry, Reporting reporting);
-  bool is_news(const Endpoint& entry) const;
+  bool is_unreported_drain(const Endpoint& entry) const;
   void schedule_report(Time now, const Endpoint& replica);
   void accept_report(Time now, const DrainReport& report);
   void put_in_force(Time now, ReplicaId replica, PeerReport& report);
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -13,7 +13,7 @@
 namespace thornwick::core {
 
 // Identifies one attempt of a request. Attempts are numbered from 0 in the order in which the routing policy
-// asked for them.
+// decided on them.
 struct AttemptId {
   RequestId request_id = 0;
   std::uint8_t number = 0;
@@ -24,7 +24,7 @@
 struct Usage {
   std::uint64_t prompt = 0;
   std::uint64_t generated = 0;
-  std::uint64_t kept = 0;  // of the prompt, found in the replica's cache
+  std::uint64_t cached = 0;  // of the prompt, found in the replica's cache
 };
 
 enum class EventKind {
@@ -84,7 +84,7 @@
   Time ended = 0;
   unsigned attempts = 0;  // that were launched
   ReplicaId last_replica = 0;
-  std::uint16_t model = 0;   // asked of the last attempt's replica; 0: there is no catalogue
+  std::uint16_t model = 0;   // that the last attempt requested; 0: there is no catalogue
   std::uint64_t events = 0;  // passed on to the client
   std::uint64_t bytes = 0;   // of their frames
   Usage usage;
--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -21,26 +21,26 @@
 class Reply {
  public:
   virtual ~Reply() = default;
-  // Called once, before the first event. `model` is the number in the catalogue of the model that serves (0:
-  // there is no catalogue); `allowance` is what is left of the client's limits, valid during the call (null:
-  // no limit applies).
+  // Called once, before the first event. `model` is the catalogue's number of the model that serves the
+  // request (0: there is no catalogue). `allowance` is the remaining quota of the client, valid during the
+  // call (null: no limit applies).
   virtual void served_by(std::uint16_t /*model*/, const Allowance* /*allowance*/) {}
   // Passes on one event of the answer, in the order in which the replica sent them.
   virtual void event(const StreamEvent& event) = 0;
   // Final: the answer is complete.
   virtual void finish() = 0;
-  // Final: part of the answer went out, and the rest will not come.
+  // Final: a part of the answer was passed on, and the rest will not follow.
   virtual void break_off() = 0;
-  // Final: no attempt has run, so repeating the request is harmless. `retry_after` is the advised wait before
-  // a repeat (0: none is advised).
+  // Final: no attempt has run, so that the client may repeat the request. `retry_after` is the advised wait
+  // before a repeat (0: none is advised).
   virtual void reject(Time retry_after) = 0;
   // Final: there is no answer, and an attempt may have run. `retry_after` as in reject.
   virtual void fail(Failure why, Time retry_after) = 0;
-  // Whether the client is still connected, as far as its connection tells at this moment. On false the
-  // request is given up, and nothing more is called.
-  virtual bool client_there() { return true; }
-  // Final: rejected because of the limit that the allowance names. `retry_after` is the time until the
-  // request would fit (0: it will never fit).
+  // Whether the client is still connected, as far as its connection shows at this moment. If not, the request
+  // is given up, and nothing more is called.
+  virtual bool client_connected() { return true; }
+  // Final: the request exceeds the limit that the allowance names, and no attempt has run. `retry_after` is
+  // the time until the request fits within the limit (0: never).
   virtual void reject_for(const Allowance& /*allowance*/, Time retry_after) { reject(retry_after); }
 };
 
@@ -53,16 +53,19 @@
   // model that the replica is to serve (0: the one that the payload asks for).
   virtual void launch(AttemptId attempt, ReplicaId replica, std::shared_ptr<const Payload> payload,
                       Time until, std::uint16_t model) = 0;
-  // Gives an attempt up; it reports nothing from then on. Its connection is closed or half-closed on return.
-  // False: the request was not written completely, so it cannot have run.
+  // Gives up an attempt, which reports nothing from then on. Its connection is closed or half-closed on
+  // return. Returns whether the request was written completely; if not, it cannot have run.
   virtual bool abandon(AttemptId attempt) = 0;
-  // Stops (`on`) or resumes reading the answer of an attempt, for flow control towards a slow client.
-  virtual void hold(AttemptId attempt, bool on) = 0;
+  // Stops reading the answer of an attempt, for flow control towards a slow client. No effect on an attempt
+  // that has ended, or whose reading is paused already.
+  virtual void pause_reading(AttemptId attempt) = 0;
+  // Resumes what pause_reading stopped.
+  virtual void resume_reading(AttemptId attempt) = 0;
   // Asks a replica whether it is alive.
   virtual void probe(ReplicaId replica) = 0;
 };
 
-// The discovery service, as the routing policy asks for it. What it knows arrives at
+// The calls of the discovery service that the routing policy decides on. Their answers arrive at
 // RequestManager::on_endpoints.
 class Discovery {
  public:
@@ -77,8 +80,8 @@
 class PeerTransport {
  public:
   virtual ~PeerTransport() = default;
-  // Sends `message` to the router with that rank, or to all others where `rank` is Gossip::kAll.
-  virtual void tell(std::uint32_t rank, const std::string& message) = 0;
+  // Sends `message` to the router with that rank, or to all others where `rank` is Gossip::kAllPeers.
+  virtual void send(std::uint32_t rank, const std::string& message) = 0;
 };
 
 // A monotonic clock with one alarm.
@@ -86,7 +89,8 @@
  public:
   virtual ~Clock() = default;
   virtual Time now() const = 0;
-  // Asks for one call of RequestManager::wake at `when` or soon after. A later call replaces an earlier one.
+  // Schedules one call of RequestManager::wake at `when` or soon after. A later schedule replaces an earlier
+  // one.
   virtual void wake_at(Time when) = 0;
 };
 
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -44,7 +44,7 @@
 // Null for an attempt that is not out any more: its late events are ignored.
 ActiveRequest* RequestManager::find_current(AttemptId attempt) {
   ActiveRequest* request = find_request(attempt.request_id);
-  if (request == nullptr || !request->attempt_out() || request->attempt != attempt) return nullptr;
+  if (request == nullptr || !request->attempt_in_flight() || request->attempt != attempt) return nullptr;
   return request;
 }
 
@@ -63,7 +63,7 @@
   request.summary.arrived = arrived;
   request.summary.request = description;
   request.summary.external_id = request.arrival.external_id;
-  ++counters_.taken;
+  ++counters_.admitted;
   // Whatever the routing policy does, the final answer is out within the slack after the deadline.
   request.deadline_timer = timers_.set(description.due + kDeadlineSlack,
                                        {.kind = TimerKind::request_deadline, .attempt = {id, 0}});
@@ -76,25 +76,31 @@
   ActiveRequest* request = find_request(request_id);
   if (request == nullptr) return;
   decider_->on_client_gone(now(), request_id);
-  if (request->attempt_out()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
   conclude(request_id, {.ending = Ending::client_gone});
   apply_actions();
 }
 
-// Saves work whose result nobody reads: a closed connection may not have been noticed yet, because unread
-// bytes precede the end of file or because another event is being handled.
+// Avoids work whose result nobody reads. The loop may not have reported a closed connection yet, because
+// unread bytes precede the end of file or because it is handling another event.
 bool RequestManager::still_wanted(AttemptId attempt) {
   const ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return false;
-  if (request->reply->client_there()) return true;
+  if (request->reply->client_connected()) return true;
   client_gone(attempt.request_id);
   return false;
 }
 
-void RequestManager::client_congested(RequestId request_id, bool on) {
+void RequestManager::client_congested(RequestId request_id) {
   const ActiveRequest* request = find_request(request_id);
-  if (request == nullptr || !request->attempt_out()) return;
-  dependencies_.upstream.hold(request->attempt, on);
+  if (request == nullptr || !request->attempt_in_flight()) return;
+  dependencies_.upstream.pause_reading(request->attempt);
+}
+
+void RequestManager::client_caught_up(RequestId request_id) {
+  const ActiveRequest* request = find_request(request_id);
+  if (request == nullptr || !request->attempt_in_flight()) return;
+  dependencies_.upstream.resume_reading(request->attempt);
 }
 
 // ---------------------------------------------------------------- replicas
@@ -103,7 +109,7 @@
   ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return;
   const bool had_started = request->answer_started();
-  // Nothing has been passed on yet: the attempt failed, and the routing policy may choose another.
+  // Nothing was passed on to the client, so the attempt has failed and another one may follow.
   if (event.kind == EventKind::error && !had_started) return attempt_ended(attempt, Outcome::error);
   if (event.kind == EventKind::usage || event.has_usage) {
     request->summary.usage = event.usage;
@@ -119,11 +125,11 @@
   apply_actions();
 }
 
-// The first event that is passed on decides: no other attempt is made.
+// The answer begins with the first event that is passed on; no other attempt is made after it.
 void RequestManager::begin_answer(ActiveRequest& request) {
   const Time started = now();
   request.summary.first_event = started;
-  request.arrival.payload.reset();  // bodies are the bulk of the memory, and none is sent again
+  request.arrival.payload.reset();  // the body, which takes most of the memory, is not needed again
   if (dependencies_.affinity_table != nullptr) {
     request.expectation =
         dependencies_.affinity_table->began(started, request.arrival.request, request.replica);
@@ -152,7 +158,7 @@
   if (dependencies_.affinity_table == nullptr) return;
   const Usage& usage = request.summary.usage;
   dependencies_.affinity_table->answered(now(), request.arrival.request, request.replica, request.expectation,
-                                         static_cast<double>(usage.kept),
+                                         static_cast<double>(usage.cached),
                                          static_cast<double>(usage.generated));
 }
 
@@ -168,7 +174,7 @@
                                       .outcome = outcome,
                                       .elapsed = ended - request.attempt_sent,
                                       .concluded = fate == RequestFate::concluded,
-                                      .cached_tokens = static_cast<double>(usage.kept),
+                                      .cached_tokens = static_cast<double>(usage.cached),
                                       .prompt_tokens = static_cast<double>(usage.prompt),
                                       .generated_tokens = static_cast<double>(usage.generated),
                                       .has_usage = request.has_usage,
@@ -233,7 +239,7 @@
   request->deadline_timer.reset();
   if (request->answer_started()) return;
   decider_->on_client_gone(now(), id);
-  if (request->attempt_out()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
   // A request that never ran is rejected rather than failed, so that its client may repeat it.
   const Ending ending = request->may_have_run ? Ending::timed_out : Ending::rejected;
   conclude(id, {.ending = ending, .retry_after = retry_after_});
@@ -264,18 +270,18 @@
     case ActionKind::watch_endpoints: return dependencies_.discovery.watch();
     case ActionKind::fetch_endpoints: return dependencies_.discovery.fetch();
     case ActionKind::probe: return dependencies_.upstream.probe(action.replica);
-    case ActionKind::message_peer: return dependencies_.peers.tell(action.token, action.message);
+    case ActionKind::message_peer: return dependencies_.peers.send(action.token, action.message);
   }
 }
 
-// Each send takes a number, also one that is not launched: the policy counts them in the same way.
+// Each send takes an attempt number, even if it is not launched, because the policy numbers them so.
 void RequestManager::apply_send(const Action& action) {
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr) return;
   const Time sent = now();
   const AttemptId attempt{action.id, request->next_attempt_number++};
   if (!may_launch(*request, attempt, action, sent)) return report_not_sent(attempt, action.replica, sent);
-  if (!request->reply->client_there()) {
+  if (!request->reply->client_connected()) {
     client_gone(action.id);
     return report_not_sent(attempt, action.replica, sent);
   }
@@ -284,8 +290,8 @@
 
 bool RequestManager::may_launch(const ActiveRequest& request, AttemptId attempt, const Action& action,
                                 Time sent) const {
-  return !request.attempt_out() && attempt.number < max_attempts_ && sent < request.arrival.request.due &&
-         action.time != kNotSent;
+  return !request.attempt_in_flight() && attempt.number < max_attempts_ &&
+         sent < request.arrival.request.due && action.time != kNotSent;
 }
 
 void RequestManager::launch(ActiveRequest& request, AttemptId attempt, const Action& action, Time sent) {
@@ -318,7 +324,7 @@
 void RequestManager::apply_refusal(const Action& action) {
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr || request->answer_started()) return;
-  if (request->attempt_out()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
   FinalAnswer answer{.ending = Ending::rejected, .retry_after = action.time};
   if (is_rejection(action.allowance)) {
     answer.rejection = action.allowance;
@@ -348,7 +354,7 @@
   request.summary.ending = answer.ending;
   request.summary.ended = now();
   deliver(*request.reply, answer);
-  if (dependencies_.on_end) dependencies_.on_end(request.summary);
+  if (dependencies_.on_request_end) dependencies_.on_request_end(request.summary);
 }
 
 void RequestManager::count_ending(Ending ending) {
@@ -358,7 +364,7 @@
     case Ending::failed: ++counters_.failed; break;
     case Ending::timed_out: ++counters_.timed_out; break;
     case Ending::broken: ++counters_.broken; break;
-    case Ending::client_gone: ++counters_.gone; break;
+    case Ending::client_gone: ++counters_.client_gone; break;
   }
 }
 
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -23,14 +23,14 @@
 
 // Counts since the start: requests by how they ended, and attempts.
 struct Counters {
-  std::uint64_t taken = 0;     // requests admitted
+  std::uint64_t admitted = 0;  // requests
   std::uint64_t attempts = 0;  // launched
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
   std::uint64_t broken = 0;
-  std::uint64_t gone = 0;                     // the client left first
+  std::uint64_t client_gone = 0;              // the client left first
   std::map<Outcome, std::uint64_t> outcomes;  // of attempts, those that were not launched included
 };
 
@@ -40,8 +40,8 @@
   UpstreamTransport& upstream;
   Discovery& discovery;
   PeerTransport& peers;
-  std::function<void(const RequestSummary&)> on_end = {};  // called after each request's final answer
-  affinity::AffinityTable* affinity_table = nullptr;       // null: the policy decides without cache hints
+  std::function<void(const RequestSummary&)> on_request_end = {};  // called after each request's final answer
+  affinity::AffinityTable* affinity_table = nullptr;  // null: the policy decides without cache hints
 };
 
 // How long after a request's deadline the core waits for the routing policy before it answers itself. A part
@@ -52,8 +52,8 @@
 // are ignored.
 class RequestManager {
  public:
-  // Without a decider of its own the routing policy decides. Throws std::invalid_argument where the settings
-  // make no sense.
+  // If `decider` is null, the routing policy alone decides. Throws std::invalid_argument if the settings
+  // contradict each other.
   RequestManager(const Settings& settings, const Dependencies& dependencies,
                  std::unique_ptr<Decider> decider = {});
 
@@ -64,17 +64,19 @@
   RequestId admit(Arrival arrival, Reply& reply);
   // The client has left: the attempt is abandoned, and the reply is not called again.
   void client_gone(RequestId request_id);
-  // The client reads too slowly (`on`) or has caught up: reading from the replica stops or goes on.
-  void client_congested(RequestId request_id, bool on);
+  // The client reads too slowly: the core stops reading the replica's answer.
+  void client_congested(RequestId request_id);
+  // The client has caught up: the core resumes reading.
+  void client_caught_up(RequestId request_id);
 
   // Events from the replicas. `report` and `load` are values in the order of Settings::report_fields.
 
   void attempt_event(AttemptId attempt, const StreamEvent& event);
   void attempt_ended(AttemptId attempt, Outcome outcome, std::span<const float> report = {});
   void probed(ReplicaId replica, bool alive, std::span<const float> report);
-  // To be asked before the first byte of an attempt is written, which may be long after its launch. False:
-  // the client has gone meanwhile, and the attempt is abandoned on return.
-  bool still_wanted(AttemptId attempt);
+  // Whether the client still waits for the attempt. The transport checks it before it writes the first byte,
+  // which may be long after the launch. False: the client has gone, and the attempt is abandoned on return.
+  [[nodiscard]] bool still_wanted(AttemptId attempt);
 
   // Events from discovery, the peers and the clock.
 
@@ -90,18 +92,18 @@
   const Decider& decider() const { return *decider_; }
   // Hands the state of a predecessor to the decider.
   void learn(const LearnedState& learned_state) { decider_->learn(learned_state); }
-  // The ready replicas that get nothing now because they failed.
+  // The ready replicas that are ejected now because they failed.
   std::vector<ReplicaId> ejected() const { return decider_->ejected(dependencies_.clock.now()); }
 
  private:
   // Whether a request goes on after the end of an attempt.
   enum class RequestFate { continues, concluded };
 
-  // How a request ends, and what its client is told.
+  // How a request ends, and the content of its final answer.
   struct FinalAnswer {
     Ending ending = Ending::served;
     Time retry_after = 0;  // rejected, failed and timed_out
-    // Rejected: the limit that the request exceeds; null: none.
+    // Rejected: the limit that the request exceeds; null if it was rejected for another reason.
     std::shared_ptr<const Allowance> rejection = {};
   };
 
--- a/src/core/slow_start_budget.cpp
+++ b/src/core/slow_start_budget.cpp
@@ -11,7 +11,6 @@
 
 // A listed weight may be 0; the replica still counts a little.
 constexpr double kMinWeight = 1e-3;
-constexpr double kMicrosecondsPerSecond = 1e6;
 
 double effective_weight(const Endpoint& replica) { return std::max<double>(kMinWeight, replica.weight); }
 
@@ -22,7 +21,7 @@
   for (const TenantSettings& tenant : settings.tenants) total_quota_ += tenant.quota_per_s;
 }
 
-// ---------------------------------------------------------------- what is allowed
+// ---------------------------------------------------------------- limits
 
 double SlowStartBudget::allowed_sends(const Endpoint& replica, Time age) const {
   if (total_quota_ <= 0 || replica.started == 0 || age >= settings_.warm_up)
@@ -31,16 +30,16 @@
   const double warmth = static_cast<double>(std::max<Time>(0, age)) / static_cast<double>(settings_.warm_up);
   const double capacity = settings_.initial_capacity + (1 - settings_.initial_capacity) * warmth;
   return settings_.overload_multiple * capacity * total_quota_ * share *
-         static_cast<double>(settings_.overload_after) / kMicrosecondsPerSecond;
+         static_cast<double>(settings_.overload_after) / static_cast<double>(seconds(1));
 }
 
-// What is left of so many sends when each router has its whole part.
+// The sends that remain when each router has its fixed share.
 double SlowStartBudget::remainder_of(double sends) const {
   return sends - std::floor(sends / settings_.group_size) * settings_.group_size;
 }
 
-// How many sends the windows before this one give out in turns, over all routers.
-std::uint64_t SlowStartBudget::given_out_before(const Endpoint& replica, long window) const {
+// How many turns the windows before this one give out, over all routers.
+std::uint64_t SlowStartBudget::turns_before(const Endpoint& replica, long window) const {
   double sum = 0;
   for (long i = 0; i < window; ++i) {
     const double sends = allowed_sends(replica, (i - 1) * settings_.overload_after);
@@ -63,31 +62,31 @@
   return slow_start;
 }
 
-// Whether this router may send one more request to the replica now. If so, it is counted.
+// Returns whether this router may send one more request to the replica now, and counts the request if so.
 bool SlowStartBudget::try_send(Time now, ReplicaId id) {
   const auto found = ready_.find(id);
-  if (found == ready_.end()) return true;  // nothing is known that could limit it
+  if (found == ready_.end()) return true;  // no listing, so no limit is known
   const Endpoint& replica = found->second;
   if (!std::isfinite(allowed_sends(replica, now - replica.started))) return true;
-  // As of the beginning of the window that ends now, because the allowance grows meanwhile.
+  // The limit at the beginning of the window that ends now: the limit grows during the window.
   const double sends = allowed_sends(replica, now - replica.started - settings_.overload_after);
   SlowStart& slow_start = slow_start_of(replica);
   if (settings_.group_size > kMaxWindowsPerTurn * std::max(1.0, sends))
-    return try_send_of_part(now, slow_start, 1);
+    return try_send_within_share(now, slow_start, 1);
   const long window = window_at(replica, now);
-  // A router that was killed and has forgotten its first part gets no second one.
+  // A router that was killed in this window may have used its share before, and forgot it.
   if (router_started_ >= replica.started && window == window_at(replica, router_started_)) return false;
-  if (try_send_of_part(now, slow_start, static_cast<std::uint64_t>(sends / settings_.group_size)))
+  if (try_send_within_share(now, slow_start, static_cast<std::uint64_t>(sends / settings_.group_size)))
     return true;
   if (!try_send_in_turn(replica, window, slow_start)) return false;
-  slow_start.recent_sends.push_back(now);  // it counts when the part grows to hold it
+  slow_start.recent_sends.push_back(now);  // counts against a fixed share that grows later
   return true;
 }
 
-bool SlowStartBudget::try_send_of_part(Time now, SlowStart& slow_start, std::uint64_t part) const {
+bool SlowStartBudget::try_send_within_share(Time now, SlowStart& slow_start, std::uint64_t share) const {
   auto& recent = slow_start.recent_sends;
   while (!recent.empty() && recent.front() + settings_.overload_after <= now) recent.pop_front();
-  if (recent.size() >= part) return false;
+  if (recent.size() >= share) return false;
   recent.push_back(now);
   return true;
 }
@@ -98,15 +97,15 @@
     slow_start.sends_in_turn = 0;
   }
   const std::uint64_t group_size = settings_.group_size;
-  // The numbers of each replica's start begin at another router.
+  // Shifts the numbers, so that the turns for each start of a replica begin at another router.
   const std::uint64_t shift = mix(replica.id ^ static_cast<std::uint64_t>(replica.started)) % group_size;
-  // How many of the numbers below this one are this router's.
+  // How many of the numbers below `number` belong to this router.
   const auto own_numbers_below = [&](std::uint64_t number) {
     const std::uint64_t shifted = number + shift;
     return shifted / group_size + (shifted % group_size > settings_.rank ? 1 : 0);
   };
-  const std::uint64_t own_turns = own_numbers_below(given_out_before(replica, window + 1)) -
-                                  own_numbers_below(given_out_before(replica, window));
+  const std::uint64_t own_turns =
+      own_numbers_below(turns_before(replica, window + 1)) - own_numbers_below(turns_before(replica, window));
   if (slow_start.sends_in_turn >= own_turns) return false;
   ++slow_start.sends_in_turn;
   return true;
--- a/src/core/slow_start_budget.hpp
+++ b/src/core/slow_start_budget.hpp
@@ -1,29 +1,32 @@
 // Limits how many requests all routers together send to a replica that has just started. The limit is divided
-// among the routers without messages. Decorates the decider; no I/O.
+// among the routers without messages. Decorates the decider; does no I/O.
 //
-// Guarantee: in no window of `overload_after` do the parts of all routers sum to more than N, what the
-// settings allow a cold replica in that window, and one. N = overload_multiple x present capacity x
-// overload_after. Capacity is in requests a second: the sum of the tenants' quotas, divided among the
-// replicas by listed weight; the present capacity of a cold replica rises linearly from initial_capacity, the
-// least that the settings promise, to all of it after warm_up. Without quotas the capacity is unknown, and
-// nothing is limited here.
+// Guarantee: in each window of `overload_after`, the shares of all routers sum to at most N + 1, where N is
+// the number of requests that the settings allow a cold replica in that window:
+//
+//     N = overload_multiple x present capacity x overload_after
+//
+// Capacity is in requests a second: the sum of the tenants' quotas, divided among the replicas by listed
+// weight. The present capacity of a cold replica rises linearly from initial_capacity, the least that the
+// settings promise, to all of its capacity after warm_up. Without quotas the capacity is unknown, and nothing
+// is limited.
 //
 // Method:
-// - Each router has the same whole part of N, N / group_size rounded down, and may send as many in any
-// window,
-//   whenever its requests come.
-// - The remainder (all of N where the part is below one) is given out in turns. The time since the replica's
-//   start, which is the same at every router, is divided into windows; each gives out half of the remainder,
-//   so that a window that lies across two holds no more than the remainder. The sends given out are numbered
-//   consecutively over all windows, and number s belongs to router s mod group_size.
+// - Each router has the same fixed share, N / group_size rounded down, and may send as many requests in any
+//   window, whenever its requests arrive.
+// - The routers take turns for the remainder (all of N if the fixed share is below one). The time since the
+//   replica's start, which is the same at every router, is divided into windows. Each window gives out half
+//   of the remainder, so that a window that overlaps two of them has no more than the remainder. The sends
+//   given out are numbered consecutively over all windows, and number s belongs to router s mod group_size.
 // - A router that has just started may have forgotten what it sent, and sends nothing in the window in which
-//   it started.
-// - Where a router's turn would come less often than every kMaxWindowsPerTurn windows, each router has too
-// few
-//   requests for its turns to be used: all of 300 routers in turn sent a cold replica 7 % of its ramp
-//   (docs/standing.md). There the shares of the routing policy, whose mean is under half of N, decide, and a
-//   router sends at most one request in a window, so that neither its retries nor a burst of its own clients
-//   add to the sum.
+// it
+//   started.
+// - In a group so large that a router's turn comes less often than every kMaxWindowsPerTurn windows, there
+// are no
+//   turns, because routers have too few requests to use them: with turns, 300 routers used 7 % of what a cold
+//   replica could take (docs/standing.md). The shares of the routing policy, whose mean is under half of N,
+//   then set the limit, and a router sends at most one request in a window, so that neither its retries nor a
+//   burst of its clients add to the sum.
 //
 // A send that the budget does not cover gets the outcome `not_sent` at once, and the decider chooses another
 // replica.
@@ -38,8 +41,10 @@
 
 namespace thornwick::core {
 
+// Not thread-safe, like every decider.
 class SlowStartBudget final : public DeciderDecorator {
  public:
+  // Windows between two turns of a router; where there would be more, there are no turns.
   static constexpr double kMaxWindowsPerTurn = 4;
 
   // `now` is when this router started.
@@ -60,19 +65,19 @@
   // What this router has sent to a cold replica.
   struct SlowStart {
     Time started = 0;                 // of the replica
-    std::deque<Time> recent_sends;    // in the last window: no more than the router's part
-    long turn_window = -1;            // the latest window in which a send in turn was made ...
-    std::uint64_t sends_in_turn = 0;  // ... and how many
+    std::deque<Time> recent_sends;    // in the last window
+    long turn_window = -1;            // the latest window in which a turn was used
+    std::uint64_t sends_in_turn = 0;  // the sends in that window that used a turn
   };
 
   void update_ready(EndpointUpdate scope, std::span<const Endpoint> entries);
   bool try_send(Time now, ReplicaId id);
   SlowStart& slow_start_of(const Endpoint& replica);
-  bool try_send_of_part(Time now, SlowStart& slow_start, std::uint64_t part) const;
+  bool try_send_within_share(Time now, SlowStart& slow_start, std::uint64_t share) const;
   bool try_send_in_turn(const Endpoint& replica, long window, SlowStart& slow_start) const;
   long window_at(const Endpoint& replica, Time when) const;
   double remainder_of(double sends) const;
-  std::uint64_t given_out_before(const Endpoint& replica, long window) const;
+  std::uint64_t turns_before(const Endpoint& replica, long window) const;
 
   Settings settings_;
   double total_quota_ = 0;  // requests a second, of all tenants
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -26,8 +26,8 @@
   using Entries = std::multimap<Time, TimerEntry>;
 
  public:
-  // Refers to a pending timer; empty once the timer has expired or was cancelled. Its holder has to reset it
-  // when the timer expires.
+  // Refers to a pending timer, or is empty. cancel() empties it; the caller has to reset it when the timer
+  // expires.
   using Handle = std::optional<Entries::iterator>;
 
   // The clock is not owned and has to outlive the queue.
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -144,10 +144,10 @@
   day_.at(day_.now + 2 * day_.one_way(zone, 0) + kDirectoryAnswers, What::watch_answered, 0, number);
 }
 
-void EmulatedRouter::tell(std::uint32_t rank, const std::string& message) {
-  if (rank == Gossip::kAll) {
+void EmulatedRouter::send(std::uint32_t rank, const std::string& message) {
+  if (rank == Gossip::kAllPeers) {
     for (std::uint32_t other = 0; other < day_.routers.size(); ++other) {
-      if (other != number) tell(other, message);
+      if (other != number) send(other, message);
     }
     return;
   }
@@ -321,9 +321,9 @@
         result.regained += f.regained;
   }
   const core::Counters& c = router.core->counters();
-  result.sum.taken += c.taken, result.sum.served += c.served, result.sum.rejected += c.rejected;
+  result.sum.taken += c.admitted, result.sum.served += c.served, result.sum.rejected += c.rejected;
   result.sum.failed += c.failed, result.sum.timed_out += c.timed_out, result.sum.broken += c.broken;
-  result.sum.gone += c.gone;
+  result.sum.gone += c.client_gone;
   result.sum.open += router.core->open();
 }
 
--- a/src/fronts/chat.cpp
+++ b/src/fronts/chat.cpp
@@ -8,6 +8,9 @@
 namespace thornwick::fronts {
 namespace {
 
+constexpr int kBadRequest = 400;
+
+// The number under this key as text; empty where there is none.
 std::string number_at(Json json, std::string_view key) {
   Json value;
   if (json.at_key(key).get(value) != simdjson::SUCCESS || !value.is_number()) return {};
@@ -18,8 +21,25 @@
 
 ChatBody::ChatBody(std::string_view text) {
   if (parser_.parse(text.data(), text.size()).get(root_) != simdjson::SUCCESS || !root_.is_object()) {
-    throw http::BadMessage(400, "the body is not JSON");
+    throw http::BadMessage(kBadRequest, "the body is not JSON");
+  }
+}
+
+ErrorKind ErrorKinds::of(Rejection rejection) const {
+  switch (rejection) {
+    case Rejection::bad_request: return bad_request;
+    case Rejection::too_large: return too_large;
+    case Rejection::not_found: return not_found;
+    case Rejection::overloaded: return overloaded;
+    case Rejection::over_limit: return over_limit;
+    case Rejection::timed_out: return timed_out;
+    case Rejection::failed: break;
   }
+  return failed;
+}
+
+std::string error_member(std::string_view type, std::string_view message) {
+  return R"("error":{"type":")" + std::string(type) + R"(","message":)" + json_text(message) + "}";
 }
 
 bool rejected_by_replica(const http::Head& answer) {
@@ -32,15 +52,15 @@
 
 std::string seconds_text(Time time) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / 1e6);
+  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) / static_cast<double>(seconds(1)));
   return text;
 }
 
-// Rounded up: whoever repeats the request then finds the limit reset.
+// Rounds up, so that a client that waits until then finds its limit reset.
 std::string rfc3339(Time moment) {
-  const auto seconds = static_cast<std::time_t>((moment + 999'999) / 1'000'000);
+  const auto whole_seconds = static_cast<std::time_t>((moment + seconds(1) - 1) / seconds(1));
   std::tm parts{};
-  gmtime_r(&seconds, &parts);
+  gmtime_r(&whole_seconds, &parts);
   char text[32];
   std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%SZ", &parts);
   return text;
@@ -54,7 +74,7 @@
   if (content.get(parts) != simdjson::SUCCESS) return all;
   for (const Json part : parts) {
     if (!part.is_object() || text_at(part, "/type") != "text") {
-      throw http::BadMessage(400, "only text can be passed on to the other dialect");
+      throw http::BadMessage(kBadRequest, "only text can be passed on to the other dialect");
     }
     all += text_at(part, "/text");
   }
@@ -72,11 +92,12 @@
 
 void read_turns(Json json, Chat& chat) {
   simdjson::dom::array turns;
-  if (json.at_key("messages").get(turns) != simdjson::SUCCESS) throw http::BadMessage(400, "no messages");
+  if (json.at_key("messages").get(turns) != simdjson::SUCCESS)
+    throw http::BadMessage(kBadRequest, "no messages");
   for (const Json turn : turns) {
     Json content;
     if (!turn.is_object() || turn.at_key("content").get(content) != simdjson::SUCCESS) {
-      throw http::BadMessage(400, "a message without content");
+      throw http::BadMessage(kBadRequest, "a message without content");
     }
     chat.turns.push_back({text_at(turn, "/role"), content_text(content)});
   }
--- a/src/fronts/chat.hpp
+++ b/src/fronts/chat.hpp
@@ -6,7 +6,7 @@
 
 namespace thornwick::fronts {
 
-// A chat body that is being read: the parser owns what `root` points into, so both go together.
+// A parsed chat body. The parser owns the memory that root() refers to, so the body has to outlive its users.
 class ChatBody {
  public:
   // Throws http::BadMessage (400) unless the text is one JSON object.
@@ -18,20 +18,38 @@
   Json root_;
 };
 
-// How a dialect calls a kind of error: the HTTP status, and the type inside the error object.
+// How a dialect names one kind of error: the HTTP status, and the type inside the error object.
 struct ErrorKind {
   int status = 0;
-  const char* type = "";
+  std::string_view type;  // refers to static storage
 };
 
-// Whether a replica's answer says, by the rules that all replicas share, that the request was rejected before
-// it began.
+// The error kinds of one dialect, one for each Rejection.
+struct ErrorKinds {
+  ErrorKind bad_request;
+  ErrorKind too_large;
+  ErrorKind not_found;
+  ErrorKind overloaded;
+  ErrorKind over_limit;
+  ErrorKind failed;
+  ErrorKind timed_out;
+
+  [[nodiscard]] ErrorKind of(Rejection rejection) const;
+};
+
+// The member "error" of a JSON object, without the object's braces. Both dialects write an error like this.
+[[nodiscard]] std::string error_member(std::string_view type, std::string_view message);
+
+// Whether a replica's answer reports, by the rules that all replicas share, that it rejected the request
+// before it began to work on it.
 bool rejected_by_replica(const http::Head& answer);
 
-// Values of rate limit headers: whole tokens (0 if below), seconds with three places, a moment in
-// microseconds since 1970 (RFC 3339, UTC, rounded up to whole seconds).
+// Values of rate limit headers.
+// Whole tokens; 0 for a negative amount.
 std::string tokens(double amount);
+// Seconds with three decimal places.
 std::string seconds_text(Time time);
+// A moment in microseconds since 1970 as RFC 3339 in UTC, rounded up to whole seconds.
 std::string rfc3339(Time moment);
 
 // The text of a message's content: a string, or a list of text parts. Throws http::BadMessage for any other
--- a/src/fronts/dialect.hpp
+++ b/src/fronts/dialect.hpp
@@ -22,7 +22,7 @@
   std::shared_ptr<const std::string> body;
 };
 
-// The parts of a chat request that both dialects have; what else a body holds is lost in translation.
+// The parts of a chat request that both dialects have. Translation drops everything else in a body.
 struct Chat {
   struct Turn {
     std::string role;
@@ -37,16 +37,16 @@
   std::vector<std::string> stops;
 };
 
-// The names that clients use for what the settings number.
+// The names of priority classes, tenants and models, which the settings number.
 struct Names {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;  // empty: requests have none
-  // The number of a model in the catalogue, by name; 0: it is not in there. Not set: there is no catalogue,
-  // and any model goes to any replica.
+  // Returns the number of the model with this name in the catalogue; 0 if the catalogue has no such model.
+  // Empty if there is no catalogue; any model then goes to any replica.
   std::function<std::uint16_t(std::string_view)> model = {};
 };
 
-// Why the router itself answers with an error; each dialect has its own status and type for it.
+// Why the router itself answers with an error. Each dialect has its own status and error type for each.
 enum class Rejection { bad_request, too_large, not_found, overloaded, over_limit, failed, timed_out };
 
 // An error as a client of a dialect gets it: the HTTP status and the JSON body.
@@ -55,39 +55,39 @@
   std::string body;
 };
 
-// Reads the events of one answer, in order; keeps what later events need (token counts are cumulative). A
-// frame that is no known event comes out as EventKind::unknown; nothing throws.
+// Reads the events of one answer, in order. It keeps state between events, because token counts are
+// cumulative. A frame that is no known event is returned as EventKind::unknown. Does not throw.
 class EventReader {
  public:
   virtual ~EventReader() = default;
   virtual core::StreamEvent read(std::string raw) = 0;
 };
 
-// Writes the events of one answer, in order, for a client of another dialect. Empty where the dialect has no
-// such event.
+// Writes the events of one answer, in order, for a client of another dialect. write() returns an empty string
+// where that dialect has no such event.
 class EventWriter {
  public:
   virtual ~EventWriter() = default;
   virtual std::string write(const core::StreamEvent& event) = 0;
 };
 
-// One dialect; there is a single, stateless object of each, and it lives as long as the program.
+// One dialect. There is a single, stateless object of each, which lives as long as the program.
 class Dialect {
  public:
   virtual ~Dialect() = default;
-  // As the operator's file calls it.
+  // The dialect's name in the operator's file.
   virtual std::string_view name() const = 0;
   // The path of chat requests, on both sides.
   virtual std::string_view path() const = 0;
-  // Throws http::BadMessage (400) where the body is no chat request that can be translated.
+  // Reads the body of a chat request. Throws http::BadMessage (400) if it cannot be translated.
   virtual Chat read_chat(std::string_view body) const = 0;
   virtual std::string write_chat(const Chat& chat) const = 0;
   virtual std::unique_ptr<EventReader> reader() const = 0;
   virtual std::unique_ptr<EventWriter> writer(std::string_view request_id) const = 0;
   // Whether this answer of a replica proves that it never began the request, so that a repeat is harmless.
-  virtual bool never_begun(const http::Head& answer) const = 0;
+  virtual bool proves_not_started(const http::Head& answer) const = 0;
   virtual ErrorAnswer error(Rejection rejection, std::string_view message) const = 0;
-  // What is left of a client's limits, in the headers of this dialect. `now`: microseconds since 1970.
+  // The headers that report the client's remaining quota in this dialect. `now`: microseconds since 1970.
   virtual std::vector<http::Header> limit_headers(const Allowance& allowance, Time now) const = 0;
 };
 
@@ -98,23 +98,24 @@
 // The dialect of this name; null if there is none.
 const Dialect* dialect_named(std::string_view name);
 
-// The request that a client's head and body describe. `now`: the router's clock, from which its deadline
-// counts. Throws http::BadMessage with the status for the client.
-Request read_request(const Call& call, const Names& names, Time now);
+// Reads the request that a client's head and body describe. Its deadline counts from `now`, the time on the
+// router's clock. Throws http::BadMessage with the status for the client.
+[[nodiscard]] Request read_request(const Call& call, const Names& names, Time now);
 
 // One attempt as it is written to a replica.
 struct AttemptBytes {
   std::string head;                         // first line and headers, with the blank line
   std::shared_ptr<const std::string> body;  // shared with the client's request where nothing had to change
 };
-// `target`: the dialect that the replica speaks. Where it is the client's, the bytes are as the client sent
-// them; else the body is translated. In both cases `wait` (microseconds) replaces the client's time limit,
-// and `model`, unless empty, the model that the body names. Throws http::BadMessage where the body cannot be
-// translated.
-AttemptBytes write_attempt(const Call& call, const Dialect& target, Time wait, std::string_view model = {});
-
-// The same JSON object with another value for its top-level "model"; every other byte stays. Throws
-// http::BadMessage (400) where it is no JSON object.
-std::string with_model(const std::string& body, std::string_view model);
+// Writes one attempt for a replica that speaks the dialect `target`. If the client speaks it too, the body is
+// the client's, byte for byte; otherwise it is translated. In both cases `wait` (microseconds) replaces the
+// client's time limit, and `model`, unless empty, replaces the model in the body. Throws http::BadMessage if
+// the body cannot be translated.
+[[nodiscard]] AttemptBytes write_attempt(const Call& call, const Dialect& target, Time wait,
+                                         std::string_view model = {});
+
+// Returns the JSON object with another value for its top-level "model"; every other byte stays. Throws
+// http::BadMessage (400) if `body` is no JSON object.
+[[nodiscard]] std::string with_model(const std::string& body, std::string_view model);
 
 }  // namespace thornwick::fronts
--- a/src/fronts/frames.cpp
+++ b/src/fronts/frames.cpp
@@ -6,6 +6,12 @@
 #include "http/http.hpp"
 
 namespace thornwick::fronts {
+namespace {
+
+// The status for an answer that cannot be used.
+constexpr int kBadGateway = 502;
+
+}  // namespace
 
 std::optional<std::string> FrameSplitter::next() {
   for (;;) {
@@ -18,33 +24,36 @@
     if (line.ends_with('\r')) line.remove_suffix(1);
     line_ = end + 1;
     if (!line.empty()) {
-      check(line);
-      begun_ = true;
+      check_line(line);
+      has_content_ = true;
     }
-    if (!line.empty() || !begun_) continue;
+    if (!line.empty() || !has_content_) continue;
     std::string frame = buffer_.substr(0, line_);
     buffer_.erase(0, line_);
-    line_ = scanned_ = 0;
-    begun_ = false;
+    line_ = 0;
+    scanned_ = 0;
+    has_content_ = false;
     return frame;
   }
 }
 
 std::string FrameSplitter::rest() {
-  if (line_ < buffer_.size()) check(std::string_view(buffer_).substr(line_));
-  line_ = scanned_ = 0;
-  if (!std::exchange(begun_, false) && buffer_.find_first_not_of("\r\n") == std::string::npos)
+  if (line_ < buffer_.size()) check_line(std::string_view(buffer_).substr(line_));
+  line_ = 0;
+  scanned_ = 0;
+  if (!std::exchange(has_content_, false) && buffer_.find_first_not_of("\r\n") == std::string::npos)
     buffer_.clear();
   return std::exchange(buffer_, {});
 }
 
-// Guards against chunks whose sizes do not fit: what frames the next chunk would pass for a part of an event.
-void FrameSplitter::check(std::string_view line) const {
+// Throws BadMessage for a line that has no field of an event stream. Where the sizes of chunks are wrong, the
+// size line of the next chunk would otherwise be taken for a part of an event.
+void FrameSplitter::check_line(std::string_view line) {
   const auto field = line.substr(0, line.find(':'));
   for (const auto* known : {"data", "event", "id", "retry", ""}) {
     if (field == known) return;
   }
-  throw http::BadMessage(502, "a line that no event stream holds");
+  throw http::BadMessage(kBadGateway, "a line that no event stream holds");
 }
 
 Frame read_frame(std::string_view raw) {
--- a/src/fronts/frames.hpp
+++ b/src/fronts/frames.hpp
@@ -1,4 +1,4 @@
-// Server-sent events (WHATWG HTML, section 9.2): cuts a byte stream into frames and reads their fields.
+// Server-sent events (WHATWG HTML, section 9.2): splits a byte stream into frames and reads their fields.
 #pragma once
 
 #include <optional>
@@ -8,26 +8,27 @@
 
 namespace thornwick::fronts {
 
-// Cuts a byte stream into frames, each with the blank line that ends it; blank lines ahead of a frame belong
-// to it. Whoever feeds it bounds what it holds.
+// Splits a byte stream into frames. A frame includes the blank line that ends it and the blank lines before
+// it. The caller bounds the bytes that are buffered here (held()).
 class FrameSplitter {
  public:
-  // Bytes of the stream, in order.
+  // Adds bytes of the stream, in order.
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole frame, byte for byte. Throws http::BadMessage for a line that no event stream holds.
-  std::optional<std::string> next();
-  // What is left when the stream has ended: a last line need not be followed by a blank one.
-  std::string rest();
-  // Bytes fed and not handed out yet.
+  // Takes the next complete frame, byte for byte; none if more bytes are needed. Throws http::BadMessage for
+  // a line that has no field of an event stream.
+  [[nodiscard]] std::optional<std::string> next();
+  // Takes the frame that the end of the stream completes; empty if there is none. Throws like next().
+  [[nodiscard]] std::string rest();
+  // Bytes that were fed and not returned yet.
   std::size_t held() const { return buffer_.size(); }
 
  private:
-  std::string buffer_;
-  bool begun_ = false;  // a line that is not blank has come
-  void check(std::string_view line) const;
+  static void check_line(std::string_view line);
 
-  std::size_t line_ = 0;     // where the first line starts that was not looked at yet
-  std::size_t scanned_ = 0;  // and up to where that one is known not to end
+  std::string buffer_;
+  bool has_content_ = false;  // the current frame has a line that is not blank
+  std::size_t line_ = 0;      // index of the first line that was not checked yet
+  std::size_t scanned_ = 0;   // index up to which the end of that line was searched for
 };
 
 // The fields of one frame.
@@ -37,7 +38,7 @@
   std::string comment;  // the latest comment line
   bool has_data = false;
 };
-// Fields of other names are passed over.
-Frame read_frame(std::string_view raw);
+// Reads the fields of one frame; fields with other names are ignored.
+[[nodiscard]] Frame read_frame(std::string_view raw);
 
 }  // namespace thornwick::fronts
--- a/src/fronts/messages.cpp
+++ b/src/fronts/messages.cpp
@@ -10,6 +10,15 @@
 using core::EventKind;
 using core::StreamEvent;
 
+// The status and the error type that clients of this dialect expect.
+constexpr ErrorKinds kErrorKinds{.bad_request = {400, "invalid_request_error"},
+                                 .too_large = {413, "request_too_large"},
+                                 .not_found = {404, "not_found_error"},
+                                 .overloaded = {529, "overloaded_error"},
+                                 .over_limit = {429, "rate_limit_error"},
+                                 .failed = {500, "api_error"},
+                                 .timed_out = {504, "timeout_error"}};
+
 // Why an answer ended, translated between the dialects' words.
 std::string to_platform_reason(std::string_view reason) {
   if (reason == "max_tokens") return "length";
@@ -80,8 +89,8 @@
     std::uint64_t value = 0;
     if (usage.at_key("input_tokens").get(value) == simdjson::SUCCESS) uncached_prompt_ = value;
     if (usage.at_key("output_tokens").get(value) == simdjson::SUCCESS) usage_.generated = value;
-    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.kept = value;
-    usage_.prompt = uncached_prompt_ + usage_.kept;  // input_tokens leaves out what was read from the cache
+    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.cached = value;
+    usage_.prompt = uncached_prompt_ + usage_.cached;  // input_tokens leaves out what was read from the cache
   }
 
   simdjson::dom::parser parser_;
@@ -117,8 +126,7 @@
         out += named_event("message_stop", "");
         break;
       case EventKind::error:
-        out +=
-            named_event("error", R"(,"error":{"type":"api_error","message":)" + json_text(event.text) + "}");
+        out += named_event("error", "," + error_member(kErrorKinds.failed.type, event.text));
         break;
       case EventKind::ping: out += named_event("ping", ""); break;
       case EventKind::comment:
@@ -133,8 +141,8 @@
   }
 
   static std::string usage_json(const core::Usage& usage) {
-    return "{\"input_tokens\":" + std::to_string(usage.prompt - std::min(usage.prompt, usage.kept)) +
-           ",\"cache_read_input_tokens\":" + std::to_string(usage.kept) +
+    return "{\"input_tokens\":" + std::to_string(usage.prompt - std::min(usage.prompt, usage.cached)) +
+           ",\"cache_read_input_tokens\":" + std::to_string(usage.cached) +
            ",\"output_tokens\":" + std::to_string(usage.generated) + "}";
   }
 
@@ -176,20 +184,6 @@
   bool usage_written_ = false;
 };
 
-// The status and the error type that clients of this dialect expect.
-ErrorKind error_kind(Rejection rejection) {
-  switch (rejection) {
-    case Rejection::bad_request: return {400, "invalid_request_error"};
-    case Rejection::too_large: return {413, "request_too_large"};
-    case Rejection::not_found: return {404, "not_found_error"};
-    case Rejection::overloaded: return {529, "overloaded_error"};
-    case Rejection::over_limit: return {429, "rate_limit_error"};
-    case Rejection::timed_out: return {504, "timeout_error"};
-    case Rejection::failed: break;
-  }
-  return {500, "api_error"};
-}
-
 class Messages : public Dialect {
  public:
   std::string_view name() const override { return "messages"; }
@@ -228,14 +222,13 @@
     return std::make_unique<Writer>(request_id);
   }
 
-  bool never_begun(const http::Head& answer) const override {
+  bool proves_not_started(const http::Head& answer) const override {
     return rejected_by_replica(answer) || answer.status == 429 || answer.status == 529;
   }
 
   ErrorAnswer error(Rejection rejection, std::string_view message) const override {
-    const auto [status, type] = error_kind(rejection);
-    return {status, std::string(R"({"type":"error","error":{"type":")") + type + R"(","message":)" +
-                        json_text(message) + "}}"};
+    const ErrorKind kind = kErrorKinds.of(rejection);
+    return {.status = kind.status, .body = R"({"type":"error",)" + error_member(kind.type, message) + "}"};
   }
 
   // The reset is a moment: RFC 3339.
--- a/src/fronts/platform.cpp
+++ b/src/fronts/platform.cpp
@@ -10,6 +10,15 @@
 using core::EventKind;
 using core::StreamEvent;
 
+// The status and the error type that clients of this dialect expect.
+constexpr ErrorKinds kErrorKinds{.bad_request = {400, "invalid_request_error"},
+                                 .too_large = {413, "invalid_request_error"},
+                                 .not_found = {404, "not_found_error"},
+                                 .overloaded = {503, "overloaded"},
+                                 .over_limit = {429, "rate_limit_exceeded"},
+                                 .failed = {502, "server_error"},
+                                 .timed_out = {504, "timeout"}};
+
 // Reads the events of a replica that speaks this dialect.
 class Reader : public EventReader {
  public:
@@ -73,8 +82,7 @@
                (event.has_usage ? usage_event(event.usage) : std::string());
       case EventKind::usage: return usage_event(event.usage);
       case EventKind::end: return "data: [DONE]\n\n";
-      case EventKind::error:
-        return R"(data: {"error":{"type":"server_error","message":)" + json_text(event.text) + "}}\n\n";
+      case EventKind::error: return "data: {" + error_member(kErrorKinds.failed.type, event.text) + "}\n\n";
       case EventKind::ping: return ": ping\n\n";
       case EventKind::comment:
       case EventKind::unknown: break;
@@ -86,7 +94,7 @@
   static std::string usage_event(const core::Usage& usage) {
     return R"(data: {"choices":[],"usage":{"prompt_tokens":)" + std::to_string(usage.prompt) +
            ",\"completion_tokens\":" + std::to_string(usage.generated) +
-           R"(,"prompt_tokens_details":{"cached_tokens":)" + std::to_string(usage.kept) + "}}}\n\n";
+           R"(,"prompt_tokens_details":{"cached_tokens":)" + std::to_string(usage.cached) + "}}}\n\n";
   }
 
   std::string choice_event(const std::string& delta, const std::string& reason) const {
@@ -97,20 +105,6 @@
   std::string model_;  // as the replica called itself
 };
 
-// The status and the error type that clients of this dialect expect.
-ErrorKind error_kind(Rejection rejection) {
-  switch (rejection) {
-    case Rejection::bad_request: return {400, "invalid_request_error"};
-    case Rejection::too_large: return {413, "invalid_request_error"};
-    case Rejection::not_found: return {404, "not_found_error"};
-    case Rejection::overloaded: return {503, "overloaded"};
-    case Rejection::over_limit: return {429, "rate_limit_exceeded"};
-    case Rejection::timed_out: return {504, "timeout"};
-    case Rejection::failed: break;
-  }
-  return {502, "server_error"};
-}
-
 class Platform : public Dialect {
  public:
   std::string_view name() const override { return "platform"; }
@@ -135,12 +129,11 @@
   std::unique_ptr<EventReader> reader() const override { return std::make_unique<Reader>(); }
   std::unique_ptr<EventWriter> writer(std::string_view) const override { return std::make_unique<Writer>(); }
 
-  bool never_begun(const http::Head& answer) const override { return rejected_by_replica(answer); }
+  bool proves_not_started(const http::Head& answer) const override { return rejected_by_replica(answer); }
 
   ErrorAnswer error(Rejection rejection, std::string_view message) const override {
-    const auto [status, type] = error_kind(rejection);
-    return {status,
-            std::string(R"({"error":{"type":")") + type + R"(","message":)" + json_text(message) + "}}"};
+    const ErrorKind kind = kErrorKinds.of(rejection);
+    return {.status = kind.status, .body = "{" + error_member(kind.type, message) + "}"};
   }
 
   // The reset is a time from now on.
--- a/src/gossip/gossip.hpp
+++ b/src/gossip/gossip.hpp
@@ -1,6 +1,7 @@
-// Messages in which the routers of a large group share what they observe of replicas: a few bytes an item,
-// gathered into messages of at most 256 bytes. The routing policy decides what to report and what to make of
-// a report (src/policy/peer_observations.cpp); here are the format, its bounds and a rate limit on each peer.
+// Messages in which the routers of a large group share what they observe of replicas. An item takes five
+// bytes; items are gathered into messages of at most 256 bytes. This module has the format, its bounds and
+// the rate limit on each peer. The routing policy decides what to report and how to act on a report
+// (src/policy/peer_observations.cpp).
 #pragma once
 
 #include <algorithm>
@@ -15,12 +16,12 @@
 
 namespace thornwick {
 
-// What one router has seen of a replica. The values are those on the wire.
+// What one router has observed of a replica. The values are those on the wire.
 enum class Observation : std::uint8_t {
-  stumbled,  // it failed a request, and quickly
-  silent,    // it could not be reached, or did not answer in time
-  slow,      // a first token came late enough to be called slow
-  late       // ... or after the latency objective
+  failed,       // it failed a request without delay
+  unreachable,  // it could not be reached, or did not answer in time
+  slow,         // its first token came later than usual, but within the latency objective
+  late          // its first token came after the latency objective
 };
 
 // Points that decay exponentially as time passes.
@@ -29,7 +30,7 @@
   double points = 0;
   Time updated = 0;
 
-  // Adds points to what is left by now. Returns the sum.
+  // Decays the points to the time `now`, adds `more`, and returns the sum.
   double add(Time now, double more) {
     points = points * std::exp(static_cast<double>(std::min<Time>(0, updated - now)) / kTimeConstant) + more;
     updated = now;
@@ -40,30 +41,34 @@
 // One observation of one replica.
 struct GossipItem {
   ReplicaId replica = 0;
-  Observation seen = Observation::stumbled;
+  Observation seen = Observation::failed;
 };
 
-// Gathers the items of this router into messages and reads those of its peers. No input or output of its own.
+// Gathers the items of this router into messages and reads those of its peers. Does no I/O, and is not
+// thread-safe.
 class Gossip {
  public:
-  static constexpr std::size_t kMaxItems = 50;           // in a message: 2 bytes of head, 5 for each item
-  static constexpr Time kGatherTime = milliseconds(50);  // microseconds from a first item to its message
-  static constexpr std::uint32_t kAll = 0xffffffff;      // the rank that stands for all peers
-  static constexpr double kMaxItemsPerSecond = 100;      // of one peer; more are ignored
+  static constexpr std::size_t kMaxItems = 50;            // in a message: 2 bytes of head, 5 for each item
+  static constexpr Time kGatherTime = milliseconds(50);   // from a first item to its message
+  static constexpr std::uint32_t kAllPeers = 0xffffffff;  // the rank that stands for all peers
+  static constexpr double kMaxItemsPerSecond = 100;       // of one peer; more are ignored
   static constexpr std::size_t kMaxPeers = 4096;  // whose rate is kept; messages of higher ranks are refused
 
-  // Adds an item to the next message; beyond kMaxItems it is dropped. Returns whether it is the first since
-  // the last message: then one is due in kGatherTime.
+  // Adds an item to the next message; an item beyond kMaxItems is dropped. Returns whether it is the first
+  // item since the last message; the caller then takes the message after kGatherTime.
   bool add(GossipItem item);
-  // All items that were added since the last message, as one message; empty if there are none.
-  std::string message();
+  // Takes all items that were added since the last message, as one message. Empty if there are none.
+  [[nodiscard]] std::string take_message();
 
-  // The items of a peer's message; none if it is cut, too long or no message of this kind. Of a peer that
-  // sends too many, only the first are returned.
-  std::vector<GossipItem> read(Time now, std::uint32_t peer, std::span<const std::uint8_t> message);
+  // Returns the items of a peer's message: none if the message is truncated, too long or of another kind, and
+  // only the first ones if the peer exceeds kMaxItemsPerSecond.
+  [[nodiscard]] std::vector<GossipItem> read(Time now, std::uint32_t peer,
+                                             std::span<const std::uint8_t> message);
 
-  std::uint64_t unreadable() const { return unreadable_; }  // messages that could not be read
-  std::uint64_t ignored() const { return ignored_; }        // items of peers that sent too many
+  // Messages of peers that could not be decoded.
+  std::uint64_t unreadable() const { return unreadable_; }
+  // Items that were dropped because their peer exceeded its rate.
+  std::uint64_t ignored() const { return ignored_; }
 
  private:
   // A token bucket of items.
@@ -72,10 +77,10 @@
     double allowance = kMaxItemsPerSecond;
   };
 
-  // Holds a peer to its rate: drops the items beyond it. Bounds what one faulty peer can do to all others.
-  void limit(Time now, std::uint32_t peer, std::vector<GossipItem>& items);
+  // Drops the items that exceed the peer's rate, which bounds the harm that one faulty peer does.
+  void limit_rate(Time now, std::uint32_t peer, std::vector<GossipItem>& items);
 
-  std::vector<GossipItem> waiting_;
+  std::vector<GossipItem> pending_;
   std::vector<Peer> peers_;  // by rank
   std::uint64_t unreadable_ = 0;
   std::uint64_t ignored_ = 0;
--- a/src/http/http.cpp
+++ b/src/http/http.cpp
@@ -8,12 +8,14 @@
 namespace thornwick::http {
 namespace {
 
-constexpr std::size_t kSmallBuffer = 4096;  // what a connection that waits may keep
+constexpr std::size_t kMaxIdleBuffer = 4096;  // bytes that a connection without unread input may keep
 constexpr std::string_view kProtocol = "HTTP/1.";
-constexpr int kMostBlankLines = 4;  // ahead of a message
-constexpr std::size_t kMostChunkSizeLine = 256;
+constexpr int kMaxBlankLines = 4;  // ahead of a message
+constexpr std::size_t kMaxChunkSizeLine = 256;
 constexpr std::size_t kLineEnd = 2;  // bytes of "\r\n"
 constexpr char kDelete = 127;        // the first ASCII character above the printable ones
+constexpr int kDecimal = 10;
+constexpr int kHexadecimal = 16;
 
 char lower(char letter) {
   return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
@@ -43,13 +45,11 @@
                      [](char letter) { return letter != '\t' && static_cast<unsigned char>(letter) < ' '; });
 }
 
-// The number that the whole text is; throws BadMessage with this status and text where it is none.
-std::uint64_t parse_number(std::string_view text, int base, int status, const char* what) {
+// Converts the whole text to a number. Throws BadMessage with `error` if the text is anything else.
+std::uint64_t parse_number(std::string_view text, int base, MessageError error) {
   std::uint64_t value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  if (text.empty() || error != std::errc{} || end != text.data() + text.size()) {
-    throw BadMessage(status, what);
-  }
+  const auto [end, status] = std::from_chars(text.data(), text.data() + text.size(), value, base);
+  if (text.empty() || status != std::errc{} || end != text.data() + text.size()) throw BadMessage(error);
   return value;
 }
 
@@ -88,8 +88,8 @@
 
 // ---------------------------------------------------------------- reading
 
-// Guards against work that grows with the square of what is sent in small pieces: what is consumed is only
-// skipped, and moved out of the way once it is the larger part.
+// Consumed bytes are skipped, and erased only once they are the larger part of the buffer: erasing them after
+// each piece would cost time that grows with the square of a message that is sent in small pieces.
 void MessageReader::feed(std::string_view bytes) {
   if (at_ > buffer_.size() / 2) buffer_.erase(0, std::exchange(at_, 0));
   buffer_.append(bytes);
@@ -99,7 +99,7 @@
   at_ += size;
   if (at_ < buffer_.size()) return;
   at_ = 0;
-  if (buffer_.capacity() > kSmallBuffer) {
+  if (buffer_.capacity() > kMaxIdleBuffer) {
     buffer_ = {};
   } else {
     buffer_.clear();
@@ -133,11 +133,12 @@
 
 bool MessageReader::read_chunk_size() {
   std::string line;
-  if (!take_line(line, kMostChunkSizeLine)) return false;
-  left_ = parse_number(trim(std::string_view(line).substr(0, line.find(';'))), 16, 400, "bad chunk size");
-  // Guards against a size that nothing can fit: its "data" would pass for the rest of the connection.
-  if (kind_ == Kind::request && left_ > kMaxBody) throw BadMessage(413, "body too large");
-  if (kind_ == Kind::answer && left_ > max_chunk_) throw BadMessage(502, "chunk too large");
+  if (!take_line(line, kMaxChunkSizeLine)) return false;
+  left_ = parse_number(trim(std::string_view(line).substr(0, line.find(';'))), kHexadecimal,
+                       MessageError::bad_chunk_size);
+  // A size beyond every limit is an error: otherwise the rest of the connection would be read as one chunk.
+  if (kind_ == Kind::request && left_ > kMaxBody) throw BadMessage(MessageError::request_body_too_large);
+  if (kind_ == Kind::answer && left_ > max_chunk_) throw BadMessage(MessageError::chunk_too_large);
   state_ = left_ == 0 ? State::trailers : State::chunk_data;
   return true;
 }
@@ -145,7 +146,7 @@
 bool MessageReader::read_chunk_end() {
   std::string line;
   if (!take_line(line, kLineEnd)) return false;
-  if (!line.empty()) throw BadMessage(400, "chunk without its end");
+  if (!line.empty()) throw BadMessage(MessageError::chunk_not_terminated);
   state_ = State::chunk_size;
   return true;
 }
@@ -154,7 +155,7 @@
   std::string line;
   if (!take_line(line, kMaxHead)) return false;
   trailer_bytes_ += line.size() + kLineEnd;
-  if (trailer_bytes_ > kMaxHead) throw BadMessage(431, "trailers too long");
+  if (trailer_bytes_ > kMaxHead) throw BadMessage(MessageError::trailers_too_long);
   if (line.empty()) state_ = State::done;
   return true;
 }
@@ -166,7 +167,8 @@
   return Piece::body;
 }
 
-// Takes what is there of `left_` bytes; `end` (to the caller inside) once none is left to take.
+// Takes the available bytes of the `left_` that are still to come. Returns `end` and enters the state `after`
+// once all of them have been taken; `end` is then the end of the message or, within chunks, of one chunk.
 MessageReader::Piece MessageReader::take_counted(State after) {
   if (left_ == 0) {
     state_ = after == State::done ? State::head : after;
@@ -175,7 +177,7 @@
   if (held() == 0) return Piece::none;
   const auto size = static_cast<std::size_t>(std::min<std::uint64_t>(left_, held()));
   body_seen_ += size;
-  if (kind_ == Kind::request && body_seen_ > kMaxBody) throw BadMessage(413, "body too large");
+  if (kind_ == Kind::request && body_seen_ > kMaxBody) throw BadMessage(MessageError::request_body_too_large);
   body_ = rest().substr(0, size);
   consume(size);
   left_ -= size;
@@ -184,10 +186,10 @@
 
 bool MessageReader::take_line(std::string& line, std::size_t limit) {
   const auto end = rest().find('\n');
-  if (std::min(end, held()) > limit + kLineEnd) throw BadMessage(400, "line too long");
+  if (std::min(end, held()) > limit + kLineEnd) throw BadMessage(MessageError::line_too_long);
   if (end == std::string_view::npos) return false;
-  // Guards against messages that two readers would cut differently: a line ends with both characters.
-  if (end == 0 || rest()[end - 1] != '\r') throw BadMessage(400, "bare line feed");
+  // A line has to end with both characters: two readers that disagree on it would split messages differently.
+  if (end == 0 || rest()[end - 1] != '\r') throw BadMessage(MessageError::bare_line_feed);
   line = rest().substr(0, end - 1);
   consume(end + 1);
   return true;
@@ -196,14 +198,14 @@
 bool MessageReader::read_head() {
   for (;;) {
     while (rest().starts_with("\r\n")) {
-      if (++blank_lines_ > kMostBlankLines) throw BadMessage(400, "nothing but blank lines");
+      if (++blank_lines_ > kMaxBlankLines) throw BadMessage(MessageError::only_blank_lines);
       consume(2);
     }
-    // Guards against waiting for the end of what is no head at all.
+    // Fails as soon as the first bytes cannot begin an answer, instead of waiting for the end of a head.
     const auto start = rest().substr(0, kProtocol.size());
-    if (kind_ == Kind::answer && !kProtocol.starts_with(start)) throw BadMessage(502, "no HTTP");
+    if (kind_ == Kind::answer && !kProtocol.starts_with(start)) throw BadMessage(MessageError::not_http);
     const auto end = rest().find("\r\n\r\n", scanned_);
-    if (std::min(end, held()) > kMaxHead) throw BadMessage(431, "head too long");
+    if (std::min(end, held()) > kMaxHead) throw BadMessage(MessageError::head_too_long);
     if (end == std::string_view::npos) {
       scanned_ = held() - std::min<std::size_t>(held(), 3);
       return false;
@@ -213,9 +215,9 @@
     parse_head(rest().substr(0, end + 2));
     consume(end + 4);
     if (kind_ == Kind::request || head_.status >= 200) break;
-    // An interim answer tells nothing of the request; the real head follows. Nobody asked for an upgrade.
-    if (head_.status == 101 || head_.status < 100) throw BadMessage(502, "not an answer");
-    if (++interim_ > kMostInterim) throw BadMessage(502, "too many interim answers");
+    // An interim answer (1xx) is skipped; the final head follows. An upgrade (101) was never requested.
+    if (head_.status == 101 || head_.status < 100) throw BadMessage(MessageError::unexpected_interim_status);
+    if (++interim_ > kMaxInterimAnswers) throw BadMessage(MessageError::too_many_interim_answers);
   }
   interim_ = 0;
   choose_framing();
@@ -228,7 +230,7 @@
   parse_first_line(text.substr(0, first_end));
   text.remove_prefix(first_end + kLineEnd);
   while (!text.empty()) {
-    if (head_.headers.size() >= kMaxHeaders) throw BadMessage(431, "too many headers");
+    if (head_.headers.size() >= kMaxHeaders) throw BadMessage(MessageError::too_many_headers);
     const auto line_end = text.find("\r\n");
     parse_header(text.substr(0, line_end));
     text.remove_prefix(line_end + kLineEnd);
@@ -237,43 +239,44 @@
 
 void MessageReader::parse_first_line(std::string_view line) {
   const auto space = line.find(' ');
-  if (space == std::string_view::npos) throw BadMessage(400, "bad first line");
+  if (space == std::string_view::npos) throw BadMessage(MessageError::bad_first_line);
   std::string_view version;
   if (kind_ == Kind::request) {
     const auto second = line.find(' ', space + 1);
-    if (second == std::string_view::npos) throw BadMessage(400, "bad first line");
+    if (second == std::string_view::npos) throw BadMessage(MessageError::bad_first_line);
     head_.method = line.substr(0, space);
     head_.target = line.substr(space + 1, second - space - 1);
     version = line.substr(second + 1);
     if (!is_token(head_.method) || head_.target.empty() || !is_printable(head_.target)) {
-      throw BadMessage(400, "bad first line");
+      throw BadMessage(MessageError::bad_first_line);
     }
   } else {
     version = line.substr(0, space);
-    head_.status = static_cast<int>(parse_number(line.substr(space + 1, 3), 10, 502, "bad status"));
+    head_.status =
+        static_cast<int>(parse_number(line.substr(space + 1, 3), kDecimal, MessageError::bad_status));
   }
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(400, "unknown HTTP version");
+  if (version != "HTTP/1.1" && version != "HTTP/1.0") throw BadMessage(MessageError::unknown_version);
   head_.http_1_0 = version == "HTTP/1.0";
 }
 
 void MessageReader::parse_header(std::string_view line) {
   const auto colon = line.find(':');
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) {
-    throw BadMessage(400, "bad header line");
+    throw BadMessage(MessageError::bad_header_line);
   }
   const auto value = trim(line.substr(colon + 1));
-  if (has_control_character(value)) throw BadMessage(400, "bad header value");
+  if (has_control_character(value)) throw BadMessage(MessageError::bad_header_value);
   head_.headers.push_back({std::string(line.substr(0, colon)), std::string(value)});
 }
 
-// Guards against messages that two readers would cut differently (request smuggling): whatever leaves a
-// choice is an error.
+// Throws BadMessage where two readers could disagree on the length of the body (request smuggling).
 void MessageReader::check_framing(const std::string* length, const std::string* coding) const {
-  if (head_.count("Content-Length") > 1) throw BadMessage(400, "two lengths");
-  if (head_.count("Transfer-Encoding") > 1) throw BadMessage(400, "two transfer codings");
-  if (coding != nullptr && length != nullptr) throw BadMessage(400, "length and transfer coding");
-  if (coding != nullptr && head_.http_1_0) throw BadMessage(400, "transfer coding in HTTP/1.0");
-  if (coding != nullptr && !same_name(*coding, "chunked")) throw BadMessage(400, "unknown transfer coding");
+  if (head_.count("Content-Length") > 1) throw BadMessage(MessageError::several_lengths);
+  if (head_.count("Transfer-Encoding") > 1) throw BadMessage(MessageError::several_transfer_codings);
+  if (coding != nullptr && length != nullptr) throw BadMessage(MessageError::length_and_transfer_coding);
+  if (coding != nullptr && head_.http_1_0) throw BadMessage(MessageError::transfer_coding_in_http_1_0);
+  if (coding != nullptr && !same_name(*coding, "chunked"))
+    throw BadMessage(MessageError::unknown_transfer_coding);
 }
 
 void MessageReader::choose_framing() {
@@ -287,8 +290,8 @@
   if (coding != nullptr) {
     state_ = State::chunk_size;
   } else if (length != nullptr || kind_ == Kind::request || empty) {
-    if (length != nullptr && !empty) left_ = parse_number(*length, 10, 400, "bad length");
-    if (kind_ == Kind::request && left_ > kMaxBody) throw BadMessage(413, "body too large");
+    if (length != nullptr && !empty) left_ = parse_number(*length, kDecimal, MessageError::bad_length);
+    if (kind_ == Kind::request && left_ > kMaxBody) throw BadMessage(MessageError::request_body_too_large);
     state_ = State::counted;
   } else {
     state_ = State::until_end;
--- a/src/http/http.hpp
+++ b/src/http/http.hpp
@@ -1,33 +1,30 @@
-// HTTP/1.1 messages (RFC 9112): read piece by piece from bytes as they come, and written. Knows no sockets
-// and depends on nothing else of the project.
+// Reads and writes HTTP/1.1 messages (RFC 9112). The reader takes bytes as they arrive and returns a message
+// in pieces. This module uses no sockets and nothing else of the project.
 //
-// Reading is strict where leniency would let two readers see different messages: one length or one transfer
-// coding, lines that end with both characters, no control characters. Every buffer is bounded by the
-// constants below.
+// The reader is strict where a lenient one would let two readers see different messages: a message has one
+// length or one transfer coding, each line ends with CR LF, and header values have no control characters. The
+// constants below bound every buffer.
 #pragma once
 
 #include <cstdint>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <utility>
 #include <vector>
 
+#include "http/message_error.hpp"
+
 namespace thornwick::http {
 
 inline constexpr std::size_t kKibibyte = 1024;
-inline constexpr std::size_t kMaxHead =
-    16 * kKibibyte;  // bytes of a first line with all headers, or of all trailers
-inline constexpr std::size_t kMaxBody = 256 * kKibibyte;  // bytes of a request's body
-inline constexpr std::size_t kMaxHeaders = 100;           // header lines of a message
-inline constexpr int kMostInterim = 8;                    // 1xx answers ahead of the final one
-
-// A message that breaks the rules. `status`: what a server answers to it (4xx), or 502 for an answer that
-// cannot be used.
-struct BadMessage : std::runtime_error {
-  BadMessage(int code, const std::string& what) : std::runtime_error(what), status(code) {}
-  int status;
-};
+// Bytes of a first line with all headers, or of all trailers.
+inline constexpr std::size_t kMaxHead = 16 * kKibibyte;
+// Bytes of a request's body.
+inline constexpr std::size_t kMaxBody = 256 * kKibibyte;
+// Header lines of a message.
+inline constexpr std::size_t kMaxHeaders = 100;
+// Interim answers (1xx) before the final one.
+inline constexpr int kMaxInterimAnswers = 8;
 
 // One header line. Names are compared without regard to case.
 struct Header {
@@ -56,9 +53,9 @@
 // Whether a comma-separated header value (null: no such header) holds this token.
 bool has_token(const std::string* value, std::string_view token);
 
-// Reads the messages of one connection: feed bytes as they come, then take pieces until there is `none`;
-// after `end` the next message begins. The bytes of a body are handed out as they come and are not gathered
-// here.
+// Reads the messages of one connection. The caller feeds bytes as they arrive and then calls next() until it
+// returns `none`; after `end` the next message begins. The bytes of a body are returned as they arrive; the
+// caller bounds what it collects.
 class MessageReader {
  public:
   enum class Kind { request, answer };
@@ -68,14 +65,17 @@
   explicit MessageReader(Kind kind, std::size_t max_chunk = kMaxBody) : kind_(kind), max_chunk_(max_chunk) {}
   // Bytes of the connection, in order.
   void feed(std::string_view bytes);
-  // Throws BadMessage; the reader is of no use afterwards.
-  Piece next();
-  // Of the message in work, from Piece::head on.
+  // Returns the next piece; `none` if it needs more bytes. Throws BadMessage, after which the reader must not
+  // be used any more.
+  [[nodiscard]] Piece next();
+  // The head of the current message; valid from Piece::head on.
   const Head& head() const { return head_; }
-  // The bytes of the latest Piece::body.
+  // Takes the bytes of the latest Piece::body.
   std::string take_body() { return std::move(body_); }
-  // The connection has ended: is the message in work whole by that? (An answer without a length.)
-  bool whole_at_end() const { return state_ == State::until_end; }
+  // Whether the end of the connection completes the current message, as it does for an answer without a
+  // length.
+  bool complete_at_end_of_connection() const { return state_ == State::until_end; }
+  // Whether all bytes belong to complete messages, so that the connection can be closed or reused.
   bool between_messages() const { return state_ == State::head && at_ == buffer_.size(); }
   // Bytes fed and not consumed yet.
   std::size_t held() const { return buffer_.size() - at_; }
@@ -104,10 +104,10 @@
   State state_ = State::head;
   std::string buffer_;
   std::string body_;
-  std::size_t at_ = 0;       // where what is not consumed yet begins
-  std::size_t scanned_ = 0;  // bytes behind it in which no head ends
-  int blank_lines_ = 0;      // ahead of the head in work
-  int interim_ = 0;          // 1xx answers ahead of it
+  std::size_t at_ = 0;       // index in buffer_ of the first byte that is not consumed
+  std::size_t scanned_ = 0;  // bytes from there on that were searched for the end of a head
+  int blank_lines_ = 0;      // before the current head
+  int interim_ = 0;          // 1xx answers before the current head
   Head head_;
   std::uint64_t left_ = 0;       // bytes of the body or chunk that are still to come
   std::uint64_t body_seen_ = 0;  // bytes of the body so far
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -35,7 +35,7 @@
                   return boost::random::uniform_01<double>()(random);
                 }),
       address_(discovery_address(options_.address)) {
-  call_at(schedule_.first(now_us()));
+  call_at(schedule_.first_call_time(now_us()));
 }
 
 // ---------------------------------------------------------------- calling
@@ -58,15 +58,15 @@
   drop(std::move(idle_));
   for (auto& out : std::exchange(calls_out_, {})) drop(std::move(out));
   has_revision_ = false;
-  schedule_.turned();
+  schedule_.on_server_changed();
   send_request(Scope::whole_list);
 }
 
 void DiscoveryClient::send_request(Scope scope) {
   ++counters_.calls;
-  const DiscoveryCall call{.number = counters_.calls, .plan = schedule_.begin(now_us())};
+  const DiscoveryCall call{.number = counters_.calls, .plan = schedule_.begin_call(now_us())};
   call_at(call.plan.next);
-  limit_calls_out(core::DiscoverySchedule::kMaxCallsOut - 1);
+  limit_calls_out(core::DiscoverySchedule::kMaxCallsInFlight - 1);
   auto connection = take_connection();
   if (!connection) return fail(call, {.kind = "no connection"});
   connection->begin(call, request_text(scope, call.plan.wait));
@@ -146,7 +146,7 @@
   drop(std::exchange(idle_, take_out(connection)));
   limit_calls_out(0);
   const std::uint64_t revision_before = revision_;
-  schedule_.answered();
+  schedule_.on_call_answered();
   note_revision(list);
   log_answer(call, list, revision_before);
   callbacks_.list(list);
@@ -168,7 +168,7 @@
   line << "a call of discovery failed: " << logging::field("reason", failure.kind);
   if (!failure.detail.empty()) line << " (" << logging::field("detail", failure.detail) << ")";
   describe_call(line, call);
-  if (call.number == counters_.calls) call_at(schedule_.failed(now_us(), call.plan));
+  if (call.number == counters_.calls) call_at(schedule_.on_call_failed(now_us(), call.plan));
   if (!options_.calls.pushed) callbacks_.failed();
 }
 
@@ -176,7 +176,7 @@
   if (!calls_out_.empty()) return;  // whoever took the list over has asked for another one
   // Guards against a discovery that gives no version to wait behind, and one that does not wait: the loop
   // would spin.
-  if (!has_revision_) return call_at(schedule_.failed(now_us(), call.plan));
+  if (!has_revision_) return call_at(schedule_.on_call_failed(now_us(), call.plan));
   if (revision_ == revision_before) return call_at(now_us() + kWatchGap);
   // At once: a watch goes on only if the next call comes within 200 ms.
   this->call();
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -66,7 +66,7 @@
   }
   reader_.feed(bytes);
   if (state_ == State::busy) {
-    if (reader_.held() > kMaxReadAhead) stream_.hold(true);
+    if (reader_.held() > kMaxReadAhead) stream_.pause_reading();
     return;
   }
   read_requests();
@@ -230,7 +230,7 @@
   on_answered();
 }
 
-bool DownstreamServer::Connection::client_there() {
+bool DownstreamServer::Connection::client_connected() {
   if (!stream_.ended_now()) return true;
   next_step_.start(0, [this] { leave("the client ended it"); });  // not from within the core's call
   return false;
@@ -255,7 +255,7 @@
 // Guards the memory against clients that read slowly: their replica has to wait.
 void DownstreamServer::Connection::watch_congestion() {
   if (stream_.unsent() <= owner_.options_.congested || std::exchange(congested_, true)) return;
-  owner_.core_.client_congested(core_request_id_, true);
+  owner_.core_.client_congested(core_request_id_);
   limit_.start(kWriteLimit, [this] { leave("the client does not read"); });
 }
 
@@ -287,7 +287,7 @@
   body_ = {};
   if (!keep_) return close_soon();
   wait_in(&owner_.idle_);
-  stream_.hold(false);
+  stream_.resume_reading();
   if (!reader_.between_messages()) next_step_.start(0, [this] { read_requests(); });
 }
 
@@ -307,7 +307,7 @@
     next_step_.start(0, [this] { leave("its last answer is out"); });
   } else if (!std::exchange(finished_sending_, true)) {
     stream_.finish_sending();
-    stream_.hold(false);
+    stream_.resume_reading();
   }
 }
 
@@ -315,7 +315,7 @@
   if (closing_) return on_last_byte_sent();
   if (!std::exchange(congested_, false)) return;
   limit_.stop();
-  if (state_ == State::busy) owner_.core_.client_congested(core_request_id_, false);
+  if (state_ == State::busy) owner_.core_.client_caught_up(core_request_id_);
 }
 
 // ---------------------------------------------------------------- accounting
--- a/src/net/downstream_connection.hpp
+++ b/src/net/downstream_connection.hpp
@@ -42,7 +42,7 @@
   void reject(Time retry_after) override;
   void reject_for(const Allowance& allowance, Time retry_after) override;
   void fail(core::Failure failure, Time retry_after) override;
-  bool client_there() override;
+  bool client_connected() override;
 
  private:
   enum class State { idle, reading, busy };
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -25,7 +25,7 @@
   if (socket_) socket_->listen(on);
 }
 
-void PeerSocket::tell(std::uint32_t rank, const std::string& message) {
+void PeerSocket::send(std::uint32_t rank, const std::string& message) {
   GSocketAddress* to = rank < addresses_.size() ? addresses_[rank].get() : all_.get();
   if (!socket_ || to == nullptr || message.size() > kMaxDatagram) {
     logging::warning("peers") << "a message of " << message.size() << " bytes was not sent";
--- a/src/net/peer_socket.hpp
+++ b/src/net/peer_socket.hpp
@@ -29,7 +29,7 @@
   // Throws NetError if it cannot listen.
   PeerSocket(Options options, OnMessage on_message);
   // To the peer of this rank, or to all where no peer has it.
-  void tell(std::uint32_t rank, const std::string& message) override;
+  void send(std::uint32_t rank, const std::string& message) override;
   // Off: what comes is another process's.
   void listen(bool on);
   // nullptr: there are no peers.
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -60,7 +60,7 @@
 }
 
 void Stream::watch_reading() {
-  if (!reading_held_ && open() && connected_ && !reading_.running()) {
+  if (!reading_paused_ && open() && connected_ && !reading_.running()) {
     reading_.start(socket_.get(), G_IO_IN, [this] { on_readable(); });
   }
 }
@@ -75,18 +75,19 @@
   return poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Stream::hold(bool on) {
-  reading_held_ = on;
-  if (on) {
-    reading_.stop();
-  } else {
-    watch_reading();
-  }
+void Stream::pause_reading() {
+  reading_paused_ = true;
+  reading_.stop();
+}
+
+void Stream::resume_reading() {
+  reading_paused_ = false;
+  watch_reading();
 }
 
 void Stream::on_readable() {
   std::array<char, kReadSize> bytes;  // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
-  for (int i = 0; i < kReadsAtOnce && open() && !reading_held_; ++i) {
+  for (int i = 0; i < kReadsAtOnce && open() && !reading_paused_; ++i) {
     GLibError error;
     const gssize received = g_socket_receive(socket_.get(), bytes.data(), bytes.size(), nullptr, error.out());
     if (received < 0 && error.would_block()) return;
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -41,8 +41,10 @@
   void write(std::string bytes) { write(std::make_shared<const std::string>(std::move(bytes))); }
   // Bytes that the kernel has not taken yet.
   std::size_t unsent() const { return unsent_; }
-  // On: stops reading until it is called with off.
-  void hold(bool on);
+  // Stops reading until resume_reading(). The kernel's buffer fills, so that the other side has to wait.
+  void pause_reading();
+  // Has no effect unless reading is paused.
+  void resume_reading();
   // Half-close: the other side reads the end, and may still send.
   void finish_sending();
   // At once; no callback follows.
@@ -73,7 +75,7 @@
   std::size_t front_sent_ = 0;  // bytes of the queue's first entry that the kernel has
   std::size_t unsent_ = 0;
   bool connected_ = false;
-  bool reading_held_ = false;
+  bool reading_paused_ = false;
   bool ended_ = false;
 };
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -48,9 +48,15 @@
   owner_.remove(*this);
 }
 
-void UpstreamPool::Connection::hold(bool on) {
-  held_ = on;
-  stream_.hold(on);
+void UpstreamPool::Connection::pause_reading() {
+  held_ = true;
+  stream_.pause_reading();
+  if (streaming_) watch_silence();
+}
+
+void UpstreamPool::Connection::resume_reading() {
+  held_ = false;
+  stream_.resume_reading();
   if (streaming_) watch_silence();
 }
 
@@ -220,7 +226,7 @@
     if (served && report_.empty()) report_ = read_report(body_, owner_.options_.report_names);
     finish(served ? Outcome::served : Outcome::error, reuse, "probed");
   } else {
-    const bool full = dialect_.never_begun(head);
+    const bool full = dialect_.proves_not_started(head);
     finish(full ? Outcome::full : Outcome::error, reuse,
            full ? "the replica is full" : "an error of the replica");
   }
@@ -228,7 +234,7 @@
 
 void UpstreamPool::Connection::on_ended() {
   if (job_ == Job::none) return close("the replica ended it while it was idle");
-  if (!streaming_ || !reader_.whole_at_end()) {
+  if (!streaming_ || !reader_.complete_at_end_of_connection()) {
     if (!sent_)
       return finish(Outcome::connect_failed, Reuse::close,
                     "no connection, or it broke before the request was out");
@@ -298,7 +304,7 @@
   new_connection_ = false;
   idle_since_ = now_us();
   held_ = false;
-  stream_.hold(false);
+  stream_.resume_reading();
   owner_.add_to_idle(*this);
   const double time = kIdlePart * static_cast<double>(owner_.options_.keepalive);
   limit_.start(static_cast<Time>(time), [this] { close("idle for long"); });
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -43,8 +43,9 @@
   // Closes at once: the replica must not go on with an attempt whose router starts another. `reason` is for
   // the log.
   void close(std::string_view reason);
-  // On: stops reading the answer for a while.
-  void hold(bool on);
+  // Stops reading the answer until resume_reading(); meanwhile its silence is not held against the replica.
+  void pause_reading();
+  void resume_reading();
 
  private:
   enum class Job { none, attempt, probe };
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -39,8 +39,12 @@
   return sent;
 }
 
-void UpstreamPool::hold(core::AttemptId attempt, bool on) {
-  if (const auto found = attempts_.find(attempt); found != attempts_.end()) found->second->hold(on);
+void UpstreamPool::pause_reading(core::AttemptId attempt) {
+  if (const auto found = attempts_.find(attempt); found != attempts_.end()) found->second->pause_reading();
+}
+
+void UpstreamPool::resume_reading(core::AttemptId attempt) {
+  if (const auto found = attempts_.find(attempt); found != attempts_.end()) found->second->resume_reading();
 }
 
 void UpstreamPool::probe(ReplicaId replica) {
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -58,7 +58,8 @@
   void launch(core::AttemptId attempt, ReplicaId replica, std::shared_ptr<const core::Payload> payload,
               Time until, std::uint16_t model) override;
   bool abandon(core::AttemptId attempt) override;
-  void hold(core::AttemptId attempt, bool on) override;
+  void pause_reading(core::AttemptId attempt) override;
+  void resume_reading(core::AttemptId attempt) override;
   void probe(ReplicaId replica) override;
 
   std::size_t connections() const { return connections_.size(); }
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -9,9 +9,10 @@
   static constexpr const char* outcome_names[] = {"served",         "error", "full",      "timed_out",
                                                   "connect_failed", "reset", "cancelled", "not_sent"};
   const auto& counters = core.counters();
-  out << "taken=" << counters.taken << " open=" << core.open() << " attempts=" << counters.attempts
+  out << "taken=" << counters.admitted << " open=" << core.open() << " attempts=" << counters.attempts
       << " served=" << counters.served << " shed=" << counters.rejected << " failed=" << counters.failed
-      << " timed_out=" << counters.timed_out << " broken=" << counters.broken << " gone=" << counters.gone;
+      << " timed_out=" << counters.timed_out << " broken=" << counters.broken
+      << " gone=" << counters.client_gone;
   for (const auto& [outcome, count] : counters.outcomes)
     out << " attempt_" << outcome_names[static_cast<int>(outcome)] << "=" << count;
 }
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -60,7 +60,7 @@
           .with("attempt", summary.attempts)
           .with("request", summary.external_id)
       << "served by " << field("target", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
-      << " kept=" << field("kept", summary.usage.kept)
+      << " kept=" << field("kept", summary.usage.cached)
       << " believed=" << field("believed", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
       << " why=" << field("reason", choice_reason(summary));
 }
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -76,7 +76,7 @@
     push({.kind = kind, .id = id, .time = retry_after, .refusal = refusal});
   }
   void message_peers(std::string message) {
-    push({.kind = ActionKind::message_peer, .token = Gossip::kAll, .message = std::move(message)});
+    push({.kind = ActionKind::message_peer, .token = Gossip::kAllPeers, .message = std::move(message)});
   }
   std::vector<Action> take() { return std::exchange(actions_, {}); }
 
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -109,7 +109,7 @@
   if (result.outcome == Outcome::timed_out && expired) return;
   const Time objective = pending ? objective_of(pending->request) : state_.longest_latency_objective;
   const bool quick = result.outcome != Outcome::connect_failed && is_quick(result, objective);
-  peers_.report(now, replica, quick ? Observation::stumbled : Observation::silent);
+  peers_.report(now, replica, quick ? Observation::failed : Observation::unreachable);
   health_.on_failure(now, replica, quick ? FailureCost::quick : FailureCost::slow);
 }
 
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -18,7 +18,7 @@
   tally.arrived = kStart, tally.first_event = kStart + 120'000, tally.ended = kStart + seconds(2);
   tally.attempts = 2;
   tally.events = 40, tally.bytes = 12'345;
-  tally.usage = {.prompt = 900, .generated = 77, .kept = 512};
+  tally.usage = {.prompt = 900, .generated = 77, .cached = 512};
   tally.request.cls = 1, tally.request.tenant = 258;
   return tally;
 }
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -18,8 +18,8 @@
 constexpr const char* kMembershipFile = "membership.hex";
 constexpr std::uint32_t kGroup = 0x0badcafe;
 
-const std::vector<GossipItem> kNotes = {{1, Observation::stumbled},
-                                        {0x01020304, Observation::silent},
+const std::vector<GossipItem> kNotes = {{1, Observation::failed},
+                                        {0x01020304, Observation::unreachable},
                                         {0xfffffffe, Observation::slow},
                                         {300, Observation::late}};
 
@@ -106,7 +106,7 @@
 TEST_CASE("notes: the same notes are written as the committed datagram") {
   Gossip notes;
   for (const GossipItem& note : kNotes) notes.add(note);
-  check_written(kNotesFile, "notes", notes.message());
+  check_written(kNotesFile, "notes", notes.take_message());
 }
 
 TEST_CASE("membership: a committed datagram of each kind reads field by field") {
--- a/tests/core/discovery_schedule.cpp
+++ b/tests/core/discovery_schedule.cpp
@@ -1,5 +1,5 @@
-// Calls of discovery by many routers in virtual time: what each learns in time, and what discovery has to
-// bear.
+// Calls of discovery by many routers in virtual time: how fresh each router's list is, and how many calls
+// discovery gets.
 #include "core/discovery_schedule.hpp"
 
 #include <algorithm>
@@ -22,104 +22,116 @@
 constexpr Time kStep = milliseconds(10);
 constexpr Time kInformedWithin = seconds(6);
 
-// What becomes of a call that begins while discovery is away.
-enum class Away { refuses, errs, says_nothing };
+// What happens to a call that begins during an outage of discovery.
+enum class OutageKind { rejects_calls, returns_errors, stays_silent };
 
 struct Outage {
-  Time from = 0, to = 0;
-  Away how = Away::refuses;
+  Time from = 0;
+  Time to = 0;
+  OutageKind kind = OutageKind::rejects_calls;
 };
 
-// Discovery: works through its calls in turn, those that were given up included; renewals pass the queue.
-struct World {
+// A discovery server that handles the calls of a group of routers one after another, including calls that
+// were given up. Renewals of a subscription do not wait in the queue.
+struct SimulatedDiscovery {
   struct Call {
     std::uint64_t number = 0;
     DiscoverySchedule::Call plan;
-    std::optional<Time> renewal = {};  // when its watch answers; none: no watch that works
+    std::optional<Time> renewal = {};  // when its subscription is answered; none: it has none
     bool lost = false;                 // discovery never answers it
   };
   struct Router {
     std::unique_ptr<DiscoverySchedule> schedule;
     Time next = 0;             // when it calls
-    std::deque<Call> out;      // the oldest call first
+    std::deque<Call> calls;    // the oldest call first
     std::uint64_t latest = 0;  // number of the latest call
     Time list_time = 0;        // its list is of this moment
     Call* find(std::uint64_t number) {
       const auto found =
-          std::find_if(out.begin(), out.end(), [&](auto& call) { return call.number == number; });
-      return found == out.end() ? nullptr : &*found;
+          std::find_if(calls.begin(), calls.end(), [&](auto& call) { return call.number == number; });
+      return found == calls.end() ? nullptr : &*found;
     }
   };
-  struct Queued {
+  struct QueuedCall {
     Router* router = nullptr;
     std::uint64_t number = 0;
-    Time came = 0;
+    Time arrived = 0;
   };
 
-  World(std::uint32_t count, double bears, std::uint64_t seed)
-      : cost(static_cast<Time>(1e6 / bears)), dice(seed), routers(count) {
+  SimulatedDiscovery(std::uint32_t count, double calls_per_s, std::uint64_t seed)
+      : cost(static_cast<Time>(1e6 / calls_per_s)), random(seed), routers(count) {
     for (auto& router : routers) {
       router.schedule =
           std::make_unique<DiscoverySchedule>(DiscoverySchedule::Options{.routers = count},
-                                              [this] { return boost::random::uniform_01<double>()(dice); });
-      router.next = router.schedule->first(0);
+                                              [this] { return boost::random::uniform_01<double>()(random); });
+      router.next = router.schedule->first_call_time(0);
     }
   }
 
-  bool away() const { return outage && now >= outage->from && now < outage->to; }
+  bool in_outage() const { return outage && now >= outage->from && now < outage->to; }
 
   void fail(Router& router, std::uint64_t number) {
     const Call call = *router.find(number);
-    std::erase_if(router.out, [&](const Call& out) { return out.number == number; });
-    if (number == router.latest) router.next = router.schedule->failed(now, call.plan);
+    std::erase_if(router.calls, [&](const Call& other) { return other.number == number; });
+    if (number == router.latest) router.next = router.schedule->on_call_failed(now, call.plan);
   }
   void answer(Router& router) {
-    router.out.clear();
+    router.calls.clear();
     router.list_time = now;
-    router.schedule->answered();
+    router.schedule->on_call_answered();
     Call& renewal = add_call(router);  // at once
     renewal.renewal = now + renewal.plan.wait;
   }
   Call& add_call(Router& router) {
-    if (router.out.size() >= DiscoverySchedule::kMaxCallsOut) router.out.erase(router.out.begin() + 1);
+    if (router.calls.size() >= DiscoverySchedule::kMaxCallsInFlight)
+      router.calls.erase(router.calls.begin() + 1);
     router.latest = ++last_number;
-    router.out.push_back({.number = router.latest, .plan = router.schedule->begin(now)});
-    router.next = router.out.back().plan.next;
-    return router.out.back();
+    router.calls.push_back({.number = router.latest, .plan = router.schedule->begin_call(now)});
+    router.next = router.calls.back().plan.next;
+    return router.calls.back();
   }
   void begin(Router& router) {
     Call& call = add_call(router);
     ++begun;
-    if (!away()) {
+    if (!in_outage()) {
       queue.push_back({&router, call.number, now});
-    } else if (outage->how == Away::says_nothing) {
+    } else if (outage->kind == OutageKind::stays_silent) {
       call.lost = true;
     } else {
       fail(router, call.number);
     }
   }
-  // Open watches break, or say nothing more.
-  void break_watches(bool silently) {
+  // Breaks all subscriptions; their routers notice at once.
+  void break_watches() {
     for (auto& router : routers) {
-      for (std::size_t i = router.out.size(); i-- > 0;) {
-        Call& call = router.out[i];
-        if (!call.renewal) continue;
-        call.renewal.reset();
-        call.lost = true;
-        if (!silently) fail(router, call.number);
+      for (std::size_t i = router.calls.size(); i-- > 0;) {
+        if (silence(router.calls[i])) fail(router, router.calls[i].number);
       }
     }
   }
+  // All subscriptions fall silent; their routers do not notice at once.
+  void silence_watches() {
+    for (auto& router : routers) {
+      for (Call& call : router.calls) silence(call);
+    }
+  }
+  // Returns whether the call had a subscription.
+  static bool silence(Call& call) {
+    if (!call.renewal) return false;
+    call.renewal.reset();
+    call.lost = true;
+    return true;
+  }
   void serve() {
     while (!queue.empty() && free_at <= now) {
-      const Queued first = queue.front();
-      // Each answer takes its turn; `latency` is what a queue of other callers adds to it.
-      if (now - first.came < latency) return;
+      const QueuedCall first = queue.front();
+      // `queue_latency` is the time that a queue of other callers adds to each answer.
+      if (now - first.arrived < queue_latency) return;
       queue.pop_front();
       free_at = now + cost;
       const Call* call = first.router->find(first.number);
-      if (call == nullptr || call->lost) continue;            // given up, and paid for all the same
-      if (now - first.came > latency + patience || away()) {  // it has waited too long
+      if (call == nullptr || call->lost) continue;  // it was given up, but took its time all the same
+      if (now - first.arrived > queue_latency + max_queue_time || in_outage()) {  // it has waited too long
         fail(*first.router, first.number);
         continue;
       }
@@ -127,11 +139,11 @@
     }
   }
   void run_router(Router& router) {
-    for (const Call& call : router.out) {
+    for (const Call& call : router.calls) {
       if (call.renewal && now >= *call.renewal) return answer(router);
     }
-    for (std::size_t i = router.out.size(); i-- > 0;) {
-      if (now >= router.out[i].plan.limit) fail(router, router.out[i].number);
+    for (std::size_t i = router.calls.size(); i-- > 0;) {
+      if (now >= router.calls[i].plan.limit) fail(router, router.calls[i].number);
     }
     if (now >= router.next) begin(router);
   }
@@ -139,7 +151,11 @@
     for (; now < end; now += kStep) {
       if (outage && now == outage->from) {
         queue.clear();
-        break_watches(outage->how == Away::says_nothing);
+        if (outage->kind == OutageKind::stays_silent) {
+          silence_watches();
+        } else {
+          break_watches();
+        }
       }
       for (auto& router : routers) run_router(router);
       serve();
@@ -148,128 +164,130 @@
       per_second[second] += static_cast<double>(begun - std::exchange(counted, begun));
     }
   }
-  Time oldest() const {
-    Time least = now;
-    for (const auto& router : routers) least = std::min(least, router.list_time);
-    return now - least;
+  Time age_of_oldest_list() const {
+    Time oldest = now;
+    for (const auto& router : routers) oldest = std::min(oldest, router.list_time);
+    return now - oldest;
   }
-  // The mean over any five seconds.
-  double most_a_second() const {
-    double most = 0;
+  // The highest mean of calls a second over any five seconds.
+  double max_calls_per_second() const {
+    double highest = 0;
     for (std::size_t i = 0; i + 5 <= per_second.size(); ++i) {
       double sum = 0;
-      for (std::size_t k = 0; k < 5; ++k) sum += per_second[i + k];
-      most = std::max(most, sum / 5);
+      for (std::size_t offset = 0; offset < 5; ++offset) sum += per_second[i + offset];
+      highest = std::max(highest, sum / 5);
     }
-    return most;
+    return highest;
   }
 
-  Time now = 0, free_at = 0, cost;
-  boost::random::mt19937_64 dice;
+  Time now = 0;
+  Time free_at = 0;
+  Time cost;  // of one answer
+  boost::random::mt19937_64 random;
   std::vector<Router> routers;
-  std::deque<Queued> queue;
-  Time latency = 0;
-  Time patience = seconds(2);  // a call that waited longer fails
+  std::deque<QueuedCall> queue;
+  Time queue_latency = 0;
+  Time max_queue_time = seconds(2);  // a call that waited longer fails
   std::uint64_t last_number = 0;
   std::optional<Outage> outage;
-  std::uint64_t begun = 0, counted = 0;
+  std::uint64_t begun = 0;
+  std::uint64_t counted = 0;
   std::vector<double> per_second;
 };
 
 }  // namespace
 
-TEST_CASE("whatever befalls discovery, a group that fits its pace has the list within 6 s of its return") {
+TEST_CASE("after any outage of discovery a group within the rate limit has the list within 6 s") {
   const auto routers = GENERATE(1u, 4u, 16u, 30u);
-  const auto how = GENERATE(Away::refuses, Away::errs, Away::says_nothing);
+  const auto kind = GENERATE(OutageKind::rejects_calls, OutageKind::returns_errors, OutageKind::stays_silent);
   const auto length = GENERATE(as<Time>{}, 1, 3, 8, 20);
   const auto seed = GENERATE(1u, 2u, 3u);
-  CAPTURE(routers, static_cast<int>(how), length, seed);
-  World world(routers, 20, seed);
-  world.run_to(seconds(10));
-  CHECK(world.oldest() <= kInformedWithin);
+  CAPTURE(routers, static_cast<int>(kind), length, seed);
+  SimulatedDiscovery discovery(routers, 20, seed);
+  discovery.run_to(seconds(10));
+  CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
   const Time back = seconds(10) + length * kSecond;
-  world.outage = Outage{seconds(10), back, how};
-  world.run_to(back + kInformedWithin);
-  for (const auto& router : world.routers) CHECK(router.list_time > back);
-  world.run_to(back + seconds(60));
-  CHECK(world.oldest() <= kInformedWithin);
+  discovery.outage = Outage{seconds(10), back, kind};
+  discovery.run_to(back + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_time > back);
+  discovery.run_to(back + seconds(60));
+  CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
 }
 
-TEST_CASE("watches that fall silent are replaced before what they miss counts as told") {
+TEST_CASE("subscriptions that fall silent are replaced within the time for informing routers") {
   const auto routers = GENERATE(1u, 4u, 16u, 30u);
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, seed);
-  World world(routers, 20, seed);
-  world.run_to(seconds(20));
-  world.break_watches(true);
-  const Time silent = world.now;
-  world.run_to(silent + kInformedWithin);
-  for (const auto& router : world.routers) CHECK(router.list_time > silent);
+  SimulatedDiscovery discovery(routers, 20, seed);
+  discovery.run_to(seconds(20));
+  discovery.silence_watches();
+  const Time silent = discovery.now;
+  discovery.run_to(silent + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_time > silent);
 }
 
-TEST_CASE("calls of all routers together keep to the pace, and a slow discovery is not drowned") {
+TEST_CASE("calls of all routers together keep the rate limit and do not overload a slow discovery") {
   const auto routers = GENERATE(4u, 30u, 100u, 300u);
-  const auto bears = GENERATE(6.0, 20.0);
+  const auto calls_per_s = GENERATE(6.0, 20.0);
   const auto seed = GENERATE(1u, 2u);
-  CAPTURE(routers, bears, seed);
-  World world(routers, bears, seed);
-  world.run_to(seconds(60));
-  world.outage = Outage{seconds(60), seconds(68), Away::refuses};
-  // Within the time that the settings allow after a failed call, or in three times what its calls take in
-  // turn.
-  world.run_to(seconds(68) + std::max<Time>(seconds(40), static_cast<Time>(routers / bears * 3e6)));
-  int late = 0;
-  for (const auto& router : world.routers) late += router.list_time <= seconds(68);
-  CHECK(late == 0);
-  // A mean over five seconds: chance adds four deviations at the most.
-  CHECK(world.most_a_second() <=
-        DiscoverySchedule::kCallsPerS + 4 * std::sqrt(DiscoverySchedule::kCallsPerS / 5));
+  CAPTURE(routers, calls_per_s, seed);
+  SimulatedDiscovery discovery(routers, calls_per_s, seed);
+  discovery.run_to(seconds(60));
+  discovery.outage = Outage{seconds(60), seconds(68), OutageKind::rejects_calls};
+  // Within the time that the settings allow after a failed call, or within three times the time that all
+  // calls take one after another.
+  discovery.run_to(seconds(68) + std::max<Time>(seconds(40), static_cast<Time>(routers / calls_per_s * 3e6)));
+  int routers_without_list = 0;
+  for (const auto& router : discovery.routers) routers_without_list += router.list_time <= seconds(68);
+  CHECK(routers_without_list == 0);
+  // A mean over five seconds: random times add four standard deviations at the most.
+  CHECK(discovery.max_calls_per_second() <=
+        DiscoverySchedule::kCallsPerSecond + 4 * std::sqrt(DiscoverySchedule::kCallsPerSecond / 5));
 }
 
 TEST_CASE(
-    "a discovery that needs long for each answer still informs its routers, and no call is lost to the "
-    "next") {
+    "a discovery with a long queue still informs its routers, as a call is not given up for the next one") {
   const auto routers = GENERATE(1u, 6u, 30u, 300u);
-  const auto latency = GENERATE(as<Time>{}, 1'300'000, seconds(2), seconds(4), seconds(9));
+  const auto queue_latency = GENERATE(as<Time>{}, 1'300'000, seconds(2), seconds(4), seconds(9));
   const auto seed = GENERATE(1u, 2u, 3u);
-  CAPTURE(routers, latency, seed);
-  World world(routers, 20, seed);
-  world.latency = latency;
-  // One round of calls, and for each router its turn.
+  CAPTURE(routers, queue_latency, seed);
+  SimulatedDiscovery discovery(routers, 20, seed);
+  discovery.queue_latency = queue_latency;
+  // The time for one call of each router, and for its answers one after another.
   const Time round = routers <= 30 ? kSecond : seconds(24);
-  world.run_to(round + latency + routers * kSecond / 20 + kSecond);
-  for (const auto& router : world.routers) CHECK(router.list_time > 0);
+  discovery.run_to(round + queue_latency + routers * kSecond / 20 + kSecond);
+  for (const auto& router : discovery.routers) CHECK(router.list_time > 0);
 }
 
-TEST_CASE("a queue of calls that each wait nearly too long is worked off: who has an answer leaves it") {
-  const auto bears = GENERATE(2.2, 3.5);  // calls a second: fewer than six routers begin
+TEST_CASE("a queue in which calls wait nearly too long empties, as answered routers leave it") {
+  const auto calls_per_s = GENERATE(2.2, 3.5);  // calls a second: fewer than six routers begin
   const auto seed = GENERATE(1u, 2u, 3u, 4u);
-  CAPTURE(bears, seed);
-  World world(6, bears, seed);
-  world.patience = seconds(3);
-  world.run_to(seconds(10));
-  CHECK(world.oldest() <= kInformedWithin);
-  // All lose their watches at the same moment.
-  world.break_watches(false);
-  const Time broken = world.now;
-  world.run_to(broken + kInformedWithin);
-  for (const auto& router : world.routers) CHECK(router.list_time > broken);
+  CAPTURE(calls_per_s, seed);
+  SimulatedDiscovery discovery(6, calls_per_s, seed);
+  discovery.max_queue_time = seconds(3);
+  discovery.run_to(seconds(10));
+  CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
+  // All routers lose their subscriptions at the same moment.
+  discovery.break_watches();
+  const Time broken = discovery.now;
+  discovery.run_to(broken + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_time > broken);
 }
 
-TEST_CASE("a call that is lost is followed by another beside it, while calls out are bounded") {
-  World world(1, 20, 1);
-  world.outage = Outage{kStep, seconds(60), Away::says_nothing};
-  world.run_to(seconds(60));
-  CHECK(world.begun >= 60 / 3);
-  CHECK(world.routers[0].out.size() <= DiscoverySchedule::kMaxCallsOut);
-  world.run_to(seconds(60) + kInformedWithin);
-  CHECK(world.routers[0].list_time > seconds(60));
+TEST_CASE("a lost call is followed by another one, and the calls in flight are bounded") {
+  SimulatedDiscovery discovery(1, 20, 1);
+  discovery.outage = Outage{kStep, seconds(60), OutageKind::stays_silent};
+  discovery.run_to(seconds(60));
+  CHECK(discovery.begun >= 60 / 3);
+  CHECK(discovery.routers[0].calls.size() <= DiscoverySchedule::kMaxCallsInFlight);
+  discovery.run_to(seconds(60) + kInformedWithin);
+  CHECK(discovery.routers[0].list_time > seconds(60));
 }
 
-TEST_CASE("an agent is asked again soon, whatever became of a call") {
+TEST_CASE("an agent on the same machine is called again soon after any failure") {
   DiscoverySchedule schedule({.routers = 300, .pushed = true}, [] { return 0.5; });
-  CHECK(schedule.first(0) == 0);
-  const auto call = schedule.begin(0);
+  CHECK(schedule.first_call_time(0) == 0);
+  const auto call = schedule.begin_call(0);
   CHECK(call.next < seconds(2));
-  CHECK(schedule.failed(kSecond, call) <= kSecond + kSecond / 10);
+  CHECK(schedule.on_call_failed(kSecond, call) <= kSecond + kSecond / 10);
 }
--- a/tests/core/drain_tracker.cpp
+++ b/tests/core/drain_tracker.cpp
@@ -1,4 +1,4 @@
-// What drains, told among many routers in virtual time, over a network that loses, repeats and delays.
+// Drain reports among many routers in virtual time, over a network that loses, repeats and delays messages.
 #include "core/drain_tracker.hpp"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -14,9 +14,9 @@
 
 constexpr Time kSecond = seconds(1);
 
-// Whoever decides: here it only remembers what it was told of the list.
-struct Listener : core::Decider {
-  explicit Listener(std::map<ReplicaId, EndpointState>& of) : states(of) {}
+// The inner decider: records the states of the replicas and counts the events that reach it.
+struct RecordingDecider : core::Decider {
+  explicit RecordingDecider(std::map<ReplicaId, EndpointState>& recorded) : states(recorded) {}
   void on_endpoints(Time, EndpointUpdate, std::span<const Endpoint> entries) override {
     for (const auto& entry : entries) states[entry.id] = entry.state;
   }
@@ -29,7 +29,8 @@
   void on_peer_message(Time, std::uint32_t, std::span<const std::uint8_t>) override { ++messages; }
   std::vector<Action> take_actions() override { return {}; }
   std::map<ReplicaId, EndpointState>& states;
-  int timers = 0, messages = 0;
+  int timers = 0;
+  int messages = 0;
 };
 
 std::vector<Endpoint> replicas(int count) {
@@ -38,13 +39,13 @@
   return all;
 }
 
-struct Group {
+struct SimulatedGroup {
   struct Router {
     std::map<ReplicaId, EndpointState> states;
     std::unique_ptr<DrainTracker> drains;
   };
-  Group(int count, int replica_count, double loss, std::uint64_t seed)
-      : lost(loss), dice(seed), routers(static_cast<std::size_t>(count)) {
+  SimulatedGroup(int count, int replica_count, double message_loss, std::uint64_t seed)
+      : loss(message_loss), random(seed), routers(static_cast<std::size_t>(count)) {
     for (std::uint32_t i = 0; i < routers.size(); ++i) {
       Settings settings;
       settings.group_size = static_cast<std::uint32_t>(count);
@@ -52,11 +53,16 @@
       settings.seed = seed * 1000 + i;
       settings.may_message_peers = true;
       routers[i].drains =
-          std::make_unique<DrainTracker>(std::make_unique<Listener>(routers[i].states), settings);
+          std::make_unique<DrainTracker>(std::make_unique<RecordingDecider>(routers[i].states), settings);
       routers[i].drains->on_endpoints(now, EndpointUpdate::full, replicas(replica_count));
     }
   }
-  double chance() { return boost::random::uniform_01<double>()(dice); }
+  double chance() { return boost::random::uniform_01<double>()(random); }
+  // How often the network delivers one message to one router.
+  int delivered_copies() {
+    if (chance() < loss) return 0;
+    return chance() < 0.1 ? 2 : 1;
+  }
   void collect(std::uint32_t i) {
     for (const auto& action : routers[i].drains->take_actions()) {
       if (action.kind == ActionKind::set_timer)
@@ -66,8 +72,7 @@
       REQUIRE(action.message.size() <= 256);
       ++messages;
       for (std::uint32_t to = 0; to < routers.size(); ++to) {
-        for (int copies = chance() < lost ? 0 : chance() < 0.1 ? 2 : 1; copies > 0; --copies)
-          deliver_later(i, to, action.message);
+        for (int copies = delivered_copies(); copies > 0; --copies) deliver_later(i, to, action.message);
       }
     }
   }
@@ -94,15 +99,15 @@
     }
     now = end;
   }
-  int informed(ReplicaId id) const {
+  int informed_routers(ReplicaId id) const {
     return static_cast<int>(std::count_if(routers.begin(), routers.end(), [&](const auto& router) {
       return router.states.at(id) != EndpointState::ready;
     }));
   }
 
   Time now = seconds(1000);
-  double lost;
-  boost::random::mt19937_64 dice;
+  double loss;
+  boost::random::mt19937_64 random;
   std::vector<Router> routers;
   std::multimap<Time, std::function<void()>> events;
   int messages = 0;
@@ -122,39 +127,39 @@
 
 }  // namespace
 
-TEST_CASE("a drain that one router learns of is kept by all within half a second") {
+TEST_CASE("a drain that one router learns of reaches all routers within half a second") {
   const int count = GENERATE(2, 4, 30, 300);
   const auto seed = GENERATE(1u, 2u);
   CAPTURE(count, seed);
-  Group group(count, 10, 0, seed);
+  SimulatedGroup group(count, 10, 0, seed);
   group.learn(0, drained(3));
   group.run_to(group.now + kSecond / 2);
-  CHECK(group.informed(3) == count);
-  CHECK(group.informed(4) == 0);
-  CHECK(group.messages == 1);  // nobody passes on what others have said
+  CHECK(group.informed_routers(3) == count);
+  CHECK(group.informed_routers(4) == 0);
+  CHECK(group.messages == 1);  // no router forwards a peer's report
 }
 
-TEST_CASE("routers that learn together do not all speak, and loss is made up for") {
+TEST_CASE("of routers that learn of a drain together few report it, and lost messages are made up for") {
   const auto seed = GENERATE(1u, 2u, 3u);
-  Group group(300, 40, 0.2, seed);
+  SimulatedGroup group(300, 40, 0.2, seed);
   for (std::uint32_t i = 0; i < 240; ++i) group.learn(i, drained(3));
   group.run_to(group.now + kSecond / 2);
   CHECK(group.messages < 20);
-  CHECK(group.informed(3) == 300);
+  CHECK(group.informed_routers(3) == 300);
 }
 
 TEST_CASE(
     "a drain that comes with a whole list is reported like one that comes alone, and so is an omission") {
-  Group group(3, 10, 0, 7);
+  SimulatedGroup group(3, 10, 0, 7);
   auto list = replicas(10);
   list[2].state = EndpointState::draining;  // replica 3
   list.erase(list.begin() + 4);             // replica 5
   group.learn_whole_list(0, list);
   group.run_to(group.now + kSecond / 2);
-  CHECK(group.informed(3) == 3);
-  CHECK(group.informed(4) == 0);
-  CHECK(group.informed(5) == 2);  // the first router's decider sees by itself what its list omits
-  // The same list again is no news.
+  CHECK(group.informed_routers(3) == 3);
+  CHECK(group.informed_routers(4) == 0);
+  CHECK(group.informed_routers(5) == 2);  // the first router's decider sees by itself what its list omits
+  // The same list again causes no report.
   const int messages = group.messages;
   group.learn_whole_list(0, list);
   group.run_to(group.now + kSecond / 2);
@@ -162,27 +167,27 @@
 }
 
 TEST_CASE("a whole list with another start of a replica ends a peer's report about the earlier one") {
-  Group group(2, 10, 0, 7);
+  SimulatedGroup group(2, 10, 0, 7);
   group.learn(0, drained(3));
   group.run_to(group.now + kSecond / 2);
-  REQUIRE(group.informed(3) == 2);
+  REQUIRE(group.informed_routers(3) == 2);
   auto list = replicas(10);
   group.learn_whole_list(1, list);
-  CHECK(group.informed(3) == 2);
+  CHECK(group.informed_routers(3) == 2);
   list[2].started = seconds(2000);
   group.learn_whole_list(1, list);
-  CHECK(group.informed(3) == 1);
+  CHECK(group.informed_routers(3) == 1);
 }
 
-TEST_CASE("in a small group a report is repeated until it is there, and a lost one costs a second") {
+TEST_CASE("in a small group reports are repeated, so that a lost message delays them by a second") {
   const auto seed = GENERATE(range(1u, 21u));
   CAPTURE(seed);
-  Group group(6, 10, 0.2, seed);
+  SimulatedGroup group(6, 10, 0.2, seed);
   group.learn(0, drained(3));
   group.run_to(group.now + seconds(6));
   CHECK(group.messages == 1 + DrainTracker::kRepeats);
-  CHECK(group.informed(3) >= 5);
-  // Nothing is repeated for ever, nor after the drain is over.
+  CHECK(group.informed_routers(3) >= 5);
+  // Repeats end, and there are none after the drain is over.
   group.learn(0, drained(4));
   group.run_to(group.now + kSecond / 2);
   group.learn(0, {.id = 4, .started = seconds(4)});
@@ -191,8 +196,8 @@
   CHECK(group.messages == messages);
 }
 
-TEST_CASE("a drain of a replica that this router has never known as ready reaches those that have it so") {
-  Group group(4, 10, 0, 7);
+TEST_CASE("a drain of a replica that this router never had as ready reaches routers that have it as ready") {
+  SimulatedGroup group(4, 10, 0, 7);
   auto list = replicas(10);
   list.erase(list.begin() + 2);
   group.learn_whole_list(0, list);
@@ -211,60 +216,60 @@
 }
 
 TEST_CASE(
-    "a report on a later start than the own list has takes the replica out, one on an earlier does not") {
-  Group group(2, 10, 0, 7);
+    "a report about a later start than the listed one takes the replica out, one about an earlier does not") {
+  SimulatedGroup group(2, 10, 0, 7);
   group.deliver_later(0, 1, drain_report(3, 2999));
   group.deliver_later(0, 1, drain_report(4, 4001));
   group.run_to(group.now + kSecond);
-  CHECK(group.informed(3) == 0);
-  CHECK(group.informed(4) == 1);
-  // A start of long ago is 0, and earlier than any other.
+  CHECK(group.informed_routers(3) == 0);
+  CHECK(group.informed_routers(4) == 1);
+  // A start of 0 stands for long ago and is earlier than any other.
   group.learn(1, {.id = 5, .started = 0});
   group.deliver_later(0, 1, drain_report(5, 5000));
   group.deliver_later(0, 1, drain_report(6, 0));
   group.run_to(group.now + kSecond);
-  CHECK(group.informed(5) == 1);
-  CHECK(group.informed(6) == 0);
+  CHECK(group.informed_routers(5) == 1);
+  CHECK(group.informed_routers(6) == 0);
 }
 
-TEST_CASE("a report holds longer where discovery has sent no list since, but not for ever") {
+TEST_CASE("a report lasts longer while discovery sends no list, but not forever") {
   const bool list_comes = GENERATE(false, true);
-  Group group(2, 10, 0, 7);
+  SimulatedGroup group(2, 10, 0, 7);
   group.learn(0, drained(5));
   group.run_to(group.now + kSecond);
-  REQUIRE(group.informed(5) == 2);
+  REQUIRE(group.informed_routers(5) == 2);
   if (list_comes) group.learn(1, {.id = 6, .started = seconds(6)});
   group.run_to(group.now + seconds(30));
-  CHECK(group.informed(5) == (list_comes ? 1 : 2));
+  CHECK(group.informed_routers(5) == (list_comes ? 1 : 2));
   group.run_to(group.now + seconds(30));
-  CHECK(group.informed(5) == 1);
+  CHECK(group.informed_routers(5) == 1);
 }
 
-TEST_CASE("another's word ends with the router's own list, with another start, or in time") {
-  Group group(2, 10, 0, 7);
+TEST_CASE("a peer's report ends when the own list has a later start, or when it expires") {
+  SimulatedGroup group(2, 10, 0, 7);
   group.learn(0, drained(3));
   group.run_to(group.now + kSecond);
-  REQUIRE(group.informed(3) == 2);
-  // The same list as before does not bring it back, a start anew does.
+  REQUIRE(group.informed_routers(3) == 2);
+  // The same list as before does not make the replica ready again; a new start does.
   group.learn(1, {.id = 3, .started = seconds(3)});
-  CHECK(group.informed(3) == 2);
+  CHECK(group.informed_routers(3) == 2);
   group.learn(1, {.id = 3, .started = seconds(2000)});
-  CHECK(group.informed(3) == 1);
-  // A late word of the earlier start is no news.
+  CHECK(group.informed_routers(3) == 1);
+  // A late report about the earlier start is ignored.
   group.deliver_later(0, 1, drain_report(3, 3000));
   group.run_to(group.now + kSecond);
-  CHECK(group.informed(3) == 1);
+  CHECK(group.informed_routers(3) == 1);
   group.learn(0, drained(5));
   group.run_to(group.now + kSecond);
-  CHECK(group.informed(5) == 2);
+  CHECK(group.informed_routers(5) == 2);
   group.run_to(group.now + seconds(60));
-  CHECK(group.informed(5) == 1);  // its own list never said so
+  CHECK(group.informed_routers(5) == 1);  // its own list never confirmed the drain
 }
 
 TEST_CASE(
-    "a router out of its mind takes out half of the ready replicas at the most, and broken messages "
+    "a faulty peer takes out half of the ready replicas at the most, and unreadable messages change "
     "nothing") {
-  Group group(2, 10, 0, 7);
+  SimulatedGroup group(2, 10, 0, 7);
   for (ReplicaId id = 1; id <= 10; ++id) group.deliver_later(0, 1, drain_report(id, id * 1000));
   for (const std::string& broken :
        {std::string{0x44}, std::string{0x44, 1}, std::string{0x44, 2} + drain_report(9, 9000).substr(2),
@@ -272,57 +277,59 @@
     group.deliver_later(0, 1, broken);
   }
   group.run_to(group.now + kSecond);
-  int out = 0;
-  for (ReplicaId id = 1; id <= 10; ++id) out += group.informed(id);
-  CHECK(out == 5);
+  int replicas_out_of_use = 0;
+  for (ReplicaId id = 1; id <= 10; ++id) replicas_out_of_use += group.informed_routers(id);
+  CHECK(replicas_out_of_use == 5);
   CHECK(group.routers[1].drains->unreadable() == 5);
 }
 
-TEST_CASE("reports beyond half of the ready replicas wait, and hold once the own list is not renewed") {
+TEST_CASE("reports beyond half of the ready replicas are held back until the own list is not renewed") {
   const bool renewed = GENERATE(false, true);
   const int routers = GENERATE(2, 300);
   CAPTURE(renewed, routers);
-  Group group(routers, 10, 0, 7);
+  SimulatedGroup group(routers, 10, 0, 7);
   for (ReplicaId id = 1; id <= 8; ++id) group.deliver_later(0, 1, drain_report(id, id * 1000));
-  const auto out = [&] {
+  const auto replicas_out_of_use = [&] {
     int count = 0;
-    for (ReplicaId id = 1; id <= 10; ++id) count += group.informed(id);
+    for (ReplicaId id = 1; id <= 10; ++id) count += group.informed_routers(id);
     return count;
   };
   for (int step = 0; step < 4; ++step) {
     if (renewed) group.routers[1].drains->on_endpoints(group.now, EndpointUpdate::delta, {});
     if (renewed) group.collect(1);
     group.run_to(group.now + kSecond);
-    CHECK(out() == 5);
+    CHECK(replicas_out_of_use() == 5);
   }
   for (int step = 0; step < 4; ++step) {
     if (renewed) group.routers[1].drains->on_endpoints(group.now, EndpointUpdate::delta, {});
     if (renewed) group.collect(1);
     group.run_to(group.now + kSecond);
   }
-  CHECK(out() == (renewed ? 5 : 8));
+  CHECK(replicas_out_of_use() == (renewed ? 5 : 8));
   CHECK(group.routers[1].drains->is_reported(8) == !renewed);
-  // A peer's report still ends in time, whether it held or not.
+  // Each report expires, whether it was in force or held back.
   group.run_to(group.now + seconds(60));
-  CHECK(out() == 0);
+  CHECK(replicas_out_of_use() == 0);
 }
 
-TEST_CASE("a report that was held back holds when the own list has more ready replicas") {
-  Group group(2, 4, 0, 7);
+TEST_CASE("a report that was held back takes effect when the own list has more ready replicas") {
+  SimulatedGroup group(2, 4, 0, 7);
   for (ReplicaId id = 1; id <= 3; ++id) group.deliver_later(0, 1, drain_report(id, id * 1000));
   group.run_to(group.now + kSecond);
-  const auto out = [&] { return group.informed(1) + group.informed(2) + group.informed(3); };
-  CHECK(out() == 2);
+  const auto replicas_out_of_use = [&] {
+    return group.informed_routers(1) + group.informed_routers(2) + group.informed_routers(3);
+  };
+  CHECK(replicas_out_of_use() == 2);
   group.learn(1, {.id = 5, .started = seconds(5)});
   group.learn(1, {.id = 6, .started = seconds(6)});
-  CHECK(out() == 3);
+  CHECK(replicas_out_of_use() == 3);
 }
 
-TEST_CASE("a router that has only the list of its start believes its peers") {
+TEST_CASE("a router that has only a cached list accepts reports beyond half of the ready replicas") {
   std::map<ReplicaId, EndpointState> states;
   Settings settings;
   settings.group_size = 2;
-  DrainTracker drains(std::make_unique<Listener>(states), settings);
+  DrainTracker drains(std::make_unique<RecordingDecider>(states), settings);
   drains.on_endpoints(kSecond, EndpointUpdate::cached, replicas(2));
   for (ReplicaId id = 1; id <= 2; ++id) {
     const std::string report = drain_report(id, id * 1000);
@@ -332,14 +339,14 @@
   CHECK(states.at(2) == EndpointState::draining);
 }
 
-TEST_CASE("what is not about drains goes on to whoever decides") {
+TEST_CASE("messages and timers of others are forwarded to the inner decider") {
   std::map<ReplicaId, EndpointState> states;
-  auto inner = std::make_unique<Listener>(states);
-  Listener* listener = inner.get();
+  auto inner = std::make_unique<RecordingDecider>(states);
+  RecordingDecider* decider = inner.get();
   DrainTracker drains(std::move(inner), {});
-  const std::uint8_t note[] = {0x54, 1, 0, 0, 0, 0, 1};
-  drains.on_peer_message(0, 1, note);
+  const std::uint8_t gossip_message[] = {0x54, 1, 0, 0, 0, 0, 1};
+  drains.on_peer_message(0, 1, gossip_message);
   drains.on_timer(0, 1);
-  CHECK(listener->messages == 1);
-  CHECK(listener->timers == 1);
+  CHECK(decider->messages == 1);
+  CHECK(decider->timers == 1);
 }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -197,9 +197,10 @@
   }
   void watch() override { ++watched; }
   void fetch() override {}
-  void tell(std::uint32_t, const std::string&) override {}
+  void send(std::uint32_t, const std::string&) override {}
   void probe(ReplicaId) override {}
-  void hold(core::AttemptId, bool) override {}
+  void pause_reading(core::AttemptId) override {}
+  void resume_reading(core::AttemptId) override {}
 
   // What its replica has counted of an attempt so far: the rule for those without a tally.
   void count(core::AttemptId id, Units units) {
--- a/tests/net/dialects.cpp
+++ b/tests/net/dialects.cpp
@@ -1,4 +1,5 @@
-// Both kinds of client with both kinds of replica: recorded streams, rejections, errors, and hard ends.
+// Clients of both dialects with replicas of both dialects: recorded streams, rejections, errors and broken
+// streams.
 #include <simdjson.h>
 
 #include <catch2/catch.hpp>
@@ -12,7 +13,7 @@
 
 namespace {
 
-std::string recorded(const std::string& dialect) {
+std::string recorded_stream(const std::string& dialect) {
   std::ifstream file(std::string(THORNWICK_STREAMS) + "/" + dialect + ".sse");
   std::ostringstream text;
   text << file.rdbuf();
@@ -20,15 +21,18 @@
   return text.str();
 }
 
-// What a client ends up with, read without the router's code.
-struct RequestSummary {
-  std::string text, reason;
-  std::uint64_t prompt = 0, generated = 0, kept = 0;
-  int ends = 0;
-  bool operator==(const RequestSummary&) const = default;
+// What a client learns from a stream, read without the router's code.
+struct StreamSummary {
+  std::string text;
+  std::string reason;
+  std::uint64_t prompt = 0;
+  std::uint64_t generated = 0;
+  std::uint64_t cached = 0;
+  int terminal_events = 0;
+  bool operator==(const StreamSummary&) const = default;
 };
 
-std::string unchunk(const std::string& raw) {
+std::string decode_chunks(const std::string& raw) {
   std::string out;
   for (std::size_t at = raw.find("\r\n\r\n") + 4; at < raw.size();) {
     const auto end = raw.find("\r\n", at);
@@ -39,52 +43,52 @@
   return out;
 }
 
-RequestSummary tally_of(const std::string& stream) {
-  RequestSummary tally;
+StreamSummary read_stream(const std::string& stream) {
+  StreamSummary summary;
   simdjson::dom::parser parser;
   std::istringstream lines(stream);
-  const auto add = [](std::string& to, auto value) {
+  const auto append_text = [](std::string& to, auto value) {
     if (std::string_view text; value.get(text) == simdjson::SUCCESS) to += text;
   };
-  const auto count = [](std::uint64_t& to, auto value) {
+  const auto read_count = [](std::uint64_t& to, auto value) {
     if (std::uint64_t number = 0; value.get(number) == simdjson::SUCCESS) to = number;
   };
-  std::uint64_t fresh = 0;
+  std::uint64_t uncached = 0;
   for (std::string line; std::getline(lines, line);) {
     if (!line.starts_with("data: ")) continue;
     if (line == "data: [DONE]") {
-      ++tally.ends;
+      ++summary.terminal_events;
       continue;
     }
     const auto json = parser.parse(line.substr(6)).value();
     if (json["type"].error() != simdjson::SUCCESS) {
-      add(tally.text, json.at_pointer("/choices/0/delta/content"));
-      add(tally.reason, json.at_pointer("/choices/0/finish_reason"));
-      count(tally.prompt, json.at_pointer("/usage/prompt_tokens"));
-      count(tally.generated, json.at_pointer("/usage/completion_tokens"));
-      count(tally.kept, json.at_pointer("/usage/prompt_tokens_details/cached_tokens"));
+      append_text(summary.text, json.at_pointer("/choices/0/delta/content"));
+      append_text(summary.reason, json.at_pointer("/choices/0/finish_reason"));
+      read_count(summary.prompt, json.at_pointer("/usage/prompt_tokens"));
+      read_count(summary.generated, json.at_pointer("/usage/completion_tokens"));
+      read_count(summary.cached, json.at_pointer("/usage/prompt_tokens_details/cached_tokens"));
       continue;
     }
-    if (std::string_view(json["type"]) == "message_stop") ++tally.ends;
-    add(tally.text, json.at_pointer("/delta/text"));
-    add(tally.reason, json.at_pointer("/delta/stop_reason"));
+    if (std::string_view(json["type"]) == "message_stop") ++summary.terminal_events;
+    append_text(summary.text, json.at_pointer("/delta/text"));
+    append_text(summary.reason, json.at_pointer("/delta/stop_reason"));
     for (const std::string at : {"/message/usage", "/usage"}) {
-      count(fresh, json.at_pointer(at + "/input_tokens"));
-      count(tally.kept, json.at_pointer(at + "/cache_read_input_tokens"));
-      count(tally.generated, json.at_pointer(at + "/output_tokens"));
+      read_count(uncached, json.at_pointer(at + "/input_tokens"));
+      read_count(summary.cached, json.at_pointer(at + "/cache_read_input_tokens"));
+      read_count(summary.generated, json.at_pointer(at + "/output_tokens"));
     }
-    tally.prompt = fresh + tally.kept;
+    summary.prompt = uncached + summary.cached;
   }
-  if (tally.reason == "max_tokens") tally.reason = "length";
-  return tally;
+  if (summary.reason == "max_tokens") summary.reason = "length";
+  return summary;
 }
 
 }  // namespace
 
-TEST_CASE("recorded streams of both dialects end in the same tally for both kinds of client") {
+TEST_CASE("recorded streams of both dialects give clients of both dialects the same text and token counts") {
   const std::string client = GENERATE("client", "writer");
   const std::string replica = GENERATE("platform", "messages");
-  const std::size_t piece = GENERATE(7, 100'000);  // split frames, and all at once
+  const std::size_t piece = GENERATE(7, 100'000);  // split frames, and the whole stream at once
   CAPTURE(client, replica, piece);
   Play play({.box_dialect = replica});
   const bool platform_client = client == "client";
@@ -93,7 +97,7 @@
                                  : "attempt1 expect POST /v1/messages ");
   play.run(
       "attempt1 expect X-Request-ID: r1\\r\\n\nattempt1 expect \"max_tokens\":50\nattempt1 send $stream");
-  const std::string stream = recorded(replica);
+  const std::string stream = recorded_stream(replica);
   for (std::size_t at = 0; at < stream.size(); at += piece) {
     std::ostringstream chunk;
     const std::string part = stream.substr(at, piece);
@@ -101,15 +105,15 @@
     play.send("attempt1", chunk.str());
   }
   play.run("attempt1 send 0\\r\\n\\r\\n\n" + client + " expect \\r\\n0\\r\\n\\r\\n\nrouter expect served=1");
-  const std::string got = unchunk(play.received(client));
-  const bool same = platform_client == (replica == "platform");
-  if (same) CHECK(got == stream);  // byte for byte
-  CHECK(got.find("event: ") == (platform_client ? std::string::npos : 0));
-  const RequestSummary expected{"Bula, \"lab\"\nthe suite \u00e9 passed. Done", "length", 5120, 12, 4096, 1};
-  CHECK(tally_of(got) == expected);
+  const std::string received = decode_chunks(play.received(client));
+  const bool same_dialect = platform_client == (replica == "platform");
+  if (same_dialect) CHECK(received == stream);  // byte for byte
+  CHECK(received.find("event: ") == (platform_client ? std::string::npos : 0));
+  const StreamSummary expected{"Bula, \"lab\"\nthe suite \u00e9 passed. Done", "length", 5120, 12, 4096, 1};
+  CHECK(read_stream(received) == expected);
 }
 
-TEST_CASE("a translated request keeps the system's words and the turns") {
+TEST_CASE("a translated request keeps the system prompt and the turns") {
   Play play({.box_dialect = "platform"});
   play.run(R"(
     writer1 send $say(r1)
@@ -125,7 +129,7 @@
   )");
 }
 
-TEST_CASE("refusals, errors and deadlines come in the client's dialect") {
+TEST_CASE("rejections, errors and deadlines are answered in the client's dialect") {
   Play play({.box_dialect = "messages"});
   play.run(R"(
     writer1 send $say(r1)
@@ -147,7 +151,8 @@
   )");
 }
 
-TEST_CASE("an error event after partial output reaches the client; no clean end, no other attempt") {
+TEST_CASE(
+    "an error event after partial output is passed on, and the stream is broken without another attempt") {
   const std::string client = GENERATE("client", "writer");
   Play play({.replicas = 2, .box_dialect = "messages"});
   play.run(client + " send " + (client == "client" ? "$ask(r1)" : "$say(r1)") + R"(
@@ -160,7 +165,7 @@
            " expect close\nrouter expect broken=1\nrouter expect attempts=1\nrouter expect attempt_error=1");
 }
 
-TEST_CASE("an error event before any output leads to another attempt") {
+TEST_CASE("an error event before any output leads to a retry") {
   Play play({.replicas = 2, .box_dialect = "messages"});
   play.run(R"(
     writer1 send $say(r1)
@@ -172,7 +177,7 @@
   )");
 }
 
-TEST_CASE("a stream that ends on an unknown event is whole only if the terminal event came before") {
+TEST_CASE("a stream that ends with an unknown event is complete only after its terminal event") {
   const std::string terminal = GENERATE("", "$event(message_stop)");
   Play play({.box_dialect = "messages"});
   play.run(R"(
@@ -185,7 +190,7 @@
                             : "writer1 expect 0\\r\\n\\r\\n\nrouter expect served=1");
 }
 
-TEST_CASE("an unknown event is passed over in translation, and pings become comments") {
+TEST_CASE("translation drops unknown events and turns pings into comments") {
   Play play({.box_dialect = "messages"});
   play.run(R"(
     client1 send $ask(r1)
--- a/tests/net/play.cpp
+++ b/tests/net/play.cpp
@@ -322,8 +322,10 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(std::stol(verb)));
   } else if (verb == "end") {
     line(actor).stream->finish_sending();
-  } else if (verb == "hold" || verb == "read") {
-    line(actor).stream->hold(verb == "hold");
+  } else if (verb == "hold") {
+    line(actor).stream->pause_reading();
+  } else if (verb == "read") {
+    line(actor).stream->resume_reading();
   } else if (verb == "reset") {
     reset(line(actor));
   } else if (verb == "send") {
--- a/tests/net/reader.cpp
+++ b/tests/net/reader.cpp
@@ -42,7 +42,7 @@
   const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   CHECK(read_all(Kind::answer, interim + interim + answer, 10) == "ok|");
   std::string many;
-  for (int i = 0; i <= kMostInterim; ++i) many += interim;
+  for (int i = 0; i <= kMaxInterimAnswers; ++i) many += interim;
   CHECK_THROWS_AS(read_all(Kind::answer, many + answer, 1000), BadMessage);
   CHECK_THROWS_AS(read_all(Kind::answer, "HTTP/1.1 101 Switching\r\n\r\n" + answer, 1000), BadMessage);
 }
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -78,7 +78,7 @@
     CHECK(whole.load->metrics().unanswered == 0);
     CHECK(whole.load->metrics().no_connection == 0);
     CHECK(r.sum.served == whole.node->core().counters().served);
-    CHECK(r.tries == whole.node->core().counters().taken);
+    CHECK(r.tries == whole.node->core().counters().admitted);
     CHECK(whole.node->core().open() == 0);
     CHECK(r.sum.broken == 0);
     CHECK(whole.installation->metrics().done >= r.sum.served);
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -19,55 +19,56 @@
 std::string message_of(std::vector<GossipItem> items) {
   Gossip all;
   for (const auto& item : items) all.add(item);
-  return all.message();
+  return all.take_message();
 }
 
-Settings thin_settings() {
-  auto s = plain_settings();
-  s.group_size = 100;
-  s.rank = 3;
-  s.may_message_peers = true;
-  s.hedging = false;
-  return s;
+Settings large_group_settings() {
+  auto settings = plain_settings();
+  settings.group_size = 100;
+  settings.rank = 3;
+  settings.may_message_peers = true;
+  settings.hedging = false;
+  return settings;
 }
 
-void receive(Fixture& f, std::uint32_t peer, std::vector<GossipItem> items) {
-  f.router.on_peer_message(f.now, peer, bytes_of(message_of(std::move(items))));
-  f.absorb();
+void receive(PolicyFixture& fixture, std::uint32_t peer, std::vector<GossipItem> items) {
+  fixture.router.on_peer_message(fixture.now, peer, bytes_of(message_of(std::move(items))));
+  fixture.take_actions();
 }
 
-std::map<ReplicaId, int> sent(Fixture& f, int requests) {
+// Sends so many requests, each answered at once, and returns how many each replica got.
+std::map<ReplicaId, int> send_requests(PolicyFixture& fixture, int requests) {
   std::map<ReplicaId, int> to;
   for (int i = 0; i < requests; ++i) {
-    f.advance(20'000);
+    fixture.advance(20'000);
     const auto id =
-        Fixture::sent_replica(f.arrive({.prompt_tokens = 100, .session = 77u + static_cast<unsigned>(i)}));
-    f.serve(f.last.id, id);
+        sent_replica(fixture.arrive({.prompt_tokens = 100, .session = 77u + static_cast<unsigned>(i)}));
+    fixture.serve(fixture.last.id, id);
     ++to[id];
   }
   return to;
 }
 
-TEST(Gossip, ComeBackAsTheyWereAndAMessageHoldsFiftyAtMost) {
+TEST(Gossip, ItemsAreDecodedAsEncodedAndAMessageHoldsFifty) {
   Gossip gossip;
   for (std::uint32_t i = 0; i < 60; ++i) EXPECT_EQ(gossip.add({0xfffffff0u - i, Observation::late}), i == 0);
-  const auto text = gossip.message();
+  const auto text = gossip.take_message();
   EXPECT_LE(text.size(), 256u);
-  EXPECT_TRUE(gossip.message().empty());
+  EXPECT_TRUE(gossip.take_message().empty());
   const auto read = gossip.read(kSecond, 7, bytes_of(text));
   ASSERT_EQ(read.size(), Gossip::kMaxItems);
   EXPECT_EQ(read.back().replica, 0xfffffff0u - 49);
   EXPECT_EQ(read.back().seen, Observation::late);
 }
 
-TEST(Gossip, OfAMessageThatIsCutForeignOrTooLongNothingIsBelieved) {
-  const auto good = bytes_of(message_of({{1, Observation::slow}, {2, Observation::silent}}));
+TEST(Gossip, ATruncatedForeignOrTooLongMessageIsIgnored) {
+  const auto good = bytes_of(message_of({{1, Observation::slow}, {2, Observation::unreachable}}));
   Gossip gossip;
   std::uint64_t bad = 0;
   for (std::size_t cut = 0; cut < good.size(); ++cut) {
-    const bool whole = cut == 7;  // one item and its head is a message of its own
-    EXPECT_EQ(gossip.read(kSecond, 1, std::span(good).first(cut)).size(), whole ? 1u : 0u) << cut;
-    bad += !whole;
+    const bool complete = cut == 7;  // a head and one item are a complete message
+    EXPECT_EQ(gossip.read(kSecond, 1, std::span(good).first(cut)).size(), complete ? 1u : 0u) << cut;
+    bad += !complete;
   }
   for (std::size_t at : {0u, 1u, 6u}) {
     auto wrong = good;
@@ -80,9 +81,9 @@
   EXPECT_EQ(gossip.unreadable(), bad + 2);
 }
 
-TEST(Gossip, APeerIsBelievedSoManyASecondAndNoMore) {
+TEST(Gossip, ItemsBeyondThePeersRateAreIgnored) {
   Gossip gossip;
-  const auto full = bytes_of(message_of(std::vector<GossipItem>(50, {1, Observation::silent})));
+  const auto full = bytes_of(message_of(std::vector<GossipItem>(50, {1, Observation::unreachable})));
   std::size_t accepted = 0;
   for (int i = 0; i < 100; ++i) accepted += gossip.read(kSecond + i * 10'000, 5, full).size();
   EXPECT_GE(accepted, 100u);
@@ -91,132 +92,138 @@
   EXPECT_EQ(gossip.read(kSecond, 6, full).size(), 50u);  // others are read as before
 }
 
-TEST(LargeGroup, LeavesOutAReplicaThatOthersFoundSilentAndTakesItBack) {
-  Fixture f(thin_settings());
-  f.list_plain(4);
-  EXPECT_GT(sent(f, 40)[20], 0);
-  for (std::uint32_t peer : {10u, 11u, 12u}) receive(f, peer, {{20, Observation::silent}});
-  EXPECT_EQ(sent(f, 40)[20], 0);
-  f.advance(seconds(10));
-  EXPECT_GT(sent(f, 40)[20], 0);
+TEST(LargeGroup, EjectsAReplicaThatPeersReportAsUnreachableForAWhile) {
+  PolicyFixture fixture(large_group_settings());
+  fixture.list_equal_replicas(4);
+  EXPECT_GT(send_requests(fixture, 40)[20], 0);
+  for (std::uint32_t peer : {10u, 11u, 12u}) receive(fixture, peer, {{20, Observation::unreachable}});
+  EXPECT_EQ(send_requests(fixture, 40)[20], 0);
+  fixture.advance(seconds(10));
+  EXPECT_GT(send_requests(fixture, 40)[20], 0);
 }
 
-TEST(LargeGroup, SingleFailuresHereAndThereEjectNobody) {
-  Fixture f(thin_settings());
-  f.list_plain(4);
+TEST(LargeGroup, SingleFailuresThatPeersReportEjectNoReplica) {
+  PolicyFixture fixture(large_group_settings());
+  fixture.list_equal_replicas(4);
   for (std::uint32_t i = 0; i < 20; ++i) {
-    f.advance(kSecond);
-    receive(f, 10 + i, {{20, Observation::stumbled}});
+    fixture.advance(kSecond);
+    receive(fixture, 10 + i, {{20, Observation::failed}});
   }
-  EXPECT_GT(sent(f, 40)[20], 0);
+  EXPECT_GT(send_requests(fixture, 40)[20], 0);
 }
 
-TEST(LargeGroup, SendsLessToAReplicaThatOthersFindSlowUntilThatFades) {
-  Fixture f(thin_settings());
-  f.list_plain(4);
-  const int before = sent(f, 200)[20];
-  for (std::uint32_t peer = 10; peer < 30; ++peer) receive(f, peer, {{20, Observation::slow}});
-  const int during = sent(f, 40)[20] * 5;
+TEST(LargeGroup, SendsLessToAReplicaThatPeersReportAsSlowForAWhile) {
+  PolicyFixture fixture(large_group_settings());
+  fixture.list_equal_replicas(4);
+  const int before = send_requests(fixture, 200)[20];
+  for (std::uint32_t peer = 10; peer < 30; ++peer) receive(fixture, peer, {{20, Observation::slow}});
+  const int during = send_requests(fixture, 40)[20] * 5;
   EXPECT_LT(during, before * 2 / 3);
-  f.advance(seconds(40));
-  EXPECT_GT(sent(f, 200)[20], before * 3 / 4);
+  fixture.advance(seconds(40));
+  EXPECT_GT(send_requests(fixture, 200)[20], before * 3 / 4);
 }
 
-TEST(LargeGroup, TellsOthersOnceAndInOneMessage) {
-  auto s = thin_settings();
-  s.group_size = 17;  // the smallest in which routers report: all that they see
-  Fixture f(s);
-  f.list_plain(2);
+TEST(LargeGroup, ReportsFailuresOnceAndInOneMessage) {
+  auto settings = large_group_settings();
+  settings.group_size = 17;  // the smallest group that gossips; it reports everything
+  PolicyFixture fixture(settings);
+  fixture.list_equal_replicas(2);
   for (int i = 0; i < 20; ++i) {
-    const auto to = Fixture::sent_replica(f.arrive_sized(100));
-    f.result(f.last.id, 0, to, Outcome::connect_failed);
+    const auto to = sent_replica(fixture.arrive_with_size(100));
+    fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
   }
-  const auto messages = only(f.advance(kSecond), ActionKind::message_peer);
+  const auto messages = actions_of_kind(fixture.advance(kSecond), ActionKind::message_peer);
   ASSERT_EQ(messages.size(), 1u);
-  EXPECT_EQ(messages[0].token, Gossip::kAll);
+  EXPECT_EQ(messages[0].token, Gossip::kAllPeers);
   EXPECT_GE(messages[0].message.size(), 2u + 15 * 5);
 }
 
-// Each item costs something at every router: when all was reported, 300 routers paid a tenth of the day's
-// result.
-TEST(LargeGroup, WhatANoteCostsAllTogetherDoesNotGrowWithTheGroup) {
-  std::vector<double> paid;
+// Each item costs CPU time at every router. When everything was reported, this cost 300 routers a tenth of a
+// day's score.
+TEST(LargeGroup, TheCostOfReportsDoesNotGrowWithTheGroup) {
+  std::vector<double> delivered_bytes;
   for (const std::uint32_t group : {40u, 100u, 300u}) {
-    auto s = thin_settings();
-    s.group_size = group;
-    s.max_attempts = 1;
-    Fixture f(s);
-    f.list_plain(40);
+    auto settings = large_group_settings();
+    settings.group_size = group;
+    settings.max_attempts = 1;
+    PolicyFixture fixture(settings);
+    fixture.list_equal_replicas(40);
     double bytes = 0;
     for (int i = 0; i < 2000; ++i) {
-      const auto to = Fixture::sent_replica(f.arrive_sized(100));
-      f.result(f.last.id, 0, to, Outcome::connect_failed);
-      for (const auto& action : only(f.advance(kSecond / 2), ActionKind::message_peer))
+      const auto to = sent_replica(fixture.arrive_with_size(100));
+      fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+      for (const auto& action : actions_of_kind(fixture.advance(kSecond / 2), ActionKind::message_peer))
         bytes += static_cast<double>(action.message.size());
     }
-    paid.push_back(bytes * group);
+    delivered_bytes.push_back(bytes * group);
   }
-  EXPECT_GT(paid[0], 0);
-  EXPECT_LT(paid[1], 1.5 * paid[0]);
-  EXPECT_LT(paid[2], 1.5 * paid[0]);
-  EXPECT_GT(paid[2], 0.3 * paid[0]);
+  EXPECT_GT(delivered_bytes[0], 0);
+  EXPECT_LT(delivered_bytes[1], 1.5 * delivered_bytes[0]);
+  EXPECT_LT(delivered_bytes[2], 1.5 * delivered_bytes[0]);
+  EXPECT_GT(delivered_bytes[2], 0.3 * delivered_bytes[0]);
 }
 
-// Guards against cutoffs of a few sizes: sessions would have another place at each router.
-TEST(LargeGroup, RoutersThatSawDifferentSizesPlaceSessionsAlike) {
-  std::vector<std::unique_ptr<Fixture>> two;
+// Cutoffs from a few sizes would differ between routers, and so would the replica of each session.
+TEST(LargeGroup, RoutersThatObservedDifferentSizesPlaceSessionsAlike) {
+  std::vector<std::unique_ptr<PolicyFixture>> routers;
   for (std::uint32_t rank : {3u, 4u}) {
-    auto s = thin_settings();
-    s.rank = rank, s.seed = rank;
-    two.push_back(std::make_unique<Fixture>(s));
-    Fixture& f = *two.back();
-    f.list_plain(40);
+    auto settings = large_group_settings();
+    settings.rank = rank;
+    settings.seed = rank;
+    routers.push_back(std::make_unique<PolicyFixture>(settings));
+    PolicyFixture& fixture = *routers.back();
+    fixture.list_equal_replicas(40);
     for (int i = 0; i < 60; ++i) {
-      f.advance(kSecond);
+      fixture.advance(kSecond);
       const double size = 100 * std::pow(1.0 + 0.1 * rank, i % 20);
-      const auto to = Fixture::sent_replica(f.arrive({.prompt_tokens = size, .session = 1000u * rank + i}));
-      f.serve(f.last.id, to);
+      const auto to = sent_replica(fixture.arrive({.prompt_tokens = size, .session = 1000u * rank + i}));
+      fixture.serve(fixture.last.id, to);
     }
   }
   int alike = 0;
   for (std::uint64_t session = 1; session <= 100; ++session) {
     ReplicaId at[2];
     for (std::size_t i : {0u, 1u}) {
-      Fixture& f = *two[i];
-      at[i] = Fixture::sent_replica(f.arrive({.prompt_tokens = 50.0 * session, .session = session}));
-      f.serve(f.last.id, at[i]);
+      PolicyFixture& fixture = *routers[i];
+      at[i] = sent_replica(fixture.arrive({.prompt_tokens = 50.0 * session, .session = session}));
+      fixture.serve(fixture.last.id, at[i]);
     }
     alike += at[0] == at[1];
   }
   EXPECT_GT(alike, 95);
 }
 
-// Half warm, a replica does three quarters of its work; as one of a small group it is given half, as before.
-TEST(LargeGroup, TheShareOfANewcomerRisesFromZeroAsItsAbilityDoes) {
-  for (const auto& [group, from, to] : {std::tuple{100u, 160, 200}, std::tuple{4u, 110, 150}}) {
-    auto s = thin_settings();
-    s.group_size = group;
-    Fixture f(s);
-    f.list({{.id = 10}, {.id = 20, .started = f.now - s.warm_up / 2}});
-    int there = 0;
+// After half of its warm-up a replica can do three quarters of its work. In a small group its share is half.
+TEST(LargeGroup, TheShareOfAWarmingUpReplicaRisesWithItsCapacity) {
+  struct Case {
+    std::uint32_t group_size;
+    int min_sent;
+    int max_sent;
+  };
+  for (const auto& [group, min_sent, max_sent] : {Case{100, 160, 200}, Case{4, 110, 150}}) {
+    auto settings = large_group_settings();
+    settings.group_size = group;
+    PolicyFixture fixture(settings);
+    fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - settings.warm_up / 2}});
+    int sent = 0;
     for (std::uint64_t session = 1; session <= 400; ++session) {
-      const auto id = Fixture::sent_replica(f.arrive({.prompt_tokens = 100, .session = session}));
-      f.serve(f.last.id, id);
-      there += id == 20;
+      const auto id = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = session}));
+      fixture.serve(fixture.last.id, id);
+      sent += id == 20;
     }
-    EXPECT_GE(there, from) << group;
-    EXPECT_LE(there, to) << group;
+    EXPECT_GE(sent, min_sent) << group;
+    EXPECT_LE(sent, max_sent) << group;
   }
 }
 
-TEST(LargeGroup, AFewRoutersTellNothingAndBelieveNothing) {
-  auto s = thin_settings();
-  s.group_size = 4;
-  Fixture f(s);
-  f.list_plain(2);
-  const auto to = Fixture::sent_replica(f.arrive_sized(100));
-  f.result(f.last.id, 0, to, Outcome::connect_failed);
-  EXPECT_TRUE(only(f.advance(kSecond), ActionKind::message_peer).empty());
+TEST(LargeGroup, ASmallGroupSendsNoGossip) {
+  auto settings = large_group_settings();
+  settings.group_size = 4;
+  PolicyFixture fixture(settings);
+  fixture.list_equal_replicas(2);
+  const auto to = sent_replica(fixture.arrive_with_size(100));
+  fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+  EXPECT_TRUE(actions_of_kind(fixture.advance(kSecond), ActionKind::message_peer).empty());
 }
 
 }  // namespace
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -1,4 +1,5 @@
-// A router with a fake clock, and shorthand to feed it and to read what it decides.
+// Helpers of the routing policy's tests: settings, a policy with a clock of its own, and queries on its
+// actions.
 #pragma once
 
 #include <algorithm>
@@ -12,32 +13,43 @@
 inline constexpr Time kSecond = seconds(1);
 
 inline Settings plain_settings() {
-  Settings s;
-  s.seed = 7;
-  s.classes.push_back({.priority_weight = 1, .latency_objective = seconds(2), .deadline = seconds(10)});
-  s.may_cancel = true;
-  s.hedging = true;
-  s.max_attempts = 4;
-  s.initial_capacity = 0.2;
-  s.warm_up = seconds(10);
-  s.drain_grace = 500'000;
-  return s;
+  Settings settings;
+  settings.seed = 7;
+  settings.classes.push_back(
+      {.priority_weight = 1, .latency_objective = seconds(2), .deadline = seconds(10)});
+  settings.may_cancel = true;
+  settings.hedging = true;
+  settings.max_attempts = 4;
+  settings.initial_capacity = 0.2;
+  settings.warm_up = seconds(10);
+  settings.drain_grace = 500'000;
+  return settings;
 }
 
-class Fixture {
+// The replica of the first send action; 0 if there is none.
+inline ReplicaId sent_replica(const std::vector<Action>& actions) {
+  for (const Action& action : actions) {
+    if (action.kind == ActionKind::send) return action.replica;
+  }
+  return 0;
+}
+
+// A routing policy with a clock that the test advances. Takes the policy's actions after each event and keeps
+// its timers.
+class PolicyFixture {
  public:
-  explicit Fixture(const Settings& settings = plain_settings(), Time start = seconds(1000))
+  explicit PolicyFixture(const Settings& settings = plain_settings(), Time start = seconds(1000))
       : now(start), router(settings, start) {
-    absorb();
+    take_actions();
   }
 
   void list(std::vector<Endpoint> entries, EndpointUpdate scope = EndpointUpdate::full) {
     router.on_endpoints(now, scope, entries);
-    absorb();
+    take_actions();
   }
 
   // Replicas 10, 20, 30, ... of one zone and weight.
-  void list_plain(int count) {
+  void list_equal_replicas(int count) {
     std::vector<Endpoint> entries;
     for (int i = 1; i <= count; ++i) entries.push_back({.id = static_cast<ReplicaId>(10 * i)});
     list(entries);
@@ -49,31 +61,31 @@
     if (request.due == 0) request.due = now + seconds(8);
     last = request;
     router.on_request(now, request);
-    return absorb();
+    return take_actions();
   }
-  std::vector<Action> arrive_sized(double prompt, double limit = 100) {
+  std::vector<Action> arrive_with_size(double prompt, double limit = 100) {
     return arrive({.prompt_tokens = prompt, .max_tokens = limit});
   }
 
-  std::vector<Action> result(RequestId id, std::uint8_t attempt, ReplicaId replica, Outcome outcome,
-                             bool concluded = false) {
+  std::vector<Action> end_attempt(RequestId id, std::uint8_t attempt, ReplicaId replica, Outcome outcome,
+                                  bool concluded = false) {
     router.on_attempt_result(now, {.id = id,
                                    .attempt = attempt,
                                    .replica = replica,
                                    .outcome = outcome,
                                    .elapsed = kSecond,
                                    .concluded = concluded});
-    return absorb();
+    return take_actions();
   }
   std::vector<Action> first_token(RequestId id, std::uint8_t attempt, ReplicaId replica) {
     router.on_first_token(now, id, attempt, replica, 0);
-    return absorb();
+    return take_actions();
   }
 
   // Serves a request at once: first token, then the end of the stream.
   void serve(RequestId id, ReplicaId replica, std::uint8_t attempt = 0) {
     first_token(id, attempt, replica);
-    result(id, attempt, replica, Outcome::served, true);
+    end_attempt(id, attempt, replica, Outcome::served, true);
   }
 
   // Advances the clock, firing every timer on its way.
@@ -85,41 +97,35 @@
       timers.erase(timers.begin());
       now = std::max(now, when);
       router.on_timer(now, token);
-      const auto actions = absorb();
+      const auto actions = take_actions();
       seen.insert(seen.end(), actions.begin(), actions.end());
     }
     now = until;
     return seen;
   }
 
-  std::vector<Action> absorb() {
+  std::vector<Action> take_actions() {
     auto actions = router.take_actions();
-    for (const auto& a : actions) {
-      if (a.kind == ActionKind::set_timer) timers.emplace(std::max(a.time, now + 1), a.token);
+    for (const Action& action : actions) {
+      if (action.kind == ActionKind::set_timer) timers.emplace(std::max(action.time, now + 1), action.token);
     }
     return actions;
   }
 
-  // Serves enough requests that the budget allows second attempts.
-  void earn_second_attempts() {
+  // Serves enough requests that the retry budget allows retries.
+  void earn_retries() {
     for (int i = 0; i < 25; ++i) {
-      const auto to = sent_replica(arrive_sized(100));
+      const auto to = sent_replica(arrive_with_size(100));
       serve(last.id, to);
     }
   }
-  static ReplicaId sent_replica(const std::vector<Action>& actions) {
-    for (const auto& a : actions) {
-      if (a.kind == ActionKind::send) return a.replica;
-    }
-    return 0;
-  }
 
-  // Feeds sizes, evenly over [low, high], so that they can be told apart; all are served at once.
+  // Feeds sizes, evenly over [low, high], so that they can be distinguished; all are served at once.
   void learn_sizes(int count, double low, double high) {
     for (int i = 0; i < count; ++i) {
       const double size = low + (high - low) * ((i * 37) % count) / count;
-      for (const auto& a : arrive_sized(size, 0)) {
-        if (a.kind == ActionKind::send) serve(a.id, a.replica);
+      for (const Action& action : arrive_with_size(size, 0)) {
+        if (action.kind == ActionKind::send) serve(action.id, action.replica);
       }
       advance(20'000);
     }
@@ -133,17 +139,18 @@
   std::multiset<std::pair<Time, std::uint32_t>> timers;
 };
 
-inline std::vector<Action> only(const std::vector<Action>& actions, ActionKind kind) {
+// The actions of this kind, in order.
+inline std::vector<Action> actions_of_kind(const std::vector<Action>& actions, ActionKind kind) {
   std::vector<Action> found;
   std::copy_if(actions.begin(), actions.end(), std::back_inserter(found),
-               [&](const Action& a) { return a.kind == kind; });
+               [&](const Action& action) { return action.kind == kind; });
   return found;
 }
 
-inline ReplicaId sent_to(const std::vector<Action>& actions) { return Fixture::sent_replica(actions); }
-
-inline std::size_t finals(const std::vector<Action>& actions) {
-  return only(actions, ActionKind::reject).size() + only(actions, ActionKind::fail).size();
+// How many of the actions are final answers of requests.
+inline std::size_t final_answer_count(const std::vector<Action>& actions) {
+  return actions_of_kind(actions, ActionKind::reject).size() +
+         actions_of_kind(actions, ActionKind::fail).size();
 }
 
 }  // namespace thornwick::testing
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -129,7 +129,7 @@
   std::ostringstream line;
   line << "  kind " << static_cast<int>(event.kind) << ", text '" << event.text << "', last text '"
        << event.last_text << "', model '" << event.model << "', usage " << event.usage.prompt << " "
-       << event.usage.generated << " " << event.usage.kept << ", has usage " << event.has_usage << "\n";
+       << event.usage.generated << " " << event.usage.cached << ", has usage " << event.has_usage << "\n";
   return line.str();
 }
 
