--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -1,7 +1,8 @@
 // The core without sockets: the clock is set by the tests, and the transport only counts its calls.
+#include "core/request_manager.hpp"
+
 #include <catch2/catch.hpp>
 
-#include "core/request_manager.hpp"
 #include "core/slow_start_budget.hpp"
 
 using namespace thornwick;
