--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -60,7 +60,7 @@
           .with("attempt", summary.attempts)
           .with("request", summary.external_id)
       << "served by " << field("replica", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
-      << " cached=" << field("cached", summary.usage.kept) << " expected_cached="
+      << " cached=" << field("cached", summary.usage.cached) << " expected_cached="
       << field("expected_cached", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
       << " reason=" << field("reason", choice_reason(summary));
 }
