--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -87,7 +87,7 @@
   try {
     config.settings_text = flatten(settings);
     config.settings = simulator_adapter::parse_settings(config.settings_text, read_seed(json));
-  } catch (const simulator_adapter::Malformed& problem) {
+  } catch (const simulator_adapter::MalformedInput& problem) {
     throw BadConfig(std::string("configuration: ") + problem.what());
   }
   config.names.classes = texts_at(settings, "/grades");
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,5 +1,6 @@
-// The simulator's adapter: hosts router instances by their number, sharing nothing among them, and speaks the
-// wire on standard input and output. It takes no decision.
+// The simulator's adapter: a process that hosts router instances by their number and speaks the simulator's
+// wire protocol on standard input and output. Instances share nothing but the endpoint lists, which they only
+// read. The adapter itself takes no decision.
 #include <array>
 #include <cstdio>
 #include <exception>
@@ -16,19 +17,19 @@
 
 using namespace thornwick;
 
-// A request whose answer the cache estimates have yet to learn from.
-struct OpenRequest {
+// A request without an answer yet, with what the cache estimates need when the answer arrives.
+struct RequestInFlight {
   Request request;
   affinity::Expectation expectation;
 };
 
-// One router with its cache estimates and open requests.
+// One router with its cache estimates and the requests in flight.
 struct Instance {
   Instance(const Settings& settings, Time now) : router(settings, now), affinity_table(affinity::Options{}) {}
 
   RoutingPolicy router;
   affinity::AffinityTable affinity_table;
-  std::unordered_map<RequestId, OpenRequest> open;
+  std::unordered_map<RequestId, RequestInFlight> in_flight;
 };
 
 // All instances of the process, by their number, and the endpoint lists that they share.
@@ -51,8 +52,8 @@
   }
 
  private:
-  [[noreturn]] void reject(const std::string& what) const {
-    throw simulator_adapter::Malformed("record " + std::to_string(record_) + ": " + what);
+  [[noreturn]] void reject(const std::string& reason) const {
+    throw simulator_adapter::MalformedInput("record " + std::to_string(record_) + ": " + reason);
   }
 
   // Starts or stops the instance of the event, or hands the event to it.
@@ -85,12 +86,12 @@
   void handle(Time now, Instance& instance, const Request& request) {
     Request hinted = request;
     hinted.cache_hint = instance.affinity_table.recall(now, request);
-    instance.open[request.id] = {hinted, {}};
+    instance.in_flight[request.id] = {hinted, {}};
     instance.router.on_request(now, hinted);
   }
   void handle(Time now, Instance& instance, const simulator_adapter::FirstToken& first) {
-    const auto found = instance.open.find(first.id);
-    if (found != instance.open.end()) {
+    const auto found = instance.in_flight.find(first.id);
+    if (found != instance.in_flight.end()) {
       found->second.expectation = instance.affinity_table.began(now, found->second.request, first.replica);
     }
     instance.router.on_first_token(now, first.id, first.attempt, first.replica, first.elapsed);
@@ -98,16 +99,16 @@
   void handle(Time now, Instance& instance, const simulator_adapter::Result& event) {
     AttemptResult result = event.result;
     result.report = event.report;
-    const auto found = instance.open.find(result.id);
-    if (found != instance.open.end() && result.outcome == Outcome::served) {
+    const auto found = instance.in_flight.find(result.id);
+    if (found != instance.in_flight.end() && result.outcome == Outcome::served) {
       const auto& [request, expectation] = found->second;
       instance.affinity_table.answered(now, request, result.replica, expectation, result.cached_tokens, 0);
     }
-    if (found != instance.open.end() && result.concluded) instance.open.erase(found);
+    if (found != instance.in_flight.end() && result.concluded) instance.in_flight.erase(found);
     instance.router.on_attempt_result(now, result);
   }
   void handle(Time now, Instance& instance, const simulator_adapter::ClientGone& gone) {
-    instance.open.erase(gone.id);
+    instance.in_flight.erase(gone.id);
     instance.router.on_client_gone(now, gone.id);
   }
   void handle(Time now, Instance& instance, const simulator_adapter::Timer& timer) {
@@ -129,7 +130,7 @@
     if (found == routers_.end()) return;
     for (const auto& action : found->second.router.take_actions()) {
       const bool final = action.kind == ActionKind::reject || action.kind == ActionKind::fail;
-      if (final) found->second.open.erase(action.id);
+      if (final) found->second.in_flight.erase(action.id);
       simulator_adapter::encode_action(instance, action, now, records);
     }
   }
@@ -139,9 +140,15 @@
   std::size_t record_ = 0;  // the number of the event in its batch
 };
 
-// Reads exactly `size` bytes of standard input into `into`, in slices, so that a false length does not
-// allocate what never arrives. Returns false at a clean end of input before the first byte.
-bool read_exactly(std::vector<std::uint8_t>& into, std::size_t size, const char* what) {
+// The part of the input that is being read, for errors.
+enum class InputPart : std::uint8_t { length, batch };
+
+const char* to_string(InputPart part) { return part == InputPart::length ? "the length" : "a batch"; }
+
+// Reads exactly `size` bytes of standard input into `into`. It reads in slices, so that a false length does
+// not allocate memory for bytes that never arrive. Returns false if the input ends before the first byte.
+// Throws MalformedInput if it ends later.
+bool read_exactly(std::vector<std::uint8_t>& into, std::size_t size, InputPart part) {
   constexpr std::size_t kSlice = 1 << 20;
   into.clear();
   while (into.size() < size) {
@@ -150,8 +157,8 @@
     const std::size_t got = std::fread(into.data() + have, 1, into.size() - have, stdin);
     if (got != into.size() - have) {
       if (have + got == 0) return false;
-      throw simulator_adapter::Malformed(std::string("input ends within ") + what + ", byte " +
-                                         std::to_string(have + got));
+      throw simulator_adapter::MalformedInput(std::string("input ends within ") + to_string(part) +
+                                              ", byte " + std::to_string(have + got));
     }
   }
   return true;
@@ -162,13 +169,13 @@
   Host host;
   std::vector<std::uint8_t> header;
   std::vector<std::uint8_t> payload;
-  while (read_exactly(header, simulator_adapter::kHeaderBytes, "the length")) {
+  while (read_exactly(header, simulator_adapter::kHeaderBytes, InputPart::length)) {
     const auto length = simulator_adapter::read_length(
         std::span<const std::uint8_t, simulator_adapter::kHeaderBytes>(header.data(), 4));
     if (length > simulator_adapter::kMaxFrameBytes)
-      throw simulator_adapter::Malformed("header, byte 0: length beyond any batch");
-    if (!read_exactly(payload, length + simulator_adapter::kClockAndCountBytes, "a batch")) {
-      throw simulator_adapter::Malformed("input ends after the length of a batch, byte 4");
+      throw simulator_adapter::MalformedInput("header, byte 0: length beyond any batch");
+    if (!read_exactly(payload, length + simulator_adapter::kClockAndCountBytes, InputPart::batch)) {
+      throw simulator_adapter::MalformedInput("input ends after the length of a batch, byte 4");
     }
     const auto reply = host.answer(simulator_adapter::decode_batch(payload));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
--- a/src/simulator_adapter/byte_reader.cpp
+++ b/src/simulator_adapter/byte_reader.cpp
@@ -2,37 +2,39 @@
 
 namespace thornwick::simulator_adapter {
 
-void ByteReader::reject(const std::string& what) const {
+void ByteReader::reject(const std::string& reason) const {
   const std::string where = record_ < 0 ? "header" : "record " + std::to_string(record_);
-  throw Malformed(where + ", byte " + std::to_string(position_ + kHeaderBytes) + ": " + what);
+  throw MalformedInput(where + ", byte " + std::to_string(position_ + kHeaderBytes) + ": " + reason);
 }
 
-std::span<const std::uint8_t> ByteReader::take(std::uint64_t count, const char* what) {
-  if (count > left()) reject(std::string(what) + " runs past the end of the frame");
+std::span<const std::uint8_t> ByteReader::take(std::uint64_t count, Field field) {
+  if (count > left()) reject(std::string(to_string(field)) + " runs past the end of the frame");
   const auto part = bytes_.subspan(position_, static_cast<std::size_t>(count));
   position_ += part.size();
   return part;
 }
 
-Time ByteReader::time(const char* what) {
-  const auto value = number<std::uint64_t>(what);
+Time ByteReader::time(Field field) {
+  const auto value = number<std::uint64_t>(field);
   if (value > static_cast<std::uint64_t>(std::numeric_limits<Time>::max() / 2)) {
-    reject(std::string(what) + " is beyond any clock");
+    reject(std::string(to_string(field)) + " is beyond any clock");
   }
   return static_cast<Time>(value);
 }
 
-float ByteReader::real(const char* what) {
-  const auto value = std::bit_cast<float>(number<std::uint32_t>(what));
-  if (!std::isfinite(value)) reject(std::string(what) + " is not a finite number");
+float ByteReader::real(Field field) {
+  const auto value = std::bit_cast<float>(number<std::uint32_t>(field));
+  if (!std::isfinite(value)) reject(std::string(to_string(field)) + " is not a finite number");
   return value;
 }
 
-std::vector<float> ByteReader::reals(const char* what) {
-  const auto count = number<std::uint8_t>(what);
-  if (count * sizeof(float) > left()) reject(std::string(what) + " counts more values than the frame holds");
+std::vector<float> ByteReader::reals(Field field) {
+  const auto count = number<std::uint8_t>(field);
+  if (count * sizeof(float) > left()) {
+    reject(std::string(to_string(field)) + " counts more values than the frame holds");
+  }
   std::vector<float> values;
-  for (unsigned i = 0; i < count; ++i) values.push_back(real(what));
+  for (unsigned i = 0; i < count; ++i) values.push_back(real(field));
   return values;
 }
 
--- a/src/simulator_adapter/settings_text.cpp
+++ b/src/simulator_adapter/settings_text.cpp
@@ -23,7 +23,7 @@
       if (line.empty()) continue;
       const auto equals = line.find('=');
       if (equals == std::string_view::npos)
-        throw Malformed("setting without '=': " + std::string(line.substr(0, 60)));
+        throw MalformedInput("setting without '=': " + std::string(line.substr(0, 60)));
       values_[std::string(line.substr(0, equals))] = std::string(line.substr(equals + 1));
     }
   }
@@ -40,7 +40,7 @@
     const auto* value = find(key);
     if (!value || *value == "false") return false;
     if (*value == "true") return true;
-    throw Malformed("setting " + key + " is not true or false: " + *value);
+    throw MalformedInput("setting " + key + " is not true or false: " + *value);
   }
   double real(const std::string& key, double otherwise) const {
     const auto* value = find(key);
@@ -72,7 +72,7 @@
   // The length of a list of objects; each item has a line at least, which bounds a hostile count.
   std::size_t count(const std::string& key) const {
     const auto length = whole<std::uint32_t>(key + ".count", 0);
-    if (length > values_.size()) throw Malformed("setting " + key + ".count exceeds the settings given");
+    if (length > values_.size()) throw MalformedInput("setting " + key + ".count exceeds the settings given");
     return length;
   }
 
@@ -81,13 +81,13 @@
     double number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
     if (error != std::errc{} || end != value.data() + value.size() || !std::isfinite(number)) {
-      throw Malformed("setting " + key + " is not a number: " + value);
+      throw MalformedInput("setting " + key + " is not a number: " + value);
     }
     return number;
   }
   double bounded(const std::string& key, double otherwise, double low, double high) const {
     const double value = real(key, otherwise);
-    if (value < low || value > high) throw Malformed("setting " + key + " is out of range");
+    if (value < low || value > high) throw MalformedInput("setting " + key + " is out of range");
     return value;
   }
 
@@ -98,14 +98,14 @@
   if (name.empty() || name == "safe") return Effect::safe;
   if (name == "keyed") return Effect::keyed;
   if (name == "unsafe") return Effect::unsafe;
-  throw Malformed("setting " + key + " is not a known effect: " + name);
+  throw MalformedInput("setting " + key + " is not a known effect: " + name);
 }
 
 DedupScope parse_scope(const std::string& key, const std::string& name) {
   if (name.empty() || name == "all") return DedupScope::all;
   if (name == "zone") return DedupScope::zone;
   if (name == "cell") return DedupScope::cell;
-  throw Malformed("setting " + key + " is not a known scope: " + name);
+  throw MalformedInput("setting " + key + " is not a known scope: " + name);
 }
 
 ReportField parse_field(const std::string& name) {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -37,6 +37,18 @@
 
 constexpr std::size_t kEntryBytes = 23;  // of one endpoint in a list
 
+// Bits of a request's options.
+constexpr std::uint8_t kHasWorkHint = 1;
+constexpr std::uint8_t kIsClientRepeat = 2;
+constexpr std::uint8_t kIsResumed = 16;
+
+// Reads a length of type Length, and returns so many bytes behind it.
+template <typename Length>
+std::span<const std::uint8_t> take_with_length(ByteReader& reader, Field length, Field content) {
+  return reader.take(reader.number<Length>(length), content);
+}
+
+// The status of an attempt has the numbers of errno.
 Outcome outcome_of(std::uint16_t status, const ByteReader& reader) {
   switch (status) {
     case 0: return Outcome::served;
@@ -51,28 +63,42 @@
   }
 }
 
-Endpoint decode_endpoint(ByteReader& reader) {
-  Endpoint entry;
-  entry.started = reader.time("start time");
-  switch (reader.number<std::uint8_t>("status")) {
-    case 2: entry.state = EndpointState::ready; break;
-    case 3: entry.state = EndpointState::draining; break;
-    case 0: entry.state = EndpointState::gone; break;
+EndpointState decode_endpoint_state(ByteReader& reader) {
+  switch (reader.number<std::uint8_t>(Field::status)) {
+    case 0: return EndpointState::gone;
+    case 2: return EndpointState::ready;
+    case 3: return EndpointState::draining;
     default: reader.reject("unknown status of an engine");
   }
-  entry.cell = reader.number<std::uint16_t>("block");
-  entry.id = reader.number<std::uint32_t>("engine");
-  entry.weight = reader.real("weight");
-  entry.kind = reader.number<std::uint16_t>("type");
-  entry.zone = reader.number<std::uint16_t>("zone");
+}
+
+EndpointUpdate decode_scope(ByteReader& reader) {
+  switch (reader.number<std::uint8_t>(Field::list_scope)) {
+    case 0: return EndpointUpdate::delta;
+    case 1: return EndpointUpdate::full;
+    case 2: return EndpointUpdate::cached;
+    case 3: return EndpointUpdate::failed;
+    default: reader.reject("unknown scope of a list");
+  }
+}
+
+Endpoint decode_endpoint(ByteReader& reader) {
+  Endpoint entry;
+  entry.started = reader.time(Field::start_time);
+  entry.state = decode_endpoint_state(reader);
+  entry.cell = reader.number<std::uint16_t>(Field::cell);
+  entry.id = reader.number<std::uint32_t>(Field::replica);
+  entry.weight = reader.real(Field::weight);
+  entry.kind = reader.number<std::uint16_t>(Field::kind);
+  entry.zone = reader.number<std::uint16_t>(Field::zone);
   return entry;
 }
 
 Roster decode_roster(ByteReader& reader) {
   Roster roster;
-  roster.table = reader.number<std::uint8_t>("list number");
+  roster.table = reader.number<std::uint8_t>(Field::list_number);
   if (roster.table >= kTables) reader.reject("list number out of range");
-  const auto count = reader.number<std::uint32_t>("count of list entries");
+  const auto count = reader.number<std::uint32_t>(Field::list_entry_count);
   if (count > reader.left() / kEntryBytes) reader.reject("count of list entries exceeds the frame");
   roster.members.reserve(count);
   for (std::uint32_t i = 0; i < count; ++i) roster.members.push_back(decode_endpoint(reader));
@@ -81,80 +107,74 @@
 
 EndpointListUpdate decode_endpoint_list(ByteReader& reader) {
   EndpointListUpdate update;
-  switch (reader.number<std::uint8_t>("scope")) {
-    case 0: update.scope = EndpointUpdate::delta; break;
-    case 1: update.scope = EndpointUpdate::full; break;
-    case 2: update.scope = EndpointUpdate::cached; break;
-    case 3: update.scope = EndpointUpdate::failed; break;
-    default: reader.reject("unknown scope of a list");
-  }
-  update.epoch = reader.number<std::uint64_t>("epoch");
-  update.table = reader.number<std::uint8_t>("list number");
+  update.scope = decode_scope(reader);
+  update.epoch = reader.number<std::uint64_t>(Field::list_epoch);
+  update.table = reader.number<std::uint8_t>(Field::list_number);
   return update;
 }
 
 Request decode_request(ByteReader& reader) {
   Request request;
-  request.id = reader.number<std::uint64_t>("request id");
-  request.prefix_tokens = reader.real("prefix length");
-  request.work_hint = reader.number<std::uint32_t>("cost hint");
-  request.session = reader.number<std::uint64_t>("key");
-  request.prompt_tokens = reader.real("prompt length");
-  const auto options = reader.number<std::uint8_t>("options");
-  if ((options & 1) == 0) request.work_hint = 0;
-  request.client_repeat = (options & 2) != 0;
-  request.resumed = (options & 16) != 0;
-  request.prefix = reader.number<std::uint64_t>("prefix id");
-  request.tenant = reader.number<std::uint16_t>("tenant");
-  request.cls = reader.number<std::uint8_t>("class");
-  request.due = reader.time("due");
-  request.max_tokens = reader.real("answer limit");
+  request.id = reader.number<std::uint64_t>(Field::request_id);
+  request.prefix_tokens = reader.real(Field::prefix_tokens);
+  request.work_hint = reader.number<std::uint32_t>(Field::work_hint);
+  request.session = reader.number<std::uint64_t>(Field::session);
+  request.prompt_tokens = reader.real(Field::prompt_tokens);
+  const auto options = reader.number<std::uint8_t>(Field::options);
+  if ((options & kHasWorkHint) == 0) request.work_hint = 0;
+  request.client_repeat = (options & kIsClientRepeat) != 0;
+  request.resumed = (options & kIsResumed) != 0;
+  request.prefix = reader.number<std::uint64_t>(Field::prefix_id);
+  request.tenant = reader.number<std::uint16_t>(Field::tenant);
+  request.cls = reader.number<std::uint8_t>(Field::request_class);
+  request.due = reader.time(Field::due);
+  request.max_tokens = reader.real(Field::max_tokens);
   return request;
 }
 
 Result decode_result(ByteReader& reader) {
   Result event;
-  event.result.id = reader.number<std::uint64_t>("request id");
-  event.result.attempt = reader.number<std::uint8_t>("attempt");
-  event.result.replica = reader.number<std::uint32_t>("engine");
-  event.result.outcome = outcome_of(reader.number<std::uint16_t>("status"), reader);
-  event.result.elapsed = reader.number<std::uint32_t>("elapsed time");
-  event.result.concluded = reader.number<std::uint8_t>("done flag") != 0;
-  event.result.cached_tokens = reader.number<std::uint32_t>("remark");
-  event.report = reader.reals("load report");
+  event.result.id = reader.number<std::uint64_t>(Field::request_id);
+  event.result.attempt = reader.number<std::uint8_t>(Field::attempt);
+  event.result.replica = reader.number<std::uint32_t>(Field::replica);
+  event.result.outcome = outcome_of(reader.number<std::uint16_t>(Field::status), reader);
+  event.result.elapsed = reader.number<std::uint32_t>(Field::elapsed);
+  event.result.concluded = reader.number<std::uint8_t>(Field::concluded) != 0;
+  event.result.cached_tokens = reader.number<std::uint32_t>(Field::cached_tokens);
+  event.report = reader.reals(Field::load_report);
   return event;
 }
 
 Start decode_start(ByteReader& reader) {
   Start start;
-  start.seed = reader.number<std::uint64_t>("seed");
-  const auto text = reader.take(reader.number<std::uint32_t>("length of the settings"), "settings");
+  start.seed = reader.number<std::uint64_t>(Field::seed);
+  const auto text = take_with_length<std::uint32_t>(reader, Field::settings_length, Field::settings);
   start.params.assign(text.begin(), text.end());
   return start;
 }
 
 FirstToken decode_first_token(ByteReader& reader) {
   FirstToken first;
-  first.id = reader.number<std::uint64_t>("request id");
-  first.elapsed = reader.number<std::uint32_t>("elapsed time");
-  first.replica = reader.number<std::uint32_t>("engine");
-  first.attempt = reader.number<std::uint8_t>("attempt");
+  first.id = reader.number<std::uint64_t>(Field::request_id);
+  first.elapsed = reader.number<std::uint32_t>(Field::elapsed);
+  first.replica = reader.number<std::uint32_t>(Field::replica);
+  first.attempt = reader.number<std::uint8_t>(Field::attempt);
   return first;
 }
 
 Probed decode_probe_result(ByteReader& reader) {
   Probed probed;
-  probed.replica = reader.number<std::uint32_t>("engine");
-  probed.alive = reader.number<std::uint16_t>("status") == 0;
-  reader.number<std::uint32_t>("elapsed time");
-  probed.report = reader.reals("load report");
+  probed.replica = reader.number<std::uint32_t>(Field::replica);
+  probed.alive = reader.number<std::uint16_t>(Field::status) == 0;
+  reader.number<std::uint32_t>(Field::elapsed);
+  probed.report = reader.reals(Field::load_report);
   return probed;
 }
 
 PeerMessage decode_peer_message(ByteReader& reader) {
   PeerMessage message;
-  message.peer = reader.number<std::uint16_t>("peer");
-  const auto bytes = reader.take(reader.number<std::uint16_t>("length of the message"), "message");
+  message.peer = reader.number<std::uint16_t>(Field::peer);
+  const auto bytes = take_with_length<std::uint16_t>(reader, Field::message_length, Field::message);
   message.message.assign(bytes.begin(), bytes.end());
   return message;
 }
@@ -166,8 +186,8 @@
     case kRequest: return decode_request(reader);
     case kFirstToken: return decode_first_token(reader);
     case kAttemptResult: return decode_result(reader);
-    case kClientGone: return ClientGone{reader.number<std::uint64_t>("request id")};
-    case kTimerDue: return Timer{reader.number<std::uint32_t>("timer value")};
+    case kClientGone: return ClientGone{reader.number<std::uint64_t>(Field::request_id)};
+    case kTimerDue: return Timer{reader.number<std::uint32_t>(Field::timer_token)};
     case kProbeResult: return decode_probe_result(reader);
     case kPeerMessage: return decode_peer_message(reader);
     case kStop: return Stop{};
@@ -175,17 +195,29 @@
   }
 }
 
+// Appends a little-endian number of the size of T.
 template <typename T>
 void put(std::vector<std::uint8_t>& bytes, T value) {
   const auto bits = static_cast<std::uint64_t>(value);
   for (std::size_t i = 0; i < sizeof(T); ++i) bytes.push_back(static_cast<std::uint8_t>(bits >> (8 * i)));
 }
 
-void put_header(std::vector<std::uint8_t>& bytes, ActionCode code, std::uint16_t instance) {
-  put<std::uint16_t>(bytes, code);
-  put<std::uint16_t>(bytes, instance);
+ActionCode code_of(ActionKind kind) {
+  switch (kind) {
+    case ActionKind::send: return kSend;
+    case ActionKind::reject: return kReject;
+    case ActionKind::fail: return kFail;
+    case ActionKind::cancel: return kCancel;
+    case ActionKind::set_timer: return kSetTimer;
+    case ActionKind::watch_endpoints: return kWatchEndpoints;
+    case ActionKind::fetch_endpoints: return kFetchEndpoints;
+    case ActionKind::probe: return kProbe;
+    case ActionKind::message_peer: return kMessagePeer;
+  }
+  return kFail;  // not reached: all kinds are above
 }
 
+// Returns the time as the protocol has durations: 32 bits, and no time below zero.
 std::uint32_t as_duration(Time time) {
   return static_cast<std::uint32_t>(std::clamp<Time>(time, 0, std::numeric_limits<std::int32_t>::max()));
 }
@@ -195,16 +227,16 @@
 Batch decode_batch(std::span<const std::uint8_t> payload) {
   ByteReader reader(payload);
   Batch batch;
-  batch.now = reader.time("clock");
-  const auto count = reader.number<std::uint32_t>("number of records");
+  batch.now = reader.time(Field::clock);
+  const auto count = reader.number<std::uint32_t>(Field::record_count);
   for (std::uint32_t i = 0; i < count; ++i) {
     reader.begin_record(i);
-    const auto code = reader.number<std::uint16_t>("record code");
+    const auto code = reader.number<std::uint16_t>(Field::record_code);
     Event event;
     if (code == kRoster) {
       event.body = decode_roster(reader);
     } else {
-      event.instance = reader.number<std::uint16_t>("instance");
+      event.instance = reader.number<std::uint16_t>(Field::instance);
       event.body = decode_body(code, reader);
     }
     batch.events.push_back(std::move(event));
@@ -214,43 +246,31 @@
 }
 
 void encode_action(std::uint16_t instance, const Action& action, Time now, std::vector<std::uint8_t>& bytes) {
+  put<std::uint16_t>(bytes, code_of(action.kind));
+  put(bytes, instance);
   switch (action.kind) {
     case ActionKind::send:
-      put_header(bytes, kSend, instance);
       put(bytes, action.id);
       put(bytes, as_duration(action.time));
       put(bytes, action.replica);
       break;
     case ActionKind::reject:
-      put_header(bytes, kReject, instance);
       put(bytes, action.id);
       put(bytes, as_duration(action.time));
       break;
-    case ActionKind::fail:
-      put_header(bytes, kFail, instance);
-      put(bytes, action.id);
-      break;
+    case ActionKind::fail: put(bytes, action.id); break;
     case ActionKind::cancel:
-      put_header(bytes, kCancel, instance);
       put(bytes, action.id);
       put(bytes, action.attempt);
       break;
     case ActionKind::set_timer:
-      put_header(bytes, kSetTimer, instance);
       put(bytes, static_cast<std::uint64_t>(std::max(action.time, now)));
       put(bytes, action.token);
       break;
-    case ActionKind::watch_endpoints:
-      put_header(bytes, kWatchEndpoints, instance);
-      put<std::uint8_t>(bytes, 1);
-      break;
-    case ActionKind::fetch_endpoints: put_header(bytes, kFetchEndpoints, instance); break;
-    case ActionKind::probe:
-      put_header(bytes, kProbe, instance);
-      put(bytes, action.replica);
-      break;
+    case ActionKind::watch_endpoints: put<std::uint8_t>(bytes, 1); break;
+    case ActionKind::fetch_endpoints: break;
+    case ActionKind::probe: put(bytes, action.replica); break;
     case ActionKind::message_peer:
-      put_header(bytes, kMessagePeer, instance);
       put(bytes, action.token);
       put(bytes, static_cast<std::uint16_t>(action.message.size()));
       bytes.insert(bytes.end(), action.message.begin(), action.message.end());
@@ -267,7 +287,7 @@
 }
 
 std::uint32_t read_length(std::span<const std::uint8_t, kHeaderBytes> header) {
-  return ByteReader(header).number<std::uint32_t>("length");
+  return ByteReader(header).number<std::uint32_t>(Field::length);
 }
 
 }  // namespace thornwick::simulator_adapter
--- a/src/simulator_adapter/wire.hpp
+++ b/src/simulator_adapter/wire.hpp
@@ -1,5 +1,5 @@
-// Codec of the simulator's wire: batches of events in, replies of actions out, and the settings text.
-// Every read is bounds-checked; what is malformed is reported with the record number and the byte.
+// Codec of the simulator's wire protocol: it decodes batches of events and the settings text, and encodes
+// replies of actions. Every read is bounds-checked.
 #pragma once
 
 #include <array>
@@ -15,8 +15,8 @@
 
 namespace thornwick::simulator_adapter {
 
-// Input that breaks the protocol. The text names the record and the byte, or the setting.
-struct Malformed : std::runtime_error {
+// Input that breaks the protocol. Its what() names the record and the byte, or the setting.
+struct MalformedInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -25,18 +25,18 @@
 inline constexpr std::uint8_t kTables = 16;                // endpoint lists that a process can hold
 inline constexpr std::uint32_t kMaxFrameBytes = 1u << 30;  // far above any batch seen; guards allocation
 
-// An instance begins, or begins anew.
+// The simulator starts an instance, which replaces one of the same number.
 struct Start {
   std::uint64_t seed = 0;
   std::string params;  // the settings text
 };
-// The endpoint list of an instance is now the one with this number.
+// An instance now has the endpoint list with this number.
 struct EndpointListUpdate {
   EndpointUpdate scope = EndpointUpdate::delta;
   std::uint64_t epoch = 0;
   std::uint8_t table = 0;
 };
-// The first token of an answer.
+// The first token of an answer has arrived.
 struct FirstToken {
   RequestId id = 0;
   std::uint8_t attempt = 0;
@@ -69,7 +69,7 @@
 };
 // An instance ends.
 struct Stop {};
-// An endpoint list with its number. Concerns the process, not an instance.
+// An endpoint list with its number. The process keeps it for all instances.
 struct Roster {
   std::uint8_t table = 0;
   std::vector<Endpoint> members;
@@ -84,25 +84,26 @@
   Body body;
 };
 
-// All that happens at one time.
+// All events of one time, in order.
 struct Batch {
   Time now = 0;
   std::vector<Event> events;
 };
 
-// `payload` is all that follows the length field: clock, count and records. Throws Malformed.
+// Decodes a batch. `payload` is all that follows the length field: clock, count and records. Throws
+// MalformedInput.
 Batch decode_batch(std::span<const std::uint8_t> payload);
 
 // Appends the record of one action of an instance.
 void encode_action(std::uint16_t instance, const Action& action, Time now, std::vector<std::uint8_t>& bytes);
 
-// Puts the length field before the records.
+// Returns the records behind their length field.
 std::vector<std::uint8_t> frame(std::span<const std::uint8_t> records);
 
-// The length of the records that follow.
+// Returns the length of the records that follow the header.
 std::uint32_t read_length(std::span<const std::uint8_t, kHeaderBytes> header);
 
-// Reads the path=value lines of an instance's settings; unknown keys are disregarded. Throws Malformed.
+// Reads the path=value lines of an instance's settings; unknown keys are ignored. Throws MalformedInput.
 Settings parse_settings(std::string_view params, std::uint64_t seed);
 
 }  // namespace thornwick::simulator_adapter
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -110,7 +110,7 @@
 std::string refusal(const Bytes& payload) {
   try {
     simulator_adapter::decode_batch(payload);
-  } catch (const simulator_adapter::Malformed& problem) {
+  } catch (const simulator_adapter::MalformedInput& problem) {
     return problem.what();
   }
   return "";
@@ -164,7 +164,7 @@
           simulator_adapter::parse_settings(start->params, 1);
       }
       ++read;
-    } catch (const simulator_adapter::Malformed&) {
+    } catch (const simulator_adapter::MalformedInput&) {
       ++rejected;
     }
   }
@@ -201,7 +201,7 @@
   const auto refusal_of = [](const char* text) -> std::string {
     try {
       simulator_adapter::parse_settings(text, 0);
-    } catch (const simulator_adapter::Malformed& problem) {
+    } catch (const simulator_adapter::MalformedInput& problem) {
       return problem.what();
     }
     return "";
--- a/tests/wording/settings.cpp
+++ b/tests/wording/settings.cpp
@@ -178,7 +178,7 @@
   check_table("settings_values.txt", [&](const std::string& text) {
     try {
       return changes(plain, fields_of(simulator_adapter::parse_settings(base + text, 1)));
-    } catch (const simulator_adapter::Malformed& problem) {
+    } catch (const simulator_adapter::MalformedInput& problem) {
       return indented(problem.what());
     }
   });
