--- /dev/null
+++ b/src/config/budgets_section.cpp
@@ -0,0 +1,67 @@
+// [budgets] and [[budget]]: how many tokens tenants may use.
+#include <set>
+
+#include "config/operator_sections.hpp"
+
+namespace thornwick::config {
+namespace {
+
+using settings::Errors;
+using settings::Section;
+
+// Whether the catalogue has a model of that name, not just one that takes any name.
+bool has_model(const models::Catalogue& catalogue, const std::string& name) {
+  const auto number = catalogue.find(name);
+  return number != 0 && !catalogue.at(number).any_name;
+}
+
+// `names` has those of the budgets before this one, and gets this one's.
+void check_budget(const BudgetEntry& budget, const models::Catalogue& catalogue, std::set<std::string>& names,
+                  Section& section) {
+  if (budget.name.empty() || budget.name.find('|') != std::string::npos) {
+    section.reject("name", "no name, or one with a bar in it");
+  }
+  const bool is_new = names.insert(budget.name).second;
+  if (!is_new) section.reject("name", "there are two of this name");
+  if (!section.has("tokens")) section.reject("tokens", "there is none");
+  if (budget.burst > 0 && budget.per != "second") {
+    section.reject("burst", "only a budget per second has one");
+  }
+  const bool names_model = budget.model != "each" && budget.model != "all";
+  if (names_model && !has_model(catalogue, budget.model)) {
+    section.reject("model", "no model is called '" + budget.model + "'");
+  }
+}
+
+void read_limits(const toml::table* table, BudgetsFile& into, Errors& errors) {
+  Section section(table, "budgets", errors);
+  section.flag("fair", into.fair);
+  section.flag("charges", into.charges);
+  section.number("block", into.block, 0.0001, 1);
+  section.number("soft_worth", into.soft_worth, 0, 1);
+  section.count("accounts", into.accounts, 1, 10'000'000);
+}
+
+}  // namespace
+
+void read_budgets(settings::Root& file, BudgetsFile& into, const models::Catalogue& catalogue,
+                  Errors& errors) {
+  read_limits(file.table("budgets"), into, errors);
+  std::set<std::string> names;
+  for (const auto* table : file.tables("budget")) {
+    Section section(table, "budget", errors);
+    BudgetEntry& budget = into.budgets.emplace_back();
+    budget.line = section.line();
+    section.text("name", budget.name);
+    section.text("member", budget.member);
+    section.text("model", budget.model);
+    section.text("class", budget.cls);
+    section.one_of("per", budget.per, {"second", "minute", "hour", "day"});
+    section.number("tokens", budget.tokens, 0, 1e15);
+    section.number("burst", budget.burst, 0, 1e15);
+    section.flag("hard", budget.hard);
+    check_budget(budget, catalogue, names, section);
+  }
+}
+
+}  // namespace thornwick::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -13,55 +13,81 @@
 using simdjson::dom::element;
 using simdjson::dom::element_type;
 
+// Returns a value that is no list and no object as text; spaces, commas and line ends become underscores.
 std::string scalar(element value) {
   std::string_view text;
   if (value.get(text) == simdjson::SUCCESS) {
     std::string clean(text);
-    for (char& c : clean) {
-      if (c == ' ' || c == ',' || c == '\n') c = '_';
-    }
+    std::replace_if(
+        clean.begin(), clean.end(),
+        [](char character) { return character == ' ' || character == ',' || character == '\n'; }, '_');
     return clean;
   }
   return value.is_null() ? std::string() : simdjson::to_string(value);
 }
 
+void flatten_into(element value, const std::string& path, std::string& out);
+
+// Appends the lines of a list of objects, and their count.
+void flatten_objects(const simdjson::dom::array& items, const std::string& path, std::string& out) {
+  std::size_t index = 0;
+  for (const auto item : items) {
+    flatten_into(item, path + "." + std::to_string(index), out);
+    ++index;
+  }
+  out += path + ".count=" + std::to_string(index) + "\n";
+}
+
+// Appends the line of a list of plain values.
+void flatten_values(const simdjson::dom::array& items, const std::string& path, std::string& out) {
+  std::string joined;
+  bool first = true;
+  for (const auto item : items) {
+    if (!first) joined += ",";
+    joined += scalar(item);
+    first = false;
+  }
+  out += path + "=" + joined + "\n";
+}
+
+// Appends the lines of any value. The kind of a list is that of its first item.
 void flatten_into(element value, const std::string& path, std::string& out) {
   if (value.type() == element_type::OBJECT) {
+    const std::string prefix = path.empty() ? path : path + ".";
     for (const auto field : simdjson::dom::object(value)) {
-      flatten_into(field.value, path + (path.empty() ? "" : ".") + std::string(field.key), out);
+      flatten_into(field.value, prefix + std::string(field.key), out);
     }
   } else if (value.type() == element_type::ARRAY) {
     const simdjson::dom::array items(value);
     const bool objects = items.size() > 0 && items.at(0).is_object();
-    std::string joined;
-    std::size_t index = 0;
-    for (const auto item : items) {
-      if (objects) flatten_into(item, path + "." + std::to_string(index), out);
-      if (!objects) joined += (index > 0 ? "," : "") + scalar(item);
-      ++index;
+    if (objects) {
+      flatten_objects(items, path, out);
+    } else {
+      flatten_values(items, path, out);
     }
-    out += objects ? path + ".count=" + std::to_string(index) + "\n" : path + "=" + joined + "\n";
   } else if (!value.is_null()) {
     out += path + "=" + scalar(value) + "\n";
   }
 }
 
+// Returns the texts of a list of names, or of objects that have a name; empty if there is no such list.
 std::vector<std::string> texts_at(element json, std::string_view path) {
   std::vector<std::string> texts;
   simdjson::dom::array items;
   if (json.at_pointer(path).get(items) != simdjson::SUCCESS) return texts;
   for (const auto item : items) {
-    // A list of plain names, or of objects that carry one.
     texts.push_back(item.is_object() ? fronts::text_at(item, "/name") : scalar(item));
   }
   return texts;
 }
 
+// Returns a variable of the environment; `otherwise` if it is empty or not set.
 std::string from_environment(const char* variable, std::string otherwise) {
   const char* value = std::getenv(variable);
   return value != nullptr && *value != '\0' ? value : std::move(otherwise);
 }
 
+// Reads the seed: a number, or a text of hex digits. Throws BadConfig.
 std::uint64_t read_seed(element json) {
   std::uint64_t seed = 0;
   if (json.at_key("seed").get(seed) == simdjson::SUCCESS) return seed;
@@ -73,10 +99,11 @@
   return seed;
 }
 
+// Returns a time in microseconds; `otherwise` if there is none above zero.
 Time time_at(element json, std::string_view path, Time otherwise) {
   double value = 0;
-  return json.at_pointer(path).get(value) == simdjson::SUCCESS && value > 0 ? static_cast<Time>(value)
-                                                                            : otherwise;
+  const bool given = json.at_pointer(path).get(value) == simdjson::SUCCESS && value > 0;
+  return given ? static_cast<Time>(value) : otherwise;
 }
 
 void read_settings(element json, Config& config) {
@@ -101,6 +128,26 @@
   config.timeouts.connect = time_at(settings, "/policyLimits/dialTimeout", config.timeouts.connect);
 }
 
+void read_addresses(element json, Reading reading, Config& config) {
+  config.listeners.requests = from_environment("GW_LISTEN", fronts::text_at(json, "/listen"));
+  config.listeners.operators = from_environment("GW_OPS", fronts::text_at(json, "/ops"));
+  config.listeners.peers = fronts::text_at(json, "/peer_listen");
+  config.peers.all = fronts::text_at(json, "/peers_all");
+  config.peers.each = texts_at(json, "/peers");
+  const std::string address = fronts::text_at(json, "/discovery");
+  const bool file_has_precedence = reading == Reading::again && !address.empty();
+  config.discovery.address = file_has_precedence ? address : from_environment("GW_DISCOVERY", address);
+  if (config.listeners.requests.empty()) throw BadConfig("configuration: no address to listen on");
+  if (config.discovery.address.empty()) throw BadConfig("configuration: no discovery");
+}
+
+void read_limits(element json, Config& config) {
+  const auto sockets = fronts::count_at(json, "/limits/sockets");
+  if (sockets > 0) config.limits.sockets = sockets;
+  const auto memory_mb = fronts::count_at(json, "/limits/memory_mb");
+  if (memory_mb > 0) config.limits.memory_mb = memory_mb;
+}
+
 }  // namespace
 
 std::string flatten(element json) {
@@ -109,31 +156,19 @@
   return out;
 }
 
-Config read_config(const std::string& given, const std::string& operator_path, Reading reading) {
-  Config config;
-  const std::string path = given.empty() ? from_environment("GW_CONFIG", "") : given;
-  if (path.empty()) throw BadConfig("no configuration: set GW_CONFIG or give --config FILE");
+Config read_config(const std::string& path, const std::string& operator_path, Reading reading) {
+  const std::string file = path.empty() ? from_environment("GW_CONFIG", "") : path;
+  if (file.empty()) throw BadConfig("no configuration: set GW_CONFIG or give --config FILE");
   simdjson::dom::parser parser;
   element json;
-  if (const auto problem = parser.load(path).get(json); problem != simdjson::SUCCESS) {
-    throw BadConfig(path + ": " + simdjson::error_message(problem));
+  if (const auto error = parser.load(file).get(json); error != simdjson::SUCCESS) {
+    throw BadConfig(file + ": " + simdjson::error_message(error));
   }
-  if (!json.is_object()) throw BadConfig(path + ": not an object");
+  if (!json.is_object()) throw BadConfig(file + ": not an object");
+  Config config;
   config.name = from_environment("GW_NAME", fronts::text_at(json, "/name"));
-  config.listeners.requests = from_environment("GW_LISTEN", fronts::text_at(json, "/listen"));
-  config.listeners.operators = from_environment("GW_OPS", fronts::text_at(json, "/ops"));
-  const std::string told = fronts::text_at(json, "/discovery");
-  config.discovery.address =
-      reading == Reading::again && !told.empty() ? told : from_environment("GW_DISCOVERY", told);
-  if (config.listeners.requests.empty()) throw BadConfig("configuration: no address to listen on");
-  if (config.discovery.address.empty()) throw BadConfig("configuration: no discovery");
-  config.listeners.peers = fronts::text_at(json, "/peer_listen");
-  config.peers.all = fronts::text_at(json, "/peers_all");
-  config.peers.each = texts_at(json, "/peers");
-  if (const auto sockets = fronts::count_at(json, "/limits/sockets"); sockets > 0)
-    config.limits.sockets = sockets;
-  if (const auto memory = fronts::count_at(json, "/limits/memory_mb"); memory > 0)
-    config.limits.memory_mb = memory;
+  read_addresses(json, reading, config);
+  read_limits(json, config);
   read_settings(json, config);
   if (element known; json.at_key("known").get(known) == simdjson::SUCCESS) {
     config.discovery.known_endpoints = simdjson::to_string(known);
--- /dev/null
+++ b/src/config/models_section.cpp
@@ -0,0 +1,107 @@
+// [models], [[model]] and [[alias]]: the catalogue of models.
+#include <cmath>
+#include <map>
+
+#include "config/operator_sections.hpp"
+
+namespace thornwick::config {
+namespace {
+
+using settings::Errors;
+using settings::Section;
+
+// The price of a cached token is that of a prompt token unless the file has one.
+void read_price(const toml::table* table, budgets::Price& price, Errors& errors) {
+  constexpr double kMaxPrice = 1e6;
+  constexpr double kNoPrice = -1;
+  Section section(table, "model.price", errors);
+  double prompt = 1;
+  double generated = 1;
+  double cached = kNoPrice;
+  section.number("prompt", prompt, 0, kMaxPrice);
+  section.number("made", generated, 0, kMaxPrice);
+  section.number("kept", cached, 0, kMaxPrice);
+  if (cached < 0) cached = prompt;
+  const auto thousandths = [](double value) {
+    return static_cast<budgets::Units>(std::llround(value * 1000));
+  };
+  price = {thousandths(prompt), thousandths(cached), thousandths(generated)};
+}
+
+void read_fallback(const toml::table* table, models::Fallback& fallback, Errors& errors) {
+  static const std::map<std::string, models::When> reasons = {{"missing", models::When::missing},
+                                                              {"overloaded", models::When::overloaded},
+                                                              {"over-budget", models::When::over_budget},
+                                                              {"too-long", models::When::too_long}};
+  Section section(table, "model.fallback", errors);
+  std::vector<std::string> when = {"missing", "overloaded"};
+  double time_left_ms = 0;
+  section.text("to", fallback.to);
+  section.list("when", when);
+  section.number("time_left_ms", time_left_ms, 0, 3.6e6);
+  fallback.least_left = static_cast<Time>(1000 * time_left_ms);
+  fallback.line = section.line();
+  for (const auto& name : when) {
+    const auto found = reasons.find(name);
+    if (found == reasons.end()) {
+      section.reject("when", "'" + name + "' is none of: missing, overloaded, over-budget, too-long");
+    } else {
+      fallback.when |= static_cast<std::uint8_t>(found->second);
+    }
+  }
+}
+
+void read_serving_replicas(const toml::table* table, models::Model& model, Errors& errors) {
+  Section section(table, "model.boxes", errors);
+  section.list("models", model.serving.models);
+  section.list("uids", model.serving.uids);
+  section.numbers("groups", model.serving.groups);
+}
+
+void read_model(const toml::table* table, models::Model& model, Errors& errors) {
+  Section section(table, "model", errors);
+  model.line = section.line();
+  section.text("name", model.name);
+  section.text("base", model.base);
+  section.flag("any_name", model.any_name);
+  section.number("context", model.context, 0, 1e9);
+  section.number("most_answer", model.most_answer, 0, 1e9);
+  double loading_s = 0;
+  section.number("loading_s", loading_s, 0, 3600);
+  model.loading = static_cast<Time>(1e6 * loading_s);
+  section.count("least_boxes", model.min_replicas, 1, 100'000);
+  section.count("most_boxes", model.max_replicas, 1, 1'000'000);
+  read_serving_replicas(section.table("boxes"), model, errors);
+  read_price(section.table("price"), model.price, errors);
+  for (const auto* fallback : section.tables("fallback")) {
+    read_fallback(fallback, model.fallbacks.emplace_back(), errors);
+  }
+}
+
+void read_limits(const toml::table* table, models::Catalogue& catalogue, Errors& errors) {
+  Section section(table, "models", errors);
+  section.count("adapters_on_box", catalogue.limits.adapters_per_replica, 1, 10'000);
+  section.number("fallback_part", catalogue.limits.fallback_part, 0, 1);
+  section.number("fallback_burst", catalogue.limits.fallback_burst, 0, 1e6);
+  section.number("first_part", catalogue.limits.first_part, 0.001, 1);
+  section.number("growth_per_s", catalogue.limits.growth_per_s, 0, 100);
+}
+
+void read_alias(const toml::table* table, models::Catalogue& catalogue, Errors& errors) {
+  Section section(table, "alias", errors);
+  auto& alias = catalogue.aliases.emplace_back();
+  section.text("name", alias.name);
+  section.text("to", alias.to);
+  alias.line = section.line();
+}
+
+}  // namespace
+
+void read_catalogue(settings::Root& file, models::Catalogue& into, Errors& errors) {
+  read_limits(file.table("models"), into, errors);
+  for (const auto* table : file.tables("model")) read_model(table, into.models.emplace_back(), errors);
+  for (const auto* table : file.tables("alias")) read_alias(table, into, errors);
+  add_faults(models::faults_of(into), errors);
+}
+
+}  // namespace thornwick::config
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -3,12 +3,13 @@
 #include <map>
 
 #include "emulator/baseline_policies.hpp"
+#include "settings/file.hpp"
 #include "settings/section.hpp"
 
 namespace thornwick::emulator {
 namespace {
 
-using settings::Problems, settings::Root, settings::Section;
+using settings::Errors, settings::Root, settings::Section;
 
 constexpr double kMuch = 1e9;
 
@@ -85,7 +86,7 @@
 }
 
 template <typename Item, typename Read>
-void read_list(Root& all, const char* name, std::vector<Item>& into, Problems& problems, Read read) {
+void read_list(Root& all, const char* name, std::vector<Item>& into, Errors& problems, Read read) {
   const auto tables = all.tables(name);
   if (tables.empty()) return;
   into.clear();
@@ -95,7 +96,7 @@
   }
 }
 
-void read_sections(const toml::table& root, Scenario& s, Problems& problems) {
+void read_sections(const toml::table& root, Scenario& s, Errors& problems) {
   Root all(root, problems);
   {
     Section day(all.table("day"), "day", problems);
@@ -171,7 +172,7 @@
 
 Scenario read_scenario(const std::string& path, const std::vector<Override>& overrides) {
   Scenario scenario;
-  settings::read_file(path, [&](toml::table& root, Problems& problems) {
+  settings::read_file(path, [&](toml::table& root, Errors& problems) {
     for (const auto& o : overrides) settings::set_value(root, o.key, o.value, problems);
     read_sections(root, scenario, problems);
   });
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -106,8 +106,8 @@
   std::string key, value;
 };
 
-// Throws settings::BadFile with one line for each error: "FILE:LINE: KEY: what is wrong", or "--set KEY: ..."
-// for an override's.
+// Throws settings::InvalidFile with one line for each error: "FILE:LINE: KEY: what is wrong", or "--set KEY:
+// ..." for an override's.
 Scenario read_scenario(const std::string& path, const std::vector<Override>& overrides = {});
 
 }  // namespace thornwick::emulator
--- a/src/testbed/fault_script.cpp
+++ b/src/testbed/fault_script.cpp
@@ -5,12 +5,13 @@
 #include <algorithm>
 #include <map>
 
+#include "settings/file.hpp"
 #include "settings/section.hpp"
 
 namespace thornwick::testbed {
 namespace {
 
-using settings::Problems, settings::Root, settings::Section;
+using settings::Errors, settings::Root, settings::Section;
 
 constexpr std::size_t kMostRouters = 300;
 constexpr double kMostSeconds = 36'000;
@@ -37,7 +38,7 @@
   }
 }
 
-void read_fault(const toml::table* table, FaultScript& script, Problems& problems) {
+void read_fault(const toml::table* table, FaultScript& script, Errors& problems) {
   Section section(table, "fault", problems);
   ScriptedFault& fault = script.faults.emplace_back();
   std::string kind = "heal", disk = "kept";
@@ -219,7 +220,7 @@
 
 FaultScript read_rig_script(const std::string& path) {
   FaultScript script;
-  settings::read_file(path, [&](toml::table& root, Problems& problems) {
+  settings::read_file(path, [&](toml::table& root, Errors& problems) {
     Root all(root, problems);
     {
       Section rig(all.table("rig"), "rig", problems);
--- a/src/testbed/fault_script.hpp
+++ b/src/testbed/fault_script.hpp
@@ -49,7 +49,7 @@
   std::vector<ScriptedFault> faults;  // by time
 };
 
-// Throws settings::BadFile with one line for each error: file, line, key.
+// Throws settings::InvalidFile with one line for each error: file, line, key.
 FaultScript read_rig_script(const std::string& path);
 FaultScript random_rig_script(std::uint64_t seed, double seconds, std::size_t least_routers,
                               std::size_t most_routers);
--- a/tests/emulator/days.cpp
+++ b/tests/emulator/days.cpp
@@ -46,7 +46,7 @@
   std::ofstream(path) << text;
   try {
     read_scenario(path);
-  } catch (const settings::BadFile& bad) {
+  } catch (const settings::InvalidFile& bad) {
     std::string what = bad.what();
     for (auto at = what.find(path); at != std::string::npos; at = what.find(path))
       what.replace(at, path.size(), "s");
--- a/tests/emulator/lab.cpp
+++ b/tests/emulator/lab.cpp
@@ -74,7 +74,7 @@
   try {
     cells_of(plan);
     FAIL("taken");
-  } catch (const settings::BadFile& bad) {
+  } catch (const settings::InvalidFile& bad) {
     CHECK(std::string(bad.what()) ==
           "--set class.9.share: no such entry\n--set fleet.boxes: outside 1..100000\n--set fleet.boxen: no "
           "such key");
