--- a/src/emulator/baseline_policies.hpp
+++ b/src/emulator/baseline_policies.hpp
@@ -1,5 +1,5 @@
-// Policies to compare the module with. They decide what the module decides, with as little as textbooks give
-// them; none of them serves on sockets.
+// Policies to compare the routing policy with. They decide what it decides, with as little information as
+// textbooks give them. None of them is used on sockets.
 #pragma once
 
 #include <memory>
@@ -12,13 +12,15 @@
 
 struct BaselineSettings {
   std::uint64_t seed = 1;
-  std::uint32_t attempts = 5;
-  std::vector<double> cutoffs;  // of "sita": upper edges of all intervals but the last, in work
+  std::uint32_t attempts = 5;   // of a request, at most
+  std::vector<double> cutoffs;  // for "sita": the upper edges of all size intervals but the last, in work
 };
 
 // random, round-robin, least-outstanding, two-choices, rendezvous, weighted-rendezvous, sita
-const std::vector<std::string>& baseline_names();
-// Throws std::invalid_argument for a name that is none of them.
-std::unique_ptr<core::Decider> make_rival(const std::string& name, const BaselineSettings& settings);
+const std::vector<std::string>& baseline_policy_names();
+
+// Throws std::invalid_argument for any other name.
+std::unique_ptr<core::Decider> make_baseline_policy(const std::string& name,
+                                                    const BaselineSettings& settings);
 
 }  // namespace thornwick::emulator
--- /dev/null
+++ b/src/emulator/discovery.cpp
@@ -0,0 +1,38 @@
+#include "emulator/discovery.hpp"
+
+#include <algorithm>
+
+#include "emulator/random_stream.hpp"
+
+namespace thornwick::emulator {
+
+DiscoveryService::DiscoveryService(const Scenario& scenario, std::uint64_t seed) {
+  RandomStream random(seed, Concern::discovery);
+  notice_s_ = random.between(scenario.notice_s.low, scenario.notice_s.high);
+  silent_notice_s_ = random.between(scenario.silent_notice_s.low, scenario.silent_notice_s.high);
+  add_s_ = random.between(scenario.add_s.low, scenario.add_s.high);
+}
+
+std::uint64_t DiscoveryService::record(const EndpointChange& change) {
+  changes_.push_back(change);
+  return changes_.size() - 1;
+}
+
+void DiscoveryService::apply(std::uint64_t index) {
+  const Endpoint& endpoint = changes_[index].endpoint;
+  if (endpoint.state == EndpointState::gone) {
+    registered_.erase(endpoint.id);
+  } else {
+    registered_[endpoint.id] = endpoint;
+  }
+}
+
+std::vector<Endpoint> DiscoveryService::endpoints() const {
+  std::vector<Endpoint> endpoints;
+  endpoints.reserve(registered_.size());
+  for (const auto& [id, endpoint] : registered_) endpoints.push_back(endpoint);
+  std::sort(endpoints.begin(), endpoints.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
+  return endpoints;
+}
+
+}  // namespace thornwick::emulator
--- /dev/null
+++ b/src/emulator/discovery.hpp
@@ -0,0 +1,53 @@
+// The discovery service of an emulated day: what it knows of the replicas, and how late it learns of changes.
+#pragma once
+
+#include <absl/container/flat_hash_map.h>
+
+#include <cstdint>
+#include <deque>
+#include <vector>
+
+#include "emulator/scenario.hpp"
+
+namespace thornwick::emulator {
+
+struct EndpointChange {
+  Endpoint endpoint;
+  std::uint32_t replica = 0;  // index into the day's replicas
+};
+
+class DiscoveryService {
+ public:
+  // Draws the delays.
+  DiscoveryService(const Scenario& scenario, std::uint64_t seed);
+
+  // Seconds until a change is registered: of a replica that drains or has ended, of one that cannot be
+  // reached, of one that has started.
+  double notice_s() const { return notice_s_; }
+  double silent_notice_s() const { return silent_notice_s_; }
+  double add_s() const { return add_s_; }
+
+  // Registers an endpoint at once.
+  void add(const Endpoint& endpoint) { registered_[endpoint.id] = endpoint; }
+
+  // Keeps a change that happened and is not registered yet. Returns its index.
+  [[nodiscard]] std::uint64_t record(const EndpointChange& change);
+
+  // The change of this index stays valid to the end of the day.
+  const EndpointChange& change(std::uint64_t index) const { return changes_[index]; }
+
+  // Registers a recorded change.
+  void apply(std::uint64_t index);
+
+  // The registered endpoints, by their ids.
+  std::vector<Endpoint> endpoints() const;
+
+ private:
+  double notice_s_ = 0;
+  double silent_notice_s_ = 0;
+  double add_s_ = 0;
+  std::deque<EndpointChange> changes_;
+  absl::flat_hash_map<ReplicaId, Endpoint> registered_;
+};
+
+}  // namespace thornwick::emulator
--- /dev/null
+++ b/src/emulator/emulated_router.hpp
@@ -0,0 +1,59 @@
+// A router of an emulated day: the real core, and the interfaces around it that the day provides.
+#pragma once
+
+#include <absl/container/flat_hash_map.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "affinity/affinity_table.hpp"
+#include "budgets/admission_controller.hpp"
+#include "core/request_manager.hpp"
+#include "emulator/slab.hpp"
+
+namespace thornwick::emulator {
+
+class DaySimulation;
+
+class EmulatedRouter final : public core::Clock,
+                             public core::UpstreamTransport,
+                             public core::Discovery,
+                             public core::PeerTransport {
+ public:
+  // Connections to one replica that are idle, by the times since when they are.
+  using IdleConnections = std::vector<Time>;
+
+  EmulatedRouter(DaySimulation& simulation, std::uint32_t its_index, std::uint16_t its_zone)
+      : day_(simulation), index(its_index), zone(its_zone) {}
+
+  Time now() const override;
+  void wake_at(Time when) override;
+  void launch(core::AttemptId attempt, ReplicaId replica_id, std::shared_ptr<const core::Payload> payload,
+              Time until, std::uint16_t model) override;
+  bool abandon(core::AttemptId attempt) override;
+  void hold(core::AttemptId, bool) override {}
+  void probe(ReplicaId replica_id) override;
+  void watch() override;
+  void fetch() override { watch(); }
+  void tell(std::uint32_t rank, const std::string& message) override;
+
+ private:
+  DaySimulation& day_;
+
+ public:
+  const std::uint32_t index;
+  const std::uint16_t zone;
+  std::unique_ptr<affinity::AffinityTable> affinity_table;
+  std::unique_ptr<budgets::QuotaService> quota_service;  // before the core, whose decider uses both
+  std::unique_ptr<budgets::FairShare> fair_share;
+  std::unique_ptr<core::RequestManager> core;       // null while the router is lost
+  absl::flat_hash_map<RequestId, Handle> attempts;  // the attempt in flight of each request
+  std::vector<IdleConnections> idle_connections;    // by replica
+  std::vector<Time> unavailable_since;  // by replica: when it was notified that it drains or is gone; 0: not
+  bool subscribed = false;              // discovery sends it watch events
+  bool up = true;
+  std::uint64_t timer_version = 0;  // timer events of earlier versions are void
+};
+
+}  // namespace thornwick::emulator
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -1,110 +1,125 @@
-// What goes wrong on an emulated day.
+// Faults of an emulated day.
 #include <algorithm>
 #include <cmath>
 
-#include "emulator/day.hpp"
+#include "emulator/day_simulation.hpp"
 
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kRise = 0.1;  // of a burst's length, in which it rises, and falls again
-
-Time at_of(double seconds) { return static_cast<Time>(seconds * 1e6); }
+constexpr double kRampPart = 0.1;  // of a burst's length, over which it rises, and falls again
+constexpr int kAgeingSteps = 10;   // until a replica has become as slow as the fault makes it
 
 }  // namespace
 
-double Day::rate_factor() const {
+// The current multiple of the usual rate of sessions.
+double DaySimulation::rate_factor() const {
   double factor = 1;
-  for (std::size_t i = 0; i < faults.size(); ++i) {
-    const ActiveFault& g = faults[i];
-    if (!g.on || scenario.faults[i].kind != DayFaultKind::burst) continue;
-    const double length = static_cast<double>(g.until - g.from);
-    const double in = static_cast<double>(now - g.from) / length,
-                 out = static_cast<double>(g.until - now) / length;
-    factor *= 1 + (g.size - 1) * std::clamp(std::min(in, out) / kRise, 0.0, 1.0);
+  for (std::size_t i = 0; i < faults_.size(); ++i) {
+    const ActiveFault& fault = faults_[i];
+    if (!fault.active || scenario_.faults[i].kind != DayFaultKind::burst) continue;
+    const auto length = static_cast<double>(fault.until - fault.from);
+    const double since_start = static_cast<double>(now_ - fault.from) / length;
+    const double until_end = static_cast<double>(fault.until - now_) / length;
+    factor *= 1 + (fault.size - 1) * std::clamp(std::min(since_start, until_end) / kRampPart, 0.0, 1.0);
   }
   return factor;
 }
 
-void Day::begin_trouble(std::uint32_t index) {
-  const DayFault& t = scenario.faults[index];
-  ActiveFault& g = faults[index];
-  g.on = true;
-  at(g.until, What::trouble_ends, 0, index);
-  switch (t.kind) {
+void DaySimulation::start_fault(std::uint32_t index) {
+  const DayFault& drawn = scenario_.faults[index];
+  ActiveFault& fault = faults_[index];
+  fault.active = true;
+  schedule(fault.until, EventType::fault_ended, 0, index);
+  switch (drawn.kind) {
     case DayFaultKind::burst:
-    case DayFaultKind::partition: break;
-    case DayFaultKind::zone_lost:
-      for (std::uint32_t i = 0; i < replicas.size(); ++i) {
-        if (replicas[i].zone == g.zone) take_down(i, t.silent);
-      }
-      for (std::uint32_t i = 0; t.routers && i < routers.size(); ++i) {
-        if (routers[i]->zone == g.zone) stop_router(i);
-      }
-      break;
-    case DayFaultKind::slow:
-      for (std::uint32_t i = 0; i < replicas.size(); ++i) replicas[i].pace /= g.size, set_pace(i);
-      break;
-    case DayFaultKind::ageing: go_on_with_trouble(index); break;
+    case DayFaultKind::partition: return;
+    case DayFaultKind::zone_lost: return lose_zone(drawn, fault.zone);
+    case DayFaultKind::slow: return scale_paces(1, fault.size);
+    case DayFaultKind::ageing: return age_replica(index);
     case DayFaultKind::flush:
-      for (auto& replica : replicas) replica.engine->void_cached(g.size);
-      break;
-    case DayFaultKind::replacement:
-      g.replica = 0;
-      go_on_with_trouble(index);
-      break;
+      for (auto& replica : replicas_) replica.engine->void_cached(fault.size);
+      return;
+    case DayFaultKind::replacement: fault.replica = 0; return replace_next_replica(index);
   }
 }
 
-void Day::go_on_with_trouble(std::uint32_t index) {
-  const DayFault& t = scenario.faults[index];
-  ActiveFault& g = faults[index];
-  if (!g.on) return;
-  if (t.kind == DayFaultKind::ageing) {
-    // Ten steps to its full slowness.
-    replicas[g.replica].pace /= std::pow(g.size, 0.1);
-    set_pace(g.replica);
-    if (now < g.until) at(now + (g.until - g.from) / 10, What::trouble_goes_on, 0, index);
-    return;
+void DaySimulation::progress_fault(std::uint32_t index) {
+  if (!faults_[index].active) return;
+  if (scenario_.faults[index].kind == DayFaultKind::ageing) {
+    age_replica(index);
+  } else {
+    replace_next_replica(index);
   }
-  // Replacement: the next one drains, goes after a while, and another comes in its place.
-  while (g.replica < replicas.size() && (!replicas[g.replica].up || replicas[g.replica].draining))
-    ++g.replica;
-  if (g.replica >= scenario.replicas) return;
-  replicas[g.replica].draining = true;
-  announce(g.replica, EndpointState::draining, at_of(notice_s));
-  announce(g.replica, EndpointState::gone, at_of(notice_s + scenario.drain_s));
-  add_replica(false);
-  ++g.replica;
-  at(now + at_of(trouble_chance.between(t.every_s.low, t.every_s.high)), What::trouble_goes_on, 0, index);
 }
 
-void Day::end_trouble(std::uint32_t index) {
-  const DayFault& t = scenario.faults[index];
-  ActiveFault& g = faults[index];
-  if (!g.on) return;
-  g.on = false;
-  switch (t.kind) {
-    case DayFaultKind::zone_lost:
-      for (std::uint32_t i = 0; i < replicas.size(); ++i) {
-        if (replicas[i].zone == g.zone) bring_back(i);
-      }
-      for (std::uint32_t i = 0; i < routers.size(); ++i) {
-        if (!routers[i]->up) start_router(i);
-      }
-      break;
-    case DayFaultKind::slow:
-      for (std::uint32_t i = 0; i < replicas.size(); ++i) replicas[i].pace *= g.size, set_pace(i);
-      break;
+void DaySimulation::end_fault(std::uint32_t index) {
+  ActiveFault& fault = faults_[index];
+  if (!fault.active) return;
+  fault.active = false;
+  switch (scenario_.faults[index].kind) {
+    case DayFaultKind::zone_lost: return restore_zone(fault.zone);
+    case DayFaultKind::slow: return scale_paces(fault.size, 1);
     case DayFaultKind::ageing:
-      replicas[g.replica].pace = 1;  // somebody restarted what made it slow
-      set_pace(g.replica);
-      break;
+      replicas_[fault.replica].pace = 1;  // its process was restarted
+      return set_pace(fault.replica);
     case DayFaultKind::burst:
     case DayFaultKind::flush:
     case DayFaultKind::replacement:
-    case DayFaultKind::partition: break;
+    case DayFaultKind::partition: return;
+  }
+}
+
+void DaySimulation::lose_zone(const DayFault& fault, std::uint16_t zone) {
+  const ReplicaLoss loss = fault.silent ? ReplicaLoss::unreachable : ReplicaLoss::process_died;
+  for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
+    if (replicas_[i].zone == zone) lose_replica(i, loss);
+  }
+  if (!fault.routers) return;
+  for (const auto& router : routers_) {
+    if (router->zone == zone) lose_router(*router);
+  }
+}
+
+// Its replicas, and every router that is lost.
+void DaySimulation::restore_zone(std::uint16_t zone) {
+  for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
+    if (replicas_[i].zone == zone) restore_replica(i);
   }
+  for (const auto& router : routers_) {
+    if (!router->up) start_router(*router);
+  }
+}
+
+void DaySimulation::scale_paces(double multiplier, double divisor) {
+  for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
+    replicas_[i].pace = replicas_[i].pace * multiplier / divisor;
+    set_pace(i);
+  }
+}
+
+// One step on the way to its full slowness.
+void DaySimulation::age_replica(std::uint32_t index) {
+  const ActiveFault& fault = faults_[index];
+  replicas_[fault.replica].pace /= std::pow(fault.size, 1.0 / kAgeingSteps);
+  set_pace(fault.replica);
+  if (now_ >= fault.until) return;
+  schedule(now_ + (fault.until - fault.from) / kAgeingSteps, EventType::fault_progressed, 0, index);
+}
+
+// The next replica drains and ends after a while, and another one starts in its place.
+void DaySimulation::replace_next_replica(std::uint32_t index) {
+  const DayFault& drawn = scenario_.faults[index];
+  std::uint32_t& next = faults_[index].replica;
+  while (next < replicas_.size() && (!replicas_[next].up || replicas_[next].draining)) ++next;
+  if (next >= scenario_.replicas) return;
+  replicas_[next].draining = true;
+  announce(next, EndpointState::draining, discovery_.notice_s());
+  announce(next, EndpointState::gone, discovery_.notice_s() + scenario_.drain_s);
+  add_replica();
+  ++next;
+  const double interval_s = fault_random_.between(drawn.every_s.low, drawn.every_s.high);
+  schedule(now_ + static_cast<Time>(interval_s * 1e6), EventType::fault_progressed, 0, index);
 }
 
 }  // namespace thornwick::emulator
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -8,7 +8,7 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr std::size_t kMostWaiting = 256;    // datagrams in a suspended process's socket
+constexpr std::size_t kMaxWaiting = 256;     // datagrams in a suspended process's socket
 constexpr Time kShutdownTime = seconds(2);   // from SIGTERM to the end of the process
 constexpr std::size_t kResumeSpread = 1000;  // microseconds over which a resumed process finds its events
 constexpr std::size_t kNeighbours = 2;       // with which a router exchanges views
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::shared_ptr<const membership::Roster> made_roster(std::size_t routers, std::size_t sites) {
+std::shared_ptr<const membership::Roster> make_roster(std::size_t routers, std::size_t sites) {
   std::vector<std::string> names;
   std::vector<membership::RouterEntry> entries;
   for (std::size_t i = 0; i < sites; ++i) names.push_back(fmt::format("s{}", i));
@@ -28,10 +28,10 @@
 
 Group::Group(const GroupOptions& options)
     : options_(options),
-      roster_(made_roster(options.routers, options.sites)),
+      roster_(make_roster(options.routers, options.sites)),
       random_(options.seed, Concern::peers),
       nodes_(options.routers),
-      cuts_(options.routers * options.routers, false) {
+      blocked_(options.routers * options.routers, false) {
   for (std::size_t i = 0; i < size(); ++i) start(i, Disk::empty);
 }
 
@@ -57,12 +57,12 @@
   if (!node.swim) return;
   switch (event.kind) {
     case EventKind::timer:
-      if (event.version != node.timer_version || node.stopped) return;
+      if (event.version != node.timer_version || node.suspended) return;
       node.swim->tick(now_);
       return flush(event.router);
     case EventKind::datagram:
       deliver(node, std::move(event.bytes));
-      if (!node.stopped) flush(event.router);
+      if (!node.suspended) flush(event.router);
       return;
     case EventKind::end:
       if (event.version == node.identity.run) kill(event.router);
@@ -72,9 +72,9 @@
 }
 
 void Group::deliver(Node& node, std::string bytes) {
-  if (!node.stopped)
+  if (!node.suspended)
     return node.swim->on_message(now_, {reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()});
-  if (node.waiting.size() < kMostWaiting) node.waiting.push_back(std::move(bytes));
+  if (node.waiting.size() < kMaxWaiting) node.waiting.push_back(std::move(bytes));
 }
 
 void Group::flush(std::size_t router) {
@@ -90,7 +90,7 @@
 void Group::transmit(std::size_t from, const membership::Sending& sending) {
   const int copies = random_.happens(options_.repeat) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (is_cut(from, sending.to) || random_.happens(options_.loss)) continue;
+    if (is_blocked(from, sending.to) || random_.happens(options_.loss)) continue;
     const auto delay = static_cast<Time>(kMicrosecondsPerMillisecond *
                                          random_.between(options_.delay_ms.low, options_.delay_ms.high));
     schedule(now_ + delay, EventKind::datagram, sending.to, 0, sending.bytes);
@@ -101,7 +101,8 @@
   schedule(now_ + kViewPeriods * options_.swim.period, EventKind::view, router);
   for (std::size_t i = 1; i <= kNeighbours && i < size(); ++i) {
     const std::size_t other = (router + i) % size();
-    if (!running(router) || !running(other) || is_cut(router, other) || is_cut(other, router)) continue;
+    if (!running(router) || !running(other) || is_blocked(router, other) || is_blocked(other, router))
+      continue;
     nodes_[other].swim->on_view(now_, router, at(router).claims());
     nodes_[router].swim->on_view(now_, other, at(other).claims());
     flush(other);
@@ -114,7 +115,7 @@
 void Group::kill(std::size_t router) {
   Node& node = nodes_[router];
   node.swim.reset();
-  node.stopped = false;
+  node.suspended = false;
   node.waiting.clear();
 }
 
@@ -148,31 +149,31 @@
   flush(router);
 }
 
-void Group::stop(std::size_t router) {
-  if (running(router)) nodes_[router].stopped = true;
+void Group::suspend(std::size_t router) {
+  if (running(router)) nodes_[router].suspended = true;
 }
 
 // What waits in its socket and its timer come in any order.
-void Group::go(std::size_t router) {
+void Group::resume(std::size_t router) {
   Node& node = nodes_[router];
-  if (!node.swim || !node.stopped) return;
-  node.stopped = false;
+  if (!node.swim || !node.suspended) return;
+  node.suspended = false;
   const auto soon = [this] { return now_ + static_cast<Time>(random_.below(kResumeSpread)); };
   for (auto& bytes : std::exchange(node.waiting, {}))
     schedule(soon(), EventKind::datagram, router, 0, std::move(bytes));
   schedule(soon(), EventKind::timer, router, ++node.timer_version);
 }
 
-void Group::leave(std::size_t router) {
+void Group::shut_down(std::size_t router) {
   if (!running(router)) return;
   nodes_[router].swim->leave(now_);
   schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.run);
   flush(router);
 }
 
-void Group::cut(std::size_t from, std::size_t to, bool on) { cuts_[from * size() + to] = on; }
+void Group::block(std::size_t from, std::size_t to) { blocked_[from * size() + to] = true; }
 
-void Group::heal() { std::fill(cuts_.begin(), cuts_.end(), false); }
+void Group::unblock_all() { std::fill(blocked_.begin(), blocked_.end(), false); }
 
 void Group::set_network(double loss, double repeat, Range delay_ms) {
   options_.loss = loss;
--- a/src/emulator/group.hpp
+++ b/src/emulator/group.hpp
@@ -10,19 +10,13 @@
 #include <string>
 #include <vector>
 
+#include "emulator/disk.hpp"
 #include "emulator/random_stream.hpp"
 #include "emulator/scenario.hpp"
 #include "membership/swim.hpp"
 
 namespace thornwick::emulator {
 
-// With which state on disk a process starts.
-enum class Disk {
-  kept,   // that of the process before it
-  empty,  // a new one
-  older   // a copy from before the last start, if there is one; else as `kept`
-};
-
 struct GroupOptions {
   std::size_t routers = 3;
   std::size_t sites = 1;
@@ -46,19 +40,19 @@
   // Faults of processes. Each has no effect where it makes no sense.
   void kill(std::size_t router);
   void start(std::size_t router, Disk disk);
-  void stop(std::size_t router);   // suspends the process (SIGSTOP)
-  void go(std::size_t router);     // resumes it (SIGCONT)
-  void leave(std::size_t router);  // SIGTERM; the process ends two seconds later
-  // Faults of the network: `on` blocks datagrams and views in this direction.
-  void cut(std::size_t from, std::size_t to, bool on);
-  void heal();  // unblocks all directions
+  void suspend(std::size_t router);    // SIGSTOP
+  void resume(std::size_t router);     // SIGCONT
+  void shut_down(std::size_t router);  // SIGTERM; the process ends two seconds later
+  // Faults of the network: datagrams and views of this direction are lost.
+  void block(std::size_t from, std::size_t to);
+  void unblock_all();
   void set_network(double loss, double repeat, Range delay_ms);
 
   // The process runs, and is not suspended.
-  bool running(std::size_t router) const { return up(router) && !nodes_[router].stopped; }
+  bool running(std::size_t router) const { return up(router) && !nodes_[router].suspended; }
   // The process exists, perhaps suspended. at() may be called only then.
   bool up(std::size_t router) const { return nodes_[router].swim != nullptr; }
-  bool is_cut(std::size_t from, std::size_t to) const { return cuts_[from * size() + to]; }
+  bool is_blocked(std::size_t from, std::size_t to) const { return blocked_[from * size() + to]; }
   const membership::Swim& at(std::size_t router) const { return *nodes_[router].swim; }
   membership::Identity identity(std::size_t router) const { return nodes_[router].identity; }
 
@@ -75,7 +69,7 @@
     std::unique_ptr<membership::Swim> swim;  // null: no process
     membership::Identity identity;
     membership::Identity older;  // that of an older copy of the disk; its disk is 0 if there is none
-    bool stopped = false;
+    bool suspended = false;
     Time due = 0;                      // of its timer
     std::uint64_t timer_version = 0;   // timer events of earlier versions are void
     std::vector<std::string> waiting;  // datagrams that arrived while it was suspended
@@ -108,13 +102,13 @@
   std::shared_ptr<const membership::Roster> roster_;
   RandomStream random_;
   std::vector<Node> nodes_;
-  std::vector<bool> cuts_;  // by sender and receiver
+  std::vector<bool> blocked_;  // by sender and receiver
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   Time now_ = 0;
   std::uint64_t last_event_ = 0;
 };
 
 // Routers r000, r001, ... distributed over sites s0, s1, ... in turn.
-std::shared_ptr<const membership::Roster> made_roster(std::size_t routers, std::size_t sites);
+std::shared_ptr<const membership::Roster> make_roster(std::size_t routers, std::size_t sites);
 
 }  // namespace thornwick::emulator
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -31,20 +31,20 @@
     };
   }
 
-  Played run() {
-    while (group_.now() < script_.ends && result_.broken.empty()) {
+  GroupScriptResult run() {
+    while (group_.now() < script_.ends && result_.violation.empty()) {
       apply_due_faults();
       check();
       group_.run_until(group_.now() + kStep);
     }
-    if (result_.broken.empty()) settle();
+    if (result_.violation.empty()) settle();
     return result_;
   }
 
  private:
   void fail(const std::string& what) {
-    if (result_.broken.empty())
-      result_.broken = fmt::format("at {:.2f} s: {}", in_seconds(group_.now()), what);
+    if (result_.violation.empty())
+      result_.violation = fmt::format("at {:.2f} s: {}", in_seconds(group_.now()), what);
   }
 
   Time& disturbed_at(std::size_t a, std::size_t b) { return disturbed_at_[a * group_.size() + b]; }
@@ -54,7 +54,7 @@
     write_log_(fmt::format("{:9.3f}  r{:03}: {}{}", in_seconds(group_.now()), router,
                            about_itself ? "" : fmt::format("r{:03} ", change.member), change.text));
     if (!change.text.starts_with("gone") || about_itself) return;
-    ++result_.words_of_gone;
+    ++result_.gone_reports;
     if (group_.at(router).cut_off())
       fail(fmt::format("r{:03} is cut off and calls r{:03} gone", router, change.member));
     if (group_.now() - disturbed_at(router, change.member) > kUndisturbed) {
@@ -65,7 +65,9 @@
 
   // ---- checks
 
-  bool connected(std::size_t a, std::size_t b) const { return !group_.is_cut(a, b) && !group_.is_cut(b, a); }
+  bool connected(std::size_t a, std::size_t b) const {
+    return !group_.is_blocked(a, b) && !group_.is_blocked(b, a);
+  }
 
   // Directly, or through one other router.
   bool reachable(std::size_t a, std::size_t b) const {
@@ -102,14 +104,14 @@
   // Ends all faults, and waits until the group agrees.
   void settle() {
     write_log_("          all faults are over");
-    group_.heal();
+    group_.unblock_all();
     group_.set_network(0, 0, script_.options.delay_ms);
     for (std::size_t i = 0; i < group_.size(); ++i) {
-      group_.go(i);
+      group_.resume(i);
       group_.start(i, Disk::kept);
     }
     const Time from = group_.now();
-    while (!settled() && result_.broken.empty()) {
+    while (!settled() && result_.violation.empty()) {
       group_.run_until(group_.now() + kStep);
       if (group_.now() - from > kAgreeWithin)
         fail("they do not agree, or one is not sure: " + group_.disagreement());
@@ -135,25 +137,25 @@
   void apply(const GroupFault& fault) {
     write_log_(fmt::format("{:9.3f}  -- {}", in_seconds(group_.now()), describe(fault)));
     switch (fault.kind) {
-      case FaultKind::kill: return group_.kill(fault.router);
-      case FaultKind::start_kept: return group_.start(fault.router, Disk::kept);
-      case FaultKind::start_empty: return group_.start(fault.router, Disk::empty);
-      case FaultKind::start_older: return group_.start(fault.router, Disk::older);
-      case FaultKind::stop: return group_.stop(fault.router);
-      case FaultKind::go: return group_.go(fault.router);
-      case FaultKind::leave: return group_.leave(fault.router);
-      case FaultKind::cut_one_way: return group_.cut(fault.router, fault.peer, true);
-      case FaultKind::bridge: return disconnect(fault.router, fault.peer);
-      case FaultKind::isolate: return isolate(fault.router);
-      case FaultKind::halves: return split_in_halves();
-      case FaultKind::heal: return group_.heal();
-      case FaultKind::network: return set_loss(fault.amount);
+      case GroupFaultKind::kill: return group_.kill(fault.router);
+      case GroupFaultKind::start_kept: return group_.start(fault.router, Disk::kept);
+      case GroupFaultKind::start_empty: return group_.start(fault.router, Disk::empty);
+      case GroupFaultKind::start_older: return group_.start(fault.router, Disk::older);
+      case GroupFaultKind::suspend: return group_.suspend(fault.router);
+      case GroupFaultKind::resume: return group_.resume(fault.router);
+      case GroupFaultKind::shut_down: return group_.shut_down(fault.router);
+      case GroupFaultKind::cut_one_way: return group_.block(fault.router, fault.peer);
+      case GroupFaultKind::bridge: return disconnect(fault.router, fault.peer);
+      case GroupFaultKind::isolate: return isolate(fault.router);
+      case GroupFaultKind::halves: return split_in_halves();
+      case GroupFaultKind::heal: return group_.unblock_all();
+      case GroupFaultKind::network: return set_loss(fault.amount);
     }
   }
 
   void disconnect(std::size_t a, std::size_t b) {
-    group_.cut(a, b, true);
-    group_.cut(b, a, true);
+    group_.block(a, b);
+    group_.block(b, a);
   }
 
   void isolate(std::size_t router) {
@@ -177,15 +179,15 @@
   Group group_;
   std::vector<Time> disturbed_at_;  // by observer and member: when the pair was disturbed last
   double loss_ = 0;
-  Played result_;
+  GroupScriptResult result_;
 };
 
 // A fault of any kind, at any time.
 GroupFault random_fault(RandomStream& random, std::size_t routers) {
-  constexpr auto kKinds = static_cast<std::size_t>(FaultKind::network) + 1;
+  constexpr auto kKinds = static_cast<std::size_t>(GroupFaultKind::network) + 1;
   GroupFault fault;
   fault.at = seconds(20) + static_cast<Time>(random.unit() * static_cast<double>(kFaultTime));
-  fault.kind = static_cast<FaultKind>(random.below(kKinds));
+  fault.kind = static_cast<GroupFaultKind>(random.below(kKinds));
   fault.router = random.below(routers);
   fault.peer = (fault.router + 1 + random.below(routers - 1)) % routers;
   fault.amount = random.happens(0.5) ? 0 : random.between(0, kMostLoss);
@@ -198,16 +200,16 @@
   GroupFault recovery = fault;
   recovery.at += static_cast<Time>(random.exponential(kMeanSeconds) * 1e6);
   switch (fault.kind) {
-    case FaultKind::stop: recovery.kind = FaultKind::go; return recovery;
-    case FaultKind::kill:
-    case FaultKind::leave: {
-      static constexpr FaultKind starts[] = {FaultKind::start_kept, FaultKind::start_empty,
-                                             FaultKind::start_older};
+    case GroupFaultKind::suspend: recovery.kind = GroupFaultKind::resume; return recovery;
+    case GroupFaultKind::kill:
+    case GroupFaultKind::shut_down: {
+      static constexpr GroupFaultKind starts[] = {GroupFaultKind::start_kept, GroupFaultKind::start_empty,
+                                                  GroupFaultKind::start_older};
       recovery.kind = starts[random.below(std::size(starts))];
       return recovery;
     }
-    case FaultKind::isolate:
-    case FaultKind::halves: recovery.kind = FaultKind::heal; return recovery;
+    case GroupFaultKind::isolate:
+    case GroupFaultKind::halves: recovery.kind = GroupFaultKind::heal; return recovery;
     default: return std::nullopt;
   }
 }
@@ -217,20 +219,22 @@
 std::string describe(const GroupFault& fault) {
   const std::string router = fmt::format("r{:03}", fault.router);
   switch (fault.kind) {
-    case FaultKind::kill: return router + " is killed";
-    case FaultKind::start_kept: return router + " starts with its disk";
-    case FaultKind::start_empty: return router + " starts with an empty disk";
-    case FaultKind::start_older: return router + " starts with an older disk";
-    case FaultKind::stop: return router + " is stopped";
-    case FaultKind::go: return router + " goes on";
-    case FaultKind::leave: return router + " is told to end";
-    case FaultKind::cut_one_way: return fmt::format("nothing passes from {} to r{:03}", router, fault.peer);
-    case FaultKind::bridge: return fmt::format("{} and r{:03} do not see each other", router, fault.peer);
-    case FaultKind::isolate: return router + " is cut off";
-    case FaultKind::halves: return "cut into halves";
-    case FaultKind::network:
+    case GroupFaultKind::kill: return router + " is killed";
+    case GroupFaultKind::start_kept: return router + " starts with its disk";
+    case GroupFaultKind::start_empty: return router + " starts with an empty disk";
+    case GroupFaultKind::start_older: return router + " starts with an older disk";
+    case GroupFaultKind::suspend: return router + " is stopped";
+    case GroupFaultKind::resume: return router + " goes on";
+    case GroupFaultKind::shut_down: return router + " is told to end";
+    case GroupFaultKind::cut_one_way:
+      return fmt::format("nothing passes from {} to r{:03}", router, fault.peer);
+    case GroupFaultKind::bridge:
+      return fmt::format("{} and r{:03} do not see each other", router, fault.peer);
+    case GroupFaultKind::isolate: return router + " is cut off";
+    case GroupFaultKind::halves: return "cut into halves";
+    case GroupFaultKind::network:
       return fmt::format("{:.0f} % of the datagrams are lost, half as many repeated", 100 * fault.amount);
-    case FaultKind::heal: break;
+    case GroupFaultKind::heal: break;
   }
   return "all cuts are healed";
 }
@@ -255,7 +259,8 @@
   return script;
 }
 
-Played play(const GroupScript& script, const std::function<void(const std::string&)>& write_log) {
+GroupScriptResult play_script(const GroupScript& script,
+                              const std::function<void(const std::string&)>& write_log) {
   return Player(script, write_log).run();
 }
 
--- a/src/emulator/group_faults.hpp
+++ b/src/emulator/group_faults.hpp
@@ -12,15 +12,15 @@
 
 namespace thornwick::emulator {
 
-enum class FaultKind {
+enum class GroupFaultKind {
   // Of the process of `router`.
   kill,
   start_kept,
   start_empty,
   start_older,
-  stop,
-  go,
-  leave,
+  suspend,
+  resume,
+  shut_down,
   // Of the network.
   cut_one_way,  // from `router` to `peer`
   isolate,      // `router` from all others
@@ -32,7 +32,7 @@
 
 struct GroupFault {
   Time at = 0;
-  FaultKind kind = FaultKind::heal;
+  GroupFaultKind kind = GroupFaultKind::heal;
   std::size_t router = 0;
   std::size_t peer = 0;
   double amount = 0;  // of losses
@@ -50,14 +50,14 @@
 GroupScript random_script(std::uint64_t seed);
 
 // The outcome of a script.
-struct Played {
-  std::string broken;     // the first thing that did not hold; empty: all held
+struct GroupScriptResult {
+  std::string violation;  // the first thing that did not hold; empty: all held
   Time agreed_after = 0;  // the last fault
   std::size_t faults = 0;
-  std::size_t words_of_gone = 0;  // times that a router called another gone
+  std::size_t gone_reports = 0;  // times that a router called another gone
 };
 // `write_log` gets a line for each fault and each change that a router reports.
-Played play(
+GroupScriptResult play_script(
     const GroupScript& script, const std::function<void(const std::string&)>& write_log = [](auto&) {});
 
 }  // namespace thornwick::emulator
--- a/src/emulator/prompt_cache.hpp
+++ b/src/emulator/prompt_cache.hpp
@@ -1,4 +1,4 @@
-// The cached prompts that a replica keeps: least recently used go first when their room is needed.
+// The cached prompts of a replica. The least recently used one is evicted first.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -11,52 +11,65 @@
 
 class PromptCache {
  public:
+  // Tokens of all entries.
   double tokens() const { return tokens_; }
 
-  // Tokens kept under this name; counts as a use.
-  double find(std::uint64_t name) {
-    const auto found = names_.find(name);
-    if (name == 0 || found == names_.end()) return 0;
+  // Tokens cached under this key, 0 if there are none. Counts as a use.
+  double find(std::uint64_t key) {
+    const auto found = entries_.find(key);
+    if (key == 0 || found == entries_.end()) return 0;
     order_.splice(order_.end(), order_, found->second);
     return found->second->tokens;
   }
-  void keep(std::uint64_t name, double tokens) {
-    if (name == 0 || tokens <= 0) return;
-    const double before = take(name);
-    names_[name] = order_.insert(order_.end(), {name, std::max(before, tokens)});
-    tokens_ += std::max(before, tokens);
+
+  // Adds or grows an entry; an entry never shrinks. Key 0 and zero tokens are ignored.
+  void insert(std::uint64_t key, double tokens) {
+    if (key == 0 || tokens <= 0) return;
+    const double size = std::max(remove(key), tokens);
+    entries_[key] = order_.insert(order_.end(), {key, size});
+    tokens_ += size;
   }
-  // Removes it; what it held.
-  double take(std::uint64_t name) {
-    const auto found = names_.find(name);
-    if (found == names_.end()) return 0;
-    const double held = found->second->tokens;
-    tokens_ -= held;
+
+  // Removes an entry. Returns its tokens, 0 if there was none.
+  double remove(std::uint64_t key) {
+    const auto found = entries_.find(key);
+    if (found == entries_.end()) return 0;
+    const double tokens = found->second->tokens;
+    tokens_ -= tokens;
     order_.erase(found->second);
-    names_.erase(found);
-    return held;
+    entries_.erase(found);
+    return tokens;
   }
-  // Until at most so many tokens are left.
-  void shrink_to(double most) {
-    while (tokens_ > std::max(0.0, most) && !order_.empty()) take(order_.front().name);
+
+  // Evicts until at most so many tokens are cached.
+  void shrink_to(double max_tokens) {
+    while (tokens_ > std::max(0.0, max_tokens) && !order_.empty()) remove(order_.front().key);
     if (order_.empty()) tokens_ = 0;
   }
-  template <typename Gone>
-  void erase_if(Gone gone) {
+
+  // Removes the entries for whose key the predicate holds.
+  template <typename Predicate>
+  void erase_if(Predicate predicate) {
     for (auto at = order_.begin(); at != order_.end();) {
-      const auto name = (at++)->name;
-      if (gone(name)) take(name);
+      const auto key = (at++)->key;
+      if (predicate(key)) remove(key);
     }
   }
-  void clear() { order_.clear(), names_.clear(), tokens_ = 0; }
+
+  void clear() {
+    order_.clear();
+    entries_.clear();
+    tokens_ = 0;
+  }
 
  private:
   struct Entry {
-    std::uint64_t name;
+    std::uint64_t key;
     double tokens;
   };
-  std::list<Entry> order_;  // last used at the back
-  absl::flat_hash_map<std::uint64_t, std::list<Entry>::iterator> names_;
+
+  std::list<Entry> order_;  // the last used one at the back
+  absl::flat_hash_map<std::uint64_t, std::list<Entry>::iterator> entries_;
   double tokens_ = 0;
 };
 
--- /dev/null
+++ b/src/emulator/queue_replica.cpp
@@ -0,0 +1,65 @@
+// A replica that is a plain queue: one request after the other, in arrival order. The first token of an
+// answer comes with its end.
+#include <cmath>
+#include <deque>
+
+#include "emulator/engine.hpp"
+
+namespace thornwick::emulator {
+namespace {
+
+class QueueReplica final : public Engine {
+ public:
+  explicit QueueReplica(double speed) : speed_(speed) {}
+
+  bool offer(Time now, const Work& work) override {
+    queue_.push_back(work);
+    if (queue_.size() == 1) end_ = static_cast<double>(now) + duration_of_front();
+    return true;
+  }
+
+  Time next() const override { return queue_.empty() ? kNever : std::llround(end_); }
+
+  void run(Time now, std::vector<Report>& reports) override {
+    while (next() <= now) {
+      const Work& work = queue_.front();
+      reports.push_back({work.job, ReportKind::first_token, 0, 0});
+      reports.push_back({work.job, ReportKind::completed, 0, work.generated});
+      finished_ += work.generated;
+      queue_.pop_front();
+      // Unrounded: the rounding of the clock would add up over a busy period.
+      if (!queue_.empty()) end_ += duration_of_front();
+    }
+  }
+
+  void set_pace(Time now, double pace) override {
+    if (!queue_.empty()) end_ = static_cast<double>(now) + (end_ - static_cast<double>(now)) * pace_ / pace;
+    pace_ = pace;
+  }
+
+  void clear() override { queue_.clear(); }
+
+  double generated_by(Time, Job) const override { return 0; }
+
+  void void_cached(double) override {}
+
+  EngineLoad load() const override {
+    const std::size_t running = queue_.empty() ? 0 : 1;
+    return {running, queue_.size() - running, 0, 0, 0, finished_};
+  }
+
+ private:
+  double duration_of_front() const { return queue_.front().size / (speed_ * pace_); }
+
+  double speed_;
+  double pace_ = 1;
+  double end_ = 0;  // microseconds: when the front's request is done
+  double finished_ = 0;
+  std::deque<Work> queue_;
+};
+
+}  // namespace
+
+std::unique_ptr<Engine> make_queue_replica(double speed) { return std::make_unique<QueueReplica>(speed); }
+
+}  // namespace thornwick::emulator
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -1,155 +1,168 @@
-// Replicas of the emulated day: how they take work, warm up, fall over, go and retry.
-#include <algorithm>
+// Replicas of an emulated day: how they start, warm up, work, fail and come back.
 #include <cmath>
 
-#include "emulator/day.hpp"
+#include "emulator/day_simulation.hpp"
 #include "emulator/fleet.hpp"
 #include "random/hashing.hpp"
 
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kSilence = seconds(3);          // after which a router gives a stream up
-constexpr Time kWarmStep = milliseconds(250);  // a cold replica's pace is set anew so often
+constexpr Time kStreamTimeout = seconds(3);      // after which a router ends an answer without events
+constexpr Time kWarmUpStep = milliseconds(250);  // interval at which the pace of a cold replica is set anew
+
+EventType event_type_of(ReportKind kind) {
+  switch (kind) {
+    case ReportKind::first_token: return EventType::attempt_first_token;
+    case ReportKind::completed: return EventType::attempt_completed;
+    case ReportKind::dropped: break;
+  }
+  return EventType::attempt_reset;
+}
 
 }  // namespace
 
-// Its id tells nothing of its kind or zone.
-void Day::add_replica(bool at_start) {
-  const auto number = static_cast<std::uint32_t>(replicas.size());
-  Replica& replica = replicas.emplace_back();
+// ---------------------------------------------------------------- start and end
+
+// Returns its index. Nothing can be learned of its kind or zone from its id.
+std::uint32_t DaySimulation::create_replica() {
+  const auto index = static_cast<std::uint32_t>(replicas_.size());
+  Replica& replica = replicas_.emplace_back();
   do {
-    replica.id = static_cast<ReplicaId>(mix(seed ^ (std::uint64_t{number} << 20) ^ replica.id) >> 33) + 1;
-  } while (replica_index.contains(replica.id));
-  replica_index[replica.id] = number;
-  DrawnReplica drawn = draw_box(scenario, number, fleet_chance);
-  replica.zone = drawn.zone, replica.kind = drawn.kind;
+    replica.id = static_cast<ReplicaId>(mix(seed_ ^ (std::uint64_t{index} << 20) ^ replica.id) >> 33) + 1;
+  } while (replica_index_.contains(replica.id));
+  replica_index_[replica.id] = index;
+  DrawnReplica drawn = draw_replica(scenario_, index, fleet_random_);
+  replica.zone = drawn.zone;
+  replica.kind = drawn.kind;
   replica.engine = std::move(drawn.engine);
-  replica.speed = drawn.speed, replica.initial_capacity = drawn.initial_capacity,
+  replica.speed = drawn.speed;
+  replica.initial_capacity = drawn.initial_capacity;
   replica.warm_up = drawn.warm_up;
-  replica.result = {.id = replica.id,
-                    .kind = scenario.kinds[replica.kind].name,
-                    .zone = scenario.zones[replica.zone],
-                    .held = {},
-                    .read = {}};
-  for (auto& router : routers) {
-    router->links.resize(replicas.size());
-    router->told_off.resize(replicas.size());
+  replica.result.id = replica.id;
+  replica.result.kind = scenario_.kinds[replica.kind].name;
+  replica.result.zone = scenario_.zones[replica.zone];
+  for (auto& router : routers_) {
+    router->idle_connections.resize(replicas_.size());
+    router->unavailable_since.resize(replicas_.size());
   }
-  if (at_start) return;
-  replica.started = now;
-  set_pace(number);
-  announce(number, EndpointState::ready, static_cast<Time>(1e6 * add_s));
+  return index;
 }
 
-// Part of its full speed that a replica has now.
-double Day::ability(const Replica& replica) const {
-  return replica.started == 0 ? 1
-                              : ability_at(now - replica.started, replica.warm_up, replica.initial_capacity);
+void DaySimulation::add_replica() {
+  const std::uint32_t index = create_replica();
+  replicas_[index].started = now_;
+  set_pace(index);
+  announce(index, EndpointState::ready, discovery_.add_s());
 }
 
-void Day::set_pace(std::uint32_t number) {
-  Replica& replica = replicas[number];
+// Routers that wait for a dead process see their connections break; an unreachable one's time out.
+void DaySimulation::lose_replica(std::uint32_t index, ReplicaLoss loss) {
+  Replica& replica = replicas_[index];
   if (!replica.up) return;
-  replica.engine->set_pace(now, ability(replica) * replica.pace);
-  if (ability(replica) < 1) at(now + kWarmStep, What::replica_warms, 0, number);
-  wake_replica(number);
+  const bool unreachable = loss == ReplicaLoss::unreachable;
+  replica.up = false;
+  replica.unreachable = unreachable;
+  replica.engine->clear();
+  replica.recent_work.clear();
+  replica.recent_work_sum = 0;
+  schedule_replica(index);
+  std::vector<Handle> lost;
+  attempts_.for_each([&](Handle handle, const Attempt& attempt) {
+    if (attempt.replica == index && attempt.in_engine) lost.push_back(handle);
+  });
+  for (const Handle handle : lost) {
+    const std::uint16_t router_zone = routers_[attempts_.find(handle)->router]->zone;
+    const Time delay = unreachable ? kStreamTimeout : network_.one_way(replica.zone, router_zone);
+    schedule(now_ + delay, EventType::attempt_reset, handle);
+  }
+  replica.connections = 0;
+  for (auto& router : routers_) router->idle_connections[index].clear();
+  announce(index, EndpointState::gone, unreachable ? discovery_.silent_notice_s() : discovery_.notice_s());
 }
 
-// The engine's next moment is on the agenda once.
-void Day::wake_replica(std::uint32_t number) {
-  Replica& replica = replicas[number];
-  const Time next = replica.up ? replica.engine->next() : kNever;
-  if (next == replica.wake_at) return;
-  replica.wake_at = next;
-  ++replica.wakes;
-  if (next != kNever) at(next, What::replica_wakes, replica.wakes, number);
+void DaySimulation::restore_replica(std::uint32_t index) {
+  Replica& replica = replicas_[index];
+  if (replica.up) return;
+  replica.up = true;
+  replica.unreachable = false;
+  replica.started = now_;
+  set_pace(index);
+  announce(index, EndpointState::ready, discovery_.add_s());
 }
 
-// Rule 4, as it is told: more than so many times what it can do, for so long, by all routers together.
-void Day::watch_tipping(Replica& replica, std::uint32_t number, double work) {
-  if (ability(replica) >= 1) return;
-  const Time window = static_cast<Time>(1000 * scenario.tip_ms);
-  replica.lately.push_back({now, work});
-  replica.lately_sum += work;
-  while (replica.lately.front().first < now - window) {
-    replica.lately_sum -= replica.lately.front().second;
-    replica.lately.pop_front();
-  }
-  const double able = replica.speed * ability(replica) * static_cast<double>(window);
-  if (replica.lately_sum <= scenario.overload_multiple * able) return;
-  ++result.broken.tipped;
-  take_down(number, false);
-}
+// ---------------------------------------------------------------- speed
 
-void Day::attempt_arrives(Name name) {
-  Attempt* attempt = attempts.find(name);
-  if (attempt == nullptr) return;
-  Replica& replica = replicas[attempt->replica];
-  EmulatedRouter& router = *routers[attempt->router];
-  if (!replica.up && replica.silent) return;
-  if (!replica.up) return at(now + one_way(replica.zone, router.zone), What::attempt_broke, name);
-  const Turn* turn = turns.find(attempt->turn);
-  if (turn == nullptr) return;
-  ++replica.result.sent;
-  replica.result.work += turn->work;
-  const Time back = one_way(replica.zone, router.zone);
-  if (scenario.kinds[replica.kind].error_rate > 0 &&
-      replica_random.happens(scenario.kinds[replica.kind].error_rate)) {
-    return at(now + back, What::attempt_broke, name);
-  }
-  attempt->generated = turn->generated;
-  const bool taken = replica.engine->offer(now, {.job = name,
-                                                 .session = turn->key,
-                                                 .prefix = turn->prefix,
-                                                 .prompt = turn->prompt,
-                                                 .beginning = turn->beginning,
-                                                 .generated = turn->generated,
-                                                 .size = turn->work,
-                                                 .due = turn->deadline});
-  if (!taken) {
-    ++replica.result.full;
-    return at(now + back, What::attempt_refused, name);
-  }
-  attempt->at_replica = true;
-  const std::uint32_t number = attempt->replica;
-  result.work_wasted += turn->work;  // until it is answered
-  watch_tipping(replica, number, turn->work);
-  wake_replica(number);
+// Part of its full speed that warming up leaves.
+double DaySimulation::current_capacity(const Replica& replica) const {
+  if (replica.started == 0) return 1;
+  return warm_up_factor(now_ - replica.started, replica.warm_up, replica.initial_capacity);
 }
 
-// The process dies or the zone is cut off. Who waits for a dead process hears of it; of a silent one nobody
-// does.
-void Day::take_down(std::uint32_t number, bool silent) {
-  Replica& replica = replicas[number];
+void DaySimulation::set_pace(std::uint32_t index) {
+  Replica& replica = replicas_[index];
   if (!replica.up) return;
-  replica.up = false;
-  replica.silent = silent;
-  replica.engine->clear();
-  replica.lately.clear();
-  replica.lately_sum = 0;
-  wake_replica(number);
-  std::vector<Name> lost;
-  attempts.each([&](Name name, const Attempt& attempt) {
-    if (attempt.replica == number && attempt.at_replica) lost.push_back(name);
-  });
-  for (const Name name : lost) {
-    const Time heard = silent ? kSilence : one_way(replica.zone, routers[attempts.find(name)->router]->zone);
-    at(now + heard, What::attempt_broke, name);
+  const double capacity = current_capacity(replica);
+  replica.engine->set_pace(now_, capacity * replica.pace);
+  if (capacity < 1) schedule(now_ + kWarmUpStep, EventType::replica_warm_up, 0, index);
+  schedule_replica(index);
+}
+
+// The operators' rule of cold replicas: it fails if all routers together send it more than a multiple of what
+// it can do, for so long.
+void DaySimulation::check_overload(std::uint32_t index, double work) {
+  Replica& replica = replicas_[index];
+  const double capacity = current_capacity(replica);
+  if (capacity >= 1) return;
+  const auto window = static_cast<Time>(1000 * scenario_.overload_ms);
+  replica.recent_work.push_back({now_, work});
+  replica.recent_work_sum += work;
+  while (replica.recent_work.front().at < now_ - window) {
+    replica.recent_work_sum -= replica.recent_work.front().work;
+    replica.recent_work.pop_front();
   }
-  replica.connections = 0;
-  for (auto& router : routers) router->links[number].idle.clear();
-  announce(number, EndpointState::gone, static_cast<Time>(1e6 * (silent ? silent_notice_s : notice_s)));
+  const double possible = replica.speed * capacity * static_cast<double>(window);
+  if (replica.recent_work_sum <= scenario_.overload_multiple * possible) return;
+  ++result_.violations.tipped;
+  lose_replica(index, ReplicaLoss::process_died);
 }
 
-void Day::bring_back(std::uint32_t number) {
-  Replica& replica = replicas[number];
-  if (replica.up) return;
-  replica.up = true;
-  replica.silent = false;
-  replica.started = now;
-  set_pace(number);
-  announce(number, EndpointState::ready, static_cast<Time>(1e6 * add_s));
+// ---------------------------------------------------------------- work
+
+// To be called after every change of the replica's engine.
+void DaySimulation::schedule_replica(std::uint32_t index) {
+  Replica& replica = replicas_[index];
+  const Time next = replica.up ? replica.engine->next() : kNever;
+  if (next == replica.timer_at) return;
+  replica.timer_at = next;
+  ++replica.timer_version;
+  if (next != kNever) schedule(next, EventType::replica_timer, replica.timer_version, index);
+}
+
+void DaySimulation::on_replica_timer(std::uint32_t index, std::uint64_t version) {
+  Replica& replica = replicas_[index];
+  if (version != replica.timer_version || !replica.up) return;
+  replica.timer_at = kNever;
+  reports_.clear();
+  replica.engine->run(now_, reports_);
+  for (const Report& report : reports_) deliver(replica, report);
+  schedule_replica(index);
+}
+
+// Sends what an engine reports to the router that waits for it.
+void DaySimulation::deliver(const Replica& replica, const Report& report) {
+  Attempt* attempt = attempts_.find(report.job);
+  if (attempt == nullptr) {
+    result_.totals.tokens_for_nobody += report.generated;
+    return;
+  }
+  attempt->undelivered = report.generated;
+  attempt->cached = report.cached;
+  const Time back = network_.one_way(replica.zone, routers_[attempt->router]->zone);
+  // The bytes of one connection keep their order.
+  attempt->delivered_until = std::max(attempt->delivered_until, now_ + back);
+  if (report.kind != ReportKind::first_token) attempt->in_engine = false;
+  schedule(attempt->delivered_until, event_type_of(report.kind), report.job);
 }
 
 }  // namespace thornwick::emulator
--- /dev/null
+++ b/src/emulator/replication_checks.cpp
@@ -0,0 +1,99 @@
+#include "emulator/replication_checks.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+namespace thornwick::emulator {
+namespace {
+
+constexpr std::uint64_t kMaxLag = 50;      // entries that a replica may lack
+constexpr double kSaturatingDemand = 1.2;  // above which clients use all that they can
+constexpr double kMinUsable = 0.8;         // of a limit
+
+std::string check_members(const ReplicationCluster& cluster, const replication::LedgerReplica& leader,
+                          std::size_t ledger) {
+  const auto members = leader.consensus()->members();
+  for (const auto& member : members) {
+    const auto* replica = cluster.replica_at(cluster.roster().find(member.name), ledger);
+    if (replica == nullptr || !member.votes || replica->process().id != member.id)
+      return fmt::format("ledger {}: {} is not filled", ledger, member.name);
+    if (replica->consensus()->committed() + kMaxLag < leader.consensus()->committed())
+      return fmt::format("ledger {}: {} lags", ledger, member.name);
+  }
+  if (members.size() != cluster.options().replicas)
+    return fmt::format("ledger {} has {} members", ledger, members.size());
+  return {};
+}
+
+// The books of one account have all that clients used.
+template <typename LedgerAccount>
+std::string check_usage(const ReplicationClients& clients, const std::string& key,
+                        const LedgerAccount& account) {
+  if (account.span == 0) return {};  // a bucket has no windows
+  for (const auto& [window, book] : account.windows) {
+    const auto used = clients.used(key, window);
+    if (book.charged + book.in_hand() < used) {
+      return fmt::format("{}, window {}: {} used, {} in the books", key, window, used,
+                         book.charged + book.in_hand());
+    }
+  }
+  return {};
+}
+
+// The books have each confirmed correction once, and none that was not sent.
+template <typename LedgerAccount>
+std::string check_corrections(ReplicationCluster& cluster, const ReplicationClients& clients,
+                              const LedgerAccount& account) {
+  if (account.windows.empty()) return {};
+  const auto units = -account.windows.begin()->second.corrected;
+  const auto corrections = static_cast<std::size_t>(units / ReplicationClients::kCorrectionUnits);
+  if (corrections >= clients.confirmed().size() && corrections <= cluster.result().corrections) return {};
+  return fmt::format("{} corrections were confirmed, {} asked for, {} hold", clients.confirmed().size(),
+                     cluster.result().corrections, corrections);
+}
+
+std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
+                        const replication::LedgerReplica& leader, std::size_t ledger) {
+  if (const auto fault = leader.ledger().fault(); !fault.empty()) return fault;
+  for (const auto& [key, account] : leader.ledger().accounts()) {
+    if (auto violation = check_usage(clients, key, account); !violation.empty()) return violation;
+    if (key != kCorrectedAccount) continue;
+    if (auto violation = check_corrections(cluster, clients, account); !violation.empty()) return violation;
+  }
+  if (ledger != replication::ledger_of(kCorrectedAccount, cluster.options().ledgers)) return {};
+  for (const auto id : clients.confirmed()) {
+    if (!leader.ledger().has_corrected(id)) return "a confirmed correction is gone";
+  }
+  return {};
+}
+
+std::string check_ledger(ReplicationCluster& cluster, const ReplicationClients& clients, std::size_t ledger) {
+  const auto router = cluster.leader_of(ledger);
+  if (!router) return fmt::format("ledger {} has no leader at the end", ledger);
+  const auto& leader = *cluster.replica_at(*router, ledger);
+  if (auto violation = check_members(cluster, leader, ledger); !violation.empty()) return violation;
+  return check_books(cluster, clients, leader, ledger);
+}
+
+std::string check_usable_part(ReplicationCluster& cluster, const ReplicationClients& clients,
+                              std::int64_t window) {
+  if (cluster.options().demand <= kSaturatingDemand) return {};
+  double& usable = cluster.result().usable;
+  for (const auto* key : {"minute|a", "minute|b"})
+    usable = std::min(usable, static_cast<double>(clients.used(key, window)) / kWindowLimit);
+  if (usable >= kMinUsable) return {};
+  return fmt::format("{:.2f} of a limit could be used in a window without faults", usable);
+}
+
+}  // namespace
+
+std::string check_final_state(ReplicationCluster& cluster, const ReplicationClients& clients,
+                              std::int64_t window) {
+  for (std::size_t ledger = 0; ledger < cluster.options().ledgers; ++ledger) {
+    if (auto violation = check_ledger(cluster, clients, ledger); !violation.empty()) return violation;
+  }
+  return check_usable_part(cluster, clients, window);
+}
+
+}  // namespace thornwick::emulator
--- a/src/emulator/replication_simulation.hpp
+++ b/src/emulator/replication_simulation.hpp
@@ -1,38 +1,44 @@
-// Routers with their ledgers, quota lease clients and disks in virtual time: the same code as on sockets, a
-// network and disks with faults, and what clients were granted counted from outside.
+// Routers with their ledger replicas, quota lease clients and disks in virtual time: the same code as on
+// sockets, and a network and disks with faults. What clients were granted is counted outside of the routers
+// and compared with what the ledgers promise. The seed determines everything.
 #pragma once
 
-#include <map>
-#include <memory>
-#include <set>
+#include <cstdint>
 #include <string>
-#include <vector>
-
-#include "emulator/random_stream.hpp"
-#include "replication/ledger_replica.hpp"
-#include "replication/quota_lease_client.hpp"
 
 namespace thornwick::emulator {
 
-struct CopiesOptions {
-  std::size_t routers = 3, sites = 1, copies = 3, ledgers = 1;
+struct ReplicationOptions {
+  std::size_t routers = 3;
+  std::size_t sites = 1;
+  std::size_t replicas = 3;  // of each ledger
+  std::size_t ledgers = 1;
   std::uint64_t seed = 1;
-  double seconds = 90;  // of faults; after it all is mended
-  double demand = 2;    // of the limits, by all routers together
+  double seconds = 90;  // after which all faults end
+  double demand = 2;    // of the limits, by the clients of all routers together
   bool faults = true;
-  double overdraft = 0;
-  // Faults of the program that the checks have to find.
-  bool trust_any_disk = false, answer_before_majority = false, outlive_lease = false;
+  double overdraft = 0;  // part of a limit that a router may grant without a lease
+  // Faults of the program, which the checks have to find.
+  bool trust_any_disk = false;
+  bool answer_before_majority = false;
+  bool outlive_lease = false;
 };
 
-struct CopiesResult {
-  std::string broken;  // the first promise that did not hold; empty: all did
-  std::size_t kills = 0, lost_disks = 0, older_disks = 0, stops = 0, cuts = 0, corrections = 0, confirmed = 0,
-              granted = 0, rejected = 0;
-  double usable = 1;  // part of a limit that was granted in the last, undisturbed window
+struct ReplicationResult {
+  std::string violation;  // the first promise that was not kept; empty: all were
+  std::size_t kills = 0;
+  std::size_t lost_disks = 0;
+  std::size_t older_disks = 0;
+  std::size_t stops = 0;  // of processes that are resumed later
+  std::size_t cuts = 0;   // of the network
+  std::size_t corrections = 0;
+  std::size_t confirmed = 0;  // of the corrections
+  std::size_t granted = 0;
+  std::size_t rejected = 0;
+  double usable = 1;  // part of a limit that was granted in the last window, in which there were no faults
   std::string timeline;
 };
 
-CopiesResult play_copies(const CopiesOptions& options);
+ReplicationResult simulate_replication(const ReplicationOptions& options);
 
 }  // namespace thornwick::emulator
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -1,330 +1,278 @@
-// The emulated surroundings of a router's core: connections, discovery, peers.
+// Routers of an emulated day: how they start and are lost, and what discovery and other routers send them.
 #include <algorithm>
-#include <chrono>
 #include <cmath>
+#include <utility>
 
 #include "emulator/baseline_policies.hpp"
-#include "emulator/day.hpp"
+#include "emulator/day_simulation.hpp"
+#include "emulator/timed_decider.hpp"
 #include "gossip/gossip.hpp"
 #include "random/hashing.hpp"
 
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kDirectoryAnswers = milliseconds(2);  // microseconds that discovery takes for an answer
+constexpr Time kDiscoveryTime = milliseconds(2);  // that discovery needs for an answer
+constexpr std::uint16_t kDiscoveryZone = 0;
+constexpr std::size_t kAffinityBytes = std::size_t{1} << 36;  // no limit in practice
+constexpr double kMinShare = 1e-6;
 
-// Says what a policy's decisions cost: the time spent inside of it, on this machine.
-class Timed final : public core::DeciderDecorator {
- public:
-  Timed(std::unique_ptr<core::Decider> inner, double& ns) : DeciderDecorator(std::move(inner)), ns_(ns) {}
+Time from_milliseconds(double milliseconds) { return static_cast<Time>(1000 * milliseconds); }
 
-  void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override {
-    timed([&] { inner_->on_endpoints(now, scope, entries); });
-  }
-  void on_request(Time now, const Request& request) override {
-    timed([&] { inner_->on_request(now, request); });
-  }
-  void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica,
-                      Time elapsed) override {
-    timed([&] { inner_->on_first_token(now, id, attempt, replica, elapsed); });
-  }
-  void on_attempt_result(Time now, const AttemptResult& r) override {
-    timed([&] { inner_->on_attempt_result(now, r); });
-  }
-  void on_client_gone(Time now, RequestId id) override {
-    timed([&] { inner_->on_client_gone(now, id); });
-  }
-  void on_timer(Time now, std::uint32_t token) override {
-    timed([&] { inner_->on_timer(now, token); });
-  }
-  void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override {
-    timed([&] { inner_->on_probe_result(now, replica, alive, report); });
-  }
-  void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) override {
-    timed([&] { inner_->on_peer_message(now, peer, message); });
-  }
-
- private:
-  template <typename Call>
-  void timed(Call call) {
-    const auto start = std::chrono::steady_clock::now();
-    call();
-    ns_ += std::chrono::duration<double, std::nano>(std::chrono::steady_clock::now() - start).count();
-  }
-
-  double& ns_;
-};
-
-// Edges of equal work between Bounded Pareto sizes (the paper, section 5), one interval for each replica.
-std::vector<double> equal_work_cutoffs(const Demand& d, std::size_t intervals) {
+// Edges of intervals with equal work between Bounded Pareto sizes (Harchol-Balter, Crovella and Murta 1999,
+// section 5). Empty for classes with other sizes.
+std::vector<double> equal_work_cutoffs(const RequestClass& request_class, std::size_t intervals) {
   std::vector<double> edges;
-  if (d.alpha <= 0) return edges;
-  const double b = 1 - d.alpha;
+  if (request_class.alpha <= 0) return edges;
+  const double exponent = 1 - request_class.alpha;
   for (std::size_t i = 1; i < intervals; ++i) {
     const double part = static_cast<double>(i) / static_cast<double>(intervals);
-    if (std::abs(b) < 1e-9) {
-      edges.push_back(d.least_us * std::pow(d.most_us / d.least_us, part));
+    if (std::abs(exponent) < 1e-9) {
+      edges.push_back(request_class.min_us * std::pow(request_class.max_us / request_class.min_us, part));
     } else {
-      const double low = std::pow(d.least_us, b), high = std::pow(d.most_us, b);
-      edges.push_back(std::pow(low + part * (high - low), 1 / b));
+      const double low = std::pow(request_class.min_us, exponent);
+      const double high = std::pow(request_class.max_us, exponent);
+      edges.push_back(std::pow(low + part * (high - low), 1 / exponent));
     }
   }
   return edges;
 }
 
-}  // namespace
-
-// ---------------------------------------------------------------- network
-
-Time Day::one_way(std::uint16_t from, std::uint16_t to) {
-  const double base = one_way_us[from][to];
-  return std::max<Time>(1, std::llround(base + network_chance.exponential(base * scenario.jitter)));
+ClassSettings class_settings(const RequestClass& request_class) {
+  ClassSettings settings;
+  settings.priority_weight = request_class.priority_weight;
+  settings.late_weight = request_class.late_weight;
+  settings.latency_objective = from_milliseconds(request_class.latency_objective_ms);
+  settings.latency_objective_per_1000_prompt_tokens =
+      from_milliseconds(request_class.latency_objective_ms_per_k);
+  settings.deadline = from_milliseconds(request_class.deadline_ms);
+  return settings;
 }
 
-// ---------------------------------------------------------------- the router's interfaces
-
-Time EmulatedRouter::now() const { return day_.now; }
+}  // namespace
 
-void EmulatedRouter::wake_at(Time when) { day_.at(when, What::router_wakes, ++wakes, number); }
+// ---------------------------------------------------------------- start and end
 
-void EmulatedRouter::launch(core::AttemptId id, ReplicaId replica_id,
-                            std::shared_ptr<const core::Payload> payload, Time, std::uint16_t) {
-  const auto found = day_.replica_index.find(replica_id);
-  const Name name = day_.attempts.make();
-  Attempt& attempt = *day_.attempts.find(name);
-  attempt.id = id;
-  attempt.router = number;
-  attempt.replica = found->second;
-  attempt.turn = static_cast<const Turn*>(payload.get())->name;
-  if (!attempts.insert({id.request_id, name}).second) ++day_.result.broken.twice;
-  ++day_.result.attempts;
-  Replica& replica = day_.replicas[attempt.replica];
-  if (replica.zone != zone) ++day_.result.crossings;
-  const Time told = told_off[attempt.replica];
-  if (told > 0 && day_.now > told + static_cast<Time>(1000 * day_.scenario.drain_grace_ms))
-    ++day_.result.broken.drained;
-  const Time there = day_.one_way(zone, replica.zone);
-  if (!replica.up && replica.silent)
-    return day_.at(day_.now + static_cast<Time>(1000 * day_.scenario.dial_ms), What::attempt_fails, name);
-  if (!replica.up) return day_.at(day_.now + 2 * there, What::attempt_fails, name);
-  auto& idle = links[attempt.replica].idle;
-  const Time rested = day_.now - static_cast<Time>(1e6 * day_.scenario.idle_s);
-  // The latest is taken first; those that rested too long are closed.
-  if (!idle.empty() && idle.back() < rested) replica.connections -= std::exchange(idle, {}).size();
-  if (!idle.empty()) {
-    idle.pop_back();
-    return day_.at(day_.now + there, What::attempt_arrives, name);
+Settings DaySimulation::settings_for(const EmulatedRouter& router) const {
+  Settings settings;
+  settings.seed = mix(seed_ ^ (router.index + 1));
+  settings.rank = router.index;
+  settings.group_size = static_cast<std::uint32_t>(routers_.size());
+  settings.zone = router.zone;
+  settings.zone_count = static_cast<std::uint16_t>(scenario_.zones.size());
+  for (const auto& each : scenario_.classes) settings.classes.push_back(class_settings(each));
+  for (const auto& member : scenario_.members)
+    settings.tenants.push_back({.share = member.share, .quota_per_s = 0});
+  settings.over_share_weight = scenario_.over_share_weight;
+  settings.discovery_by_polling = true;
+  settings.weights = WeightSource::nominal;
+  settings.may_cancel = true;
+  settings.may_message_peers = scenario_.peers;
+  settings.retry_after = scenario_.retry_after;
+  settings.max_retry_after = from_milliseconds(scenario_.max_retry_after_ms);
+  settings.max_attempts = static_cast<std::uint32_t>(scenario_.attempts);
+  settings.drain_grace = from_milliseconds(scenario_.drain_grace_ms);
+  settings.overload_multiple = scenario_.overload_multiple;
+  settings.overload_after = from_milliseconds(scenario_.overload_ms);
+  for (const auto& kind : scenario_.kinds) {
+    settings.warm_up = std::max(settings.warm_up, static_cast<Time>(1e6 * kind.warm_up_s.high));
+    settings.initial_capacity = std::min(settings.initial_capacity, kind.initial_capacity.low);
   }
-  if (replica.connections >= day_.scenario.most_connections)
-    return day_.at(day_.now + 2 * there, What::attempt_fails, name);
-  ++replica.connections;
-  const Time shake = 2 * there + static_cast<Time>(1000 * day_.scenario.handshake_ms);
-  day_.at(day_.now + shake + there, What::attempt_arrives, name);
-}
-
-// The connection closes; what the replica has begun it ends for nobody.
-bool EmulatedRouter::abandon(core::AttemptId id) {
-  const auto found = attempts.find(id.request_id);
-  if (found == attempts.end()) return false;
-  const Name name = found->second;
-  attempts.erase(found);
-  if (Attempt* attempt = day_.attempts.find(name)) day_.close(*this, *attempt, false);
-  day_.forget_attempt(name);
-  return true;
+  return settings;
 }
 
-void EmulatedRouter::probe(ReplicaId replica_id) {
-  const auto found = day_.replica_index.find(replica_id);
-  if (found == day_.replica_index.end()) return;
-  core->probed(replica_id, day_.replicas[found->second].up, {});
+std::unique_ptr<core::Decider> DaySimulation::make_decider(EmulatedRouter& router, const Settings& settings) {
+  std::unique_ptr<core::Decider> decider;
+  if (scenario_.policy == "module") {
+    decider = core::make_routing_policy(settings, now_);
+  } else {
+    BaselineSettings baseline;
+    baseline.seed = settings.seed;
+    baseline.attempts = settings.max_attempts;
+    baseline.cutoffs = equal_work_cutoffs(scenario_.classes.front(), scenario_.replicas);
+    decider = make_baseline_policy(scenario_.policy, baseline);
+  }
+  if (scenario_.fair) {
+    budgets::FairOptions shares;
+    for (const auto& member : scenario_.members) shares.weights.push_back(std::max(kMinShare, member.share));
+    router.fair_share = std::make_unique<budgets::FairShare>(shares);
+    router.quota_service = std::make_unique<budgets::QuotaService>(budgets::Options{});
+    decider = std::make_unique<budgets::AdmissionController>(std::move(decider), *router.quota_service,
+                                                             router.fair_share.get());
+  }
+  if (options_.time_module) decider = std::make_unique<TimedDecider>(std::move(decider), module_ns_);
+  return decider;
 }
 
-void EmulatedRouter::watch() {
-  subscribed = false;
-  day_.at(day_.now + 2 * day_.one_way(zone, 0) + kDirectoryAnswers, What::watch_answered, 0, number);
+void DaySimulation::start_router(EmulatedRouter& router) {
+  const Settings settings = settings_for(router);
+  router.core.reset();  // before what it refers to
+  if (scenario_.affinity && scenario_.policy == "module") {
+    affinity::Options affinity;
+    affinity.table.entries = scenario_.affinity_entries;
+    affinity.table.bytes = kAffinityBytes;
+    affinity.table.seed = settings.seed;
+    router.affinity_table = std::make_unique<affinity::AffinityTable>(affinity);
+  }
+  const core::Dependencies dependencies{router, router, router, router, {}, router.affinity_table.get()};
+  router.core =
+      std::make_unique<core::RequestManager>(settings, dependencies, make_decider(router, settings));
+  router.up = true;
+  router.unavailable_since.assign(replicas_.size(), 0);
+  deliver_endpoint_list(router);
 }
 
-void EmulatedRouter::tell(std::uint32_t rank, const std::string& message) {
-  if (rank == Gossip::kAll) {
-    for (std::uint32_t other = 0; other < day_.routers.size(); ++other) {
-      if (other != number) tell(other, message);
+// Its machine is lost: clients that wait for it see their connections break, and what it learned is lost.
+void DaySimulation::lose_router(EmulatedRouter& router) {
+  if (!router.up) return;
+  router.up = false;
+  router.subscribed = false;
+  ++router.timer_version;
+  add_counts(router);
+  result_.totals.gone += std::exchange(result_.totals.open, 0);
+  std::vector<Handle> in_flight;
+  for (const auto& [request_id, handle] : router.attempts) in_flight.push_back(handle);
+  std::sort(in_flight.begin(), in_flight.end());  // the order of a hash table differs from process to process
+  for (const Handle handle : in_flight) {
+    if (const Attempt* attempt = attempts_.find(handle)) close_connection(*attempt);
+    forget_attempt(handle);
+  }
+  router.attempts.clear();
+  std::vector<Handle> interrupted;
+  requests_.for_each([&](Handle handle, const ClientRequest& request) {
+    if (request.router == router.index && request.request_id != 0) interrupted.push_back(handle);
+  });
+  router.core.reset();
+  router.affinity_table.reset();
+  for (const Handle handle : interrupted) {
+    ClientRequest* request = requests_.find(handle);
+    if (request == nullptr) continue;
+    if (request->first_at > 0) {
+      on_interrupted(*request);
+    } else {
+      on_rejected(*request, 0);
     }
-    return;
   }
-  day_.result.told_bytes += message.size();
-  if (rank >= day_.routers.size() || day_.peer_chance.happens(day_.scenario.peer_loss)) return;
-  for (std::size_t i = 0; i < day_.faults.size(); ++i) {
-    const bool cut = day_.faults[i].on && day_.scenario.faults[i].kind == DayFaultKind::partition;
-    if (cut && (day_.faults[i].zone == zone) != (day_.faults[i].zone == day_.routers[rank]->zone)) return;
+}
+
+void DaySimulation::add_counts(const EmulatedRouter& router) {
+  if (router.affinity_table) {
+    const affinity::Metrics& metrics = router.affinity_table->metrics();
+    result_.fleet_losses += metrics.fleet_losses;
+    result_.replica_losses += metrics.replica_losses;
+    result_.regained += metrics.regained;
   }
-  const Name name = day_.answer_characters.make();
-  *day_.answer_characters.find(name) = {number, rank, message};
-  day_.at(day_.now + std::llround(day_.peer_chance.exponential(day_.peer_us)), What::peer_heard, name);
+  const core::Counters& counters = router.core->counters();
+  result_.totals.taken += counters.taken;
+  result_.totals.served += counters.served;
+  result_.totals.rejected += counters.rejected;
+  result_.totals.failed += counters.failed;
+  result_.totals.timed_out += counters.timed_out;
+  result_.totals.broken += counters.broken;
+  result_.totals.gone += counters.gone;
+  result_.totals.open += router.core->open();
 }
 
-void Day::forget_attempt(Name name) {
-  if (const Attempt* attempt = attempts.find(name)) result.sum.tokens_for_nobody += attempt->finished;
-  attempts.drop(name);
+// ---------------------------------------------------------------- timers and probes
+
+void DaySimulation::set_router_timer(EmulatedRouter& router, Time when) {
+  schedule(when, EventType::router_timer, ++router.timer_version, router.index);
 }
 
-void Day::close(EmulatedRouter& router, const Attempt& attempt, bool reusable) {
-  Replica& replica = replicas[attempt.replica];
-  if (!replica.up) return;
-  if (reusable) return router.links[attempt.replica].idle.push_back(now);
-  replica.connections -= replica.connections > 0 ? 1 : 0;
+void DaySimulation::on_router_timer(std::uint32_t index, std::uint64_t version) {
+  EmulatedRouter& router = *routers_[index];
+  if (version == router.timer_version && router.up) router.core->wake();
 }
 
-// An attempt that its core still waits for ends; everything else about it is over.
-void Day::end_attempt(Name name, Outcome outcome) {
-  Attempt* attempt = attempts.find(name);
-  if (attempt == nullptr) return;
-  EmulatedRouter& router = *routers[attempt->router];
-  const core::AttemptId id = attempt->id;
-  close(router, *attempt, outcome == Outcome::served || outcome == Outcome::full);
-  router.attempts.erase(id.request_id);
-  forget_attempt(name);
-  router.core->attempt_ended(id, outcome);
+void DaySimulation::probe(const EmulatedRouter& router, ReplicaId replica_id) {
+  const auto found = replica_index_.find(replica_id);
+  if (found != replica_index_.end()) router.core->probed(replica_id, replicas_[found->second].up, {});
 }
 
 // ---------------------------------------------------------------- discovery
 
-void Day::announce(std::uint32_t number, EndpointState state, Time after) {
-  const Replica& replica = replicas[number];
-  changes.push_back(
-      {{.id = replica.id,
-        .state = state,
-        .started = replica.started,
-        .zone = replica.zone,
-        .cell = 0,
-        .kind = replica.kind,
-        .weight = static_cast<float>(
-            (scenario.kinds[replica.kind].speed.low + scenario.kinds[replica.kind].speed.high) / 2)},
-       number});
-  at(now + after, What::listing_known, changes.size() - 1);
+Endpoint DaySimulation::endpoint_of(const Replica& replica, EndpointState state) const {
+  const Range& speed = scenario_.kinds[replica.kind].speed;
+  return {.id = replica.id,
+          .state = state,
+          .started = replica.started,
+          .zone = replica.zone,
+          .cell = 0,
+          .kind = replica.kind,
+          .weight = static_cast<float>((speed.low + speed.high) / 2)};
 }
 
-// The whole list as discovery has it, by id; from then on the router is told of changes.
-void Day::tell_all_known(EmulatedRouter& router) {
-  std::vector<Endpoint> all;
-  for (const auto& [id, listing] : known) all.push_back(listing);
-  std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
-  router.subscribed = true;
-  router.core->on_endpoints(EndpointUpdate::full, all);
+// The change happens now, and discovery registers it `after_s` seconds later.
+void DaySimulation::announce(std::uint32_t replica, EndpointState state, double after_s) {
+  const std::uint64_t change = discovery_.record({endpoint_of(replicas_[replica], state), replica});
+  schedule(now_ + static_cast<Time>(1e6 * after_s), EventType::endpoint_change_registered, change);
 }
 
-// ---------------------------------------------------------------- routers come and go
-
-Settings Day::settings_for(std::uint32_t number) const {
-  Settings s;
-  s.seed = mix(seed ^ (number + 1));
-  s.rank = number;
-  s.group_size = static_cast<std::uint32_t>(routers.size());
-  s.zone = routers[number]->zone;
-  s.zone_count = static_cast<std::uint16_t>(scenario.zones.size());
-  for (const auto& d : scenario.classes) {
-    ClassSettings c;
-    c.priority_weight = d.priority_weight;
-    c.late_weight = d.late_weight;
-    c.latency_objective = static_cast<Time>(1000 * d.aim_ms);
-    c.latency_objective_per_1000_prompt_tokens = static_cast<Time>(1000 * d.aim_ms_per_k);
-    c.deadline = static_cast<Time>(1000 * d.deadline_ms);
-    s.classes.push_back(c);
-  }
-  for (const auto& m : scenario.members) s.tenants.push_back({.share = m.share, .quota_per_s = 0});
-  s.over_share_weight = scenario.over_share_weight;
-  s.discovery_by_polling = true;
-  s.weights = WeightSource::nominal;
-  s.may_cancel = true;
-  s.may_message_peers = scenario.peers;
-  s.retry_after = scenario.retry_after;
-  s.max_retry_after = static_cast<Time>(1000 * scenario.most_retry_after_ms);
-  s.max_attempts = static_cast<std::uint32_t>(scenario.attempts);
-  s.drain_grace = static_cast<Time>(1000 * scenario.drain_grace_ms);
-  s.overload_multiple = scenario.overload_multiple;
-  s.overload_after = static_cast<Time>(1000 * scenario.tip_ms);
-  for (const auto& kind : scenario.kinds) {
-    s.warm_up = std::max(s.warm_up, static_cast<Time>(1e6 * kind.cold_s.high));
-    s.initial_capacity = std::min(s.initial_capacity, kind.initial_capacity.low);
+void DaySimulation::on_change_registered(std::uint64_t change) {
+  discovery_.apply(change);
+  for (const auto& router : routers_) {
+    if (!router->up || !router->subscribed) continue;
+    schedule(now_ + network_.one_way(kDiscoveryZone, router->zone), EventType::watch_event_delivered, change,
+             router->index);
   }
-  return s;
 }
 
-void Day::start_router(std::uint32_t number) {
-  EmulatedRouter& router = *routers[number];
-  const Settings settings = settings_for(number);
-  if (scenario.affinity && scenario.policy == "module") {
-    affinity::Options table;
-    table.table.entries = scenario.affinity_entries;
-    table.table.bytes = std::size_t{1} << 36;
-    table.table.seed = settings.seed;
-    router.affinity_table = std::make_unique<affinity::AffinityTable>(table);
-  }
-  core::Dependencies around{router, router, router, router, {}, router.affinity_table.get()};
-  std::unique_ptr<core::Decider> decider;
-  if (scenario.policy == "module") {
-    decider = core::make_routing_policy(settings, now);
-  } else {
-    BaselineSettings rival;
-    rival.seed = settings.seed;
-    rival.attempts = settings.max_attempts;
-    rival.cutoffs = equal_work_cutoffs(scenario.classes.front(), scenario.replicas);
-    decider = make_rival(scenario.policy, rival);
-  }
-  router.core.reset();
-  if (scenario.fair) {
-    budgets::FairOptions shares;
-    for (const auto& m : scenario.members) shares.weights.push_back(std::max(1e-6, m.share));
-    router.fair = std::make_unique<budgets::FairShare>(shares);
-    router.quota_service = std::make_unique<budgets::QuotaService>(budgets::Options{});
-    decider = std::make_unique<budgets::AdmissionController>(std::move(decider), *router.quota_service,
-                                                             router.fair.get());
-  }
-  if (options.time_module) decider = std::make_unique<Timed>(std::move(decider), module_ns);
-  router.core = std::make_unique<core::RequestManager>(settings, around, std::move(decider));
-  router.up = true;
-  router.told_off.assign(replicas.size(), 0);
-  tell_all_known(router);
+void DaySimulation::deliver_watch_event(std::uint64_t change, EmulatedRouter& router) {
+  if (!router.up) return;
+  const EndpointChange& delivered = discovery_.change(change);
+  const bool ready = delivered.endpoint.state == EndpointState::ready;
+  router.unavailable_since[delivered.replica] = ready ? 0 : now_;
+  router.core->on_endpoints(EndpointUpdate::delta, {&delivered.endpoint, 1});
 }
 
-// Its machine is lost: who waits for an answer sees the connection break, and whoever it heard of is
-// forgotten.
-void Day::stop_router(std::uint32_t number) {
-  EmulatedRouter& router = *routers[number];
-  if (!router.up) return;
-  router.up = router.subscribed = false;
-  ++router.wakes;
-  add_up(router);
-  result.sum.gone += std::exchange(result.sum.open, 0);
-  std::vector<Name> out;
-  for (const auto& [request_id, name] : router.attempts) out.push_back(name);
-  std::sort(out.begin(), out.end());  // a hash table's order is another one in each process
-  for (const Name name : out) {
-    if (const Attempt* attempt = attempts.find(name)) close(router, *attempt, false);
-    forget_attempt(name);
-  }
-  router.attempts.clear();
-  std::vector<Name> cut;
-  turns.each([&](Name name, const Turn& turn) {
-    if (turn.router == number && turn.request_id != 0) cut.push_back(name);
-  });
-  router.core.reset();
-  router.affinity_table.reset();
-  for (const Name name : cut) {
-    if (Turn* turn = turns.find(name)) turned_away(*turn, 0, turn->first_at > 0);
+void DaySimulation::request_endpoint_list(EmulatedRouter& router) {
+  router.subscribed = false;
+  const Time round_trip = 2 * network_.one_way(router.zone, kDiscoveryZone);
+  schedule(now_ + round_trip + kDiscoveryTime, EventType::endpoint_list_delivered, 0, router.index);
+}
+
+// From then on the router receives watch events.
+void DaySimulation::deliver_endpoint_list(EmulatedRouter& router) {
+  router.subscribed = true;
+  router.core->on_endpoints(EndpointUpdate::full, discovery_.endpoints());
+}
+
+// ---------------------------------------------------------------- messages between routers
+
+void DaySimulation::send_peer_message(const EmulatedRouter& sender, std::uint32_t rank,
+                                      const std::string& message) {
+  if (rank == Gossip::kAll) {
+    for (const auto& router : routers_) {
+      if (router->index != sender.index) send_peer_message(sender, router->index, message);
+    }
+    return;
   }
+  result_.peer_bytes += message.size();
+  if (rank >= routers_.size() || peer_random_.happens(scenario_.peer_loss)) return;
+  if (partitioned(sender, *routers_[rank])) return;
+  const Handle handle = datagrams_.create();
+  *datagrams_.find(handle) = {sender.index, rank, message};
+  schedule(now_ + std::llround(peer_random_.exponential(peer_delay_us_)), EventType::peer_message_delivered,
+           handle);
 }
 
-void Day::add_up(const EmulatedRouter& router) {
-  if (router.affinity_table) {
-    const affinity::Metrics& f = router.affinity_table->metrics();
-    result.fleet_losses += f.fleet_losses, result.replica_losses += f.replica_losses,
-        result.regained += f.regained;
+// Whether a fault separates the zones of two routers.
+bool DaySimulation::partitioned(const EmulatedRouter& sender, const EmulatedRouter& receiver) const {
+  for (std::size_t i = 0; i < faults_.size(); ++i) {
+    if (!faults_[i].active || scenario_.faults[i].kind != DayFaultKind::partition) continue;
+    const std::uint16_t zone = faults_[i].zone;
+    if ((zone == sender.zone) != (zone == receiver.zone)) return true;
   }
-  const core::Counters& c = router.core->counters();
-  result.sum.taken += c.taken, result.sum.served += c.served, result.sum.rejected += c.rejected;
-  result.sum.failed += c.failed, result.sum.timed_out += c.timed_out, result.sum.broken += c.broken;
-  result.sum.gone += c.gone;
-  result.sum.open += router.core->open();
+  return false;
+}
+
+void DaySimulation::on_peer_message(Handle handle) {
+  const Datagram datagram = *datagrams_.find(handle);
+  datagrams_.erase(handle);
+  const EmulatedRouter& receiver = *routers_[datagram.to];
+  if (!receiver.up) return;
+  const auto* bytes = reinterpret_cast<const std::uint8_t*>(datagram.text.data());
+  receiver.core->on_peer_message(datagram.from, {bytes, datagram.text.size()});
 }
 
 }  // namespace thornwick::emulator
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -8,85 +8,93 @@
 namespace thornwick::emulator {
 namespace {
 
-using settings::Problems, settings::Root, settings::Section;
+using settings::Problems;
+using settings::Root;
+using settings::Section;
 
-constexpr double kMuch = 1e9;
+constexpr double kUnbounded = 1e9;
 
-void range(Section& section, const char* key, Range& into, double least = 0, double most = kMuch) {
-  section.range(key, into.low, into.high, least, most);
+void read_range(Section& section, const char* key, Range& into, double min = 0, double max = kUnbounded) {
+  section.range(key, into.low, into.high, min, max);
 }
 
-void read_kind(Section& s, ReplicaKind& kind) {
-  s.text("name", kind.name);
-  s.number("share", kind.share, 0, kMuch);
-  s.flag("queue", kind.queue);
-  range(s, "speed", kind.speed, 0.001, 1000);
-  range(s, "slots", kind.slots, 1, 100'000);
-  range(s, "waiting", kind.waiting, 1, kMuch);
-  range(s, "memory_k", kind.memory_k, 1, kMuch);
-  range(s, "chunk", kind.chunk, 1, kMuch);
-  range(s, "step_ms", kind.step_ms, 0.01, 10'000);
-  range(s, "sequence_us", kind.sequence_us);
-  range(s, "context_us_per_k", kind.context_us_per_k);
-  range(s, "read_per_s", kind.read_per_s, 1, kMuch);
-  s.flag("keeps_made", kind.keeps_made);
-  s.flag("drops_expired", kind.drops_expired);
-  range(s, "cold_from", kind.initial_capacity, 0.001, 1);
-  range(s, "cold_s", kind.cold_s, 0, 3600);
-  s.number("error_rate", kind.error_rate, 0, 1);
+void read_kind(Section& section, ReplicaKind& kind) {
+  section.text("name", kind.name);
+  section.number("share", kind.share, 0, kUnbounded);
+  section.flag("queue", kind.queue);
+  read_range(section, "speed", kind.speed, 0.001, 1000);
+  read_range(section, "slots", kind.slots, 1, 100'000);
+  read_range(section, "waiting", kind.waiting, 1, kUnbounded);
+  read_range(section, "memory_k", kind.memory_k, 1, kUnbounded);
+  read_range(section, "chunk", kind.chunk, 1, kUnbounded);
+  read_range(section, "step_ms", kind.step_ms, 0.01, 10'000);
+  read_range(section, "sequence_us", kind.sequence_us);
+  read_range(section, "context_us_per_k", kind.context_us_per_k);
+  read_range(section, "read_per_s", kind.read_per_s, 1, kUnbounded);
+  section.flag("keeps_made", kind.caches_generated);
+  section.flag("drops_expired", kind.drops_expired);
+  read_range(section, "cold_from", kind.initial_capacity, 0.001, 1);
+  read_range(section, "cold_s", kind.warm_up_s, 0, 3600);
+  section.number("error_rate", kind.error_rate, 0, 1);
 }
 
-void read_class(Section& s, Demand& d) {
-  s.text("name", d.name);
-  s.number("share", d.share, 0, kMuch);
-  s.number("worth", d.priority_weight, 0, kMuch);
-  s.number("late_worth", d.late_weight, 0, 1);
-  s.number("aim_ms", d.aim_ms, 1, kMuch);
-  s.number("aim_ms_per_k", d.aim_ms_per_k, 0, kMuch);
-  s.number("token_ms", d.token_ms, 0.001, kMuch);
-  s.number("deadline_ms", d.deadline_ms, 1, kMuch);
-  range(s, "turns", d.turns, 1, 1000);
-  range(s, "new_tokens", d.new_tokens, 1);
-  range(s, "made", d.generated, 1);
-  s.number("new_sigma", d.new_sigma, 0, 5);
-  s.number("made_sigma", d.made_sigma, 0, 5);
-  s.number("most_made", d.most_made, 1, kMuch);
-  s.count("prefixes", d.prefixes, 0, 1'000'000);
-  range(s, "prefix_tokens", d.prefix_tokens, 1);
-  s.number("prefix_skew", d.prefix_skew, 0, 10);
-  s.number("think_s", d.think_s, 0, 3600);
-  s.number("alpha", d.alpha, 0, 10);
-  s.number("least_us", d.least_us, 0, 1e15);
-  s.number("most_us", d.most_us, 0, 1e15);
-  s.number("mean_us", d.mean_us, 0, 1e15);
+void read_class(Section& section, RequestClass& request_class) {
+  section.text("name", request_class.name);
+  section.number("share", request_class.share, 0, kUnbounded);
+  section.number("worth", request_class.priority_weight, 0, kUnbounded);
+  section.number("late_worth", request_class.late_weight, 0, 1);
+  section.number("aim_ms", request_class.latency_objective_ms, 1, kUnbounded);
+  section.number("aim_ms_per_k", request_class.latency_objective_ms_per_k, 0, kUnbounded);
+  section.number("token_ms", request_class.token_ms, 0.001, kUnbounded);
+  section.number("deadline_ms", request_class.deadline_ms, 1, kUnbounded);
+  read_range(section, "turns", request_class.turns, 1, 1000);
+  read_range(section, "new_tokens", request_class.new_tokens, 1);
+  read_range(section, "made", request_class.generated, 1);
+  section.number("new_sigma", request_class.new_sigma, 0, 5);
+  section.number("made_sigma", request_class.generated_sigma, 0, 5);
+  section.number("most_made", request_class.max_tokens, 1, kUnbounded);
+  section.count("prefixes", request_class.prefixes, 0, 1'000'000);
+  read_range(section, "prefix_tokens", request_class.prefix_tokens, 1);
+  section.number("prefix_skew", request_class.prefix_skew, 0, 10);
+  section.number("think_s", request_class.think_s, 0, 3600);
+  section.number("alpha", request_class.alpha, 0, 10);
+  section.number("least_us", request_class.min_us, 0, 1e15);
+  section.number("most_us", request_class.max_us, 0, 1e15);
+  section.number("mean_us", request_class.mean_us, 0, 1e15);
 }
 
-const std::map<std::string, DayFaultKind>& trouble_names() {
-  static const std::map<std::string, DayFaultKind> names = {
+void read_member(Section& section, Member& member) {
+  section.text("name", member.name);
+  section.number("share", member.share, 0.0001, kUnbounded);
+  section.number("demand", member.demand, 0.0001, kUnbounded);
+}
+
+const std::map<std::string, DayFaultKind>& fault_kinds() {
+  static const std::map<std::string, DayFaultKind> kinds = {
       {"burst", DayFaultKind::burst},        {"hall-lost", DayFaultKind::zone_lost},
       {"slow", DayFaultKind::slow},          {"flush", DayFaultKind::flush},
       {"ageing", DayFaultKind::ageing},      {"replacement", DayFaultKind::replacement},
       {"partition", DayFaultKind::partition}};
-  return names;
+  return kinds;
 }
 
-void read_trouble(Section& s, DayFault& t) {
+void read_fault(Section& section, DayFault& fault) {
   std::vector<std::string> names;
-  for (const auto& [name, kind] : trouble_names()) names.push_back(name);
+  for (const auto& [name, kind] : fault_kinds()) names.push_back(name);
   std::string kind = "burst";
-  s.one_of("kind", kind, names);
-  t.kind = trouble_names().at(kind);
-  range(s, "at_s", t.at_s);
-  range(s, "seconds", t.seconds);
-  range(s, "size", t.size, 0, 1000);
-  s.flag("silent", t.silent);
-  s.flag("routers", t.routers);
-  range(s, "every_s", t.every_s, 0.01);
+  section.one_of("kind", kind, names);
+  fault.kind = fault_kinds().at(kind);
+  read_range(section, "at_s", fault.at_s);
+  read_range(section, "seconds", fault.seconds);
+  read_range(section, "size", fault.size, 0, 1000);
+  section.flag("silent", fault.silent);
+  section.flag("routers", fault.routers);
+  read_range(section, "every_s", fault.every_s, 0.01);
 }
 
 template <typename Item, typename Read>
-void read_list(Root& all, const char* name, std::vector<Item>& into, Problems& problems, Read read) {
-  const auto tables = all.tables(name);
+void read_list(Root& root, const char* name, std::vector<Item>& into, Problems& problems, Read read) {
+  const auto tables = root.tables(name);
   if (tables.empty()) return;
   into.clear();
   for (const auto* table : tables) {
@@ -95,76 +103,84 @@
   }
 }
 
-void read_sections(const toml::table& root, Scenario& s, Problems& problems) {
-  Root all(root, problems);
-  {
-    Section day(all.table("day"), "day", problems);
-    day.text("name", s.name);
-    day.number("seconds", s.seconds, 0.1, 1e7);
-    day.number("warm_up_s", s.warm_up_s, 0, 1e7);
-    day.number("end_s", s.end_s, 0, 1e9);
-    range(day, "load", s.load, 0.0001, 100);
-  }
-  {
-    Section fleet(all.table("fleet"), "fleet", problems);
-    fleet.count("routers", s.routers, 1, 10'000);
-    fleet.count("boxes", s.replicas, 1, 100'000);
-    fleet.list("halls", s.zones);
-    fleet.number("hall_skew", s.zone_skew, 0, 0.99);
-    fleet.number("drain_s", s.drain_s, 0, 3600);
-  }
-  {
-    Section network(all.table("network"), "network", problems);
-    range(network, "same_ms", s.same_ms, 0.001, 10'000);
-    range(network, "cross_ms", s.cross_ms, 0.001, 10'000);
-    network.number("jitter", s.jitter, 0, 10);
-    network.number("handshake_ms", s.handshake_ms, 0, 10'000);
-    network.number("idle_s", s.idle_s, 0, 3600);
-    network.number("dial_ms", s.dial_ms, 1, 60'000);
-    network.count("most_connections", s.most_connections, 1, 1'000'000);
-    range(network, "peer_ms", s.peer_ms, 0.001, 10'000);
-    network.number("peer_loss", s.peer_loss, 0, 1);
-  }
-  {
-    Section directory(all.table("discovery"), "discovery", problems);
-    range(directory, "notice_s", s.notice_s, 0, 600);
-    range(directory, "silent_notice_s", s.silent_notice_s, 0, 600);
-    range(directory, "add_s", s.add_s, 0, 600);
-  }
-  {
-    Section clients(all.table("clients"), "clients", problems);
-    clients.count("retries", s.retries, 0, 100);
-    clients.number("try_share", s.try_share, 0.01, 1);
-    clients.number("honour", s.honour, 0, 1);
-    clients.number("impatient", s.impatient, 0, 1);
-    range(clients, "backoff_ms", s.backoff_ms, 0, 60'000);
-    clients.number("hint_sigma", s.hint_sigma, -1, 5);
-    clients.number("over_share_worth", s.over_share_weight, 0, 1);
-  }
-  {
-    Section router(all.table("router"), "router", problems);
-    std::vector<std::string> policies = baseline_names();
-    policies.push_back("module");
-    router.one_of("policy", s.policy, policies);
-    router.count("attempts", s.attempts, 1, 5);
-    router.number("drain_grace_ms", s.drain_grace_ms, 0, 60'000);
-    router.number("tip_multiple", s.overload_multiple, 0.1, 1000);
-    router.number("tip_ms", s.tip_ms, 1, 600'000);
-    router.flag("retry_after", s.retry_after);
-    router.number("most_retry_after_ms", s.most_retry_after_ms, 0, 600'000);
-    router.flag("affinity", s.affinity);
-    router.flag("peers", s.peers);
-    router.flag("fair", s.fair);
-    router.count("affinity_entries", s.affinity_entries, 16, 100'000'000);
-  }
-  read_list(all, "box", s.kinds, problems, read_kind);
-  read_list(all, "class", s.classes, problems, read_class);
-  read_list(all, "member", s.members, problems, [](Section& section, Member& m) {
-    section.text("name", m.name);
-    section.number("share", m.share, 0.0001, kMuch);
-    section.number("demand", m.demand, 0.0001, kMuch);
-  });
-  read_list(all, "trouble", s.faults, problems, read_trouble);
+void read_day(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("day"), "day", problems);
+  section.text("name", scenario.name);
+  section.number("seconds", scenario.seconds, 0.1, 1e7);
+  section.number("warm_up_s", scenario.warm_up_s, 0, 1e7);
+  section.number("end_s", scenario.end_s, 0, 1e9);
+  read_range(section, "load", scenario.load, 0.0001, 100);
+}
+
+void read_fleet(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("fleet"), "fleet", problems);
+  section.count("routers", scenario.routers, 1, 10'000);
+  section.count("boxes", scenario.replicas, 1, 100'000);
+  section.list("halls", scenario.zones);
+  section.number("hall_skew", scenario.zone_skew, 0, 0.99);
+  section.number("drain_s", scenario.drain_s, 0, 3600);
+}
+
+void read_network(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("network"), "network", problems);
+  read_range(section, "same_ms", scenario.same_ms, 0.001, 10'000);
+  read_range(section, "cross_ms", scenario.cross_ms, 0.001, 10'000);
+  section.number("jitter", scenario.jitter, 0, 10);
+  section.number("handshake_ms", scenario.handshake_ms, 0, 10'000);
+  section.number("idle_s", scenario.idle_s, 0, 3600);
+  section.number("dial_ms", scenario.dial_ms, 1, 60'000);
+  section.count("most_connections", scenario.max_connections, 1, 1'000'000);
+  read_range(section, "peer_ms", scenario.peer_ms, 0.001, 10'000);
+  section.number("peer_loss", scenario.peer_loss, 0, 1);
+}
+
+void read_discovery(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("discovery"), "discovery", problems);
+  read_range(section, "notice_s", scenario.notice_s, 0, 600);
+  read_range(section, "silent_notice_s", scenario.silent_notice_s, 0, 600);
+  read_range(section, "add_s", scenario.add_s, 0, 600);
+}
+
+void read_clients(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("clients"), "clients", problems);
+  section.count("retries", scenario.retries, 0, 100);
+  section.number("try_share", scenario.try_share, 0.01, 1);
+  section.number("honour", scenario.honor_probability, 0, 1);
+  section.number("impatient", scenario.cancel_probability, 0, 1);
+  read_range(section, "backoff_ms", scenario.backoff_ms, 0, 60'000);
+  section.number("hint_sigma", scenario.hint_sigma, -1, 5);
+  section.number("over_share_worth", scenario.over_share_weight, 0, 1);
+}
+
+void read_router(Root& root, Scenario& scenario, Problems& problems) {
+  Section section(root.table("router"), "router", problems);
+  std::vector<std::string> policies = baseline_policy_names();
+  policies.emplace_back("module");
+  section.one_of("policy", scenario.policy, policies);
+  section.count("attempts", scenario.attempts, 1, 5);
+  section.number("drain_grace_ms", scenario.drain_grace_ms, 0, 60'000);
+  section.number("tip_multiple", scenario.overload_multiple, 0.1, 1000);
+  section.number("tip_ms", scenario.overload_ms, 1, 600'000);
+  section.flag("retry_after", scenario.retry_after);
+  section.number("most_retry_after_ms", scenario.max_retry_after_ms, 0, 600'000);
+  section.flag("affinity", scenario.affinity);
+  section.flag("peers", scenario.peers);
+  section.flag("fair", scenario.fair);
+  section.count("affinity_entries", scenario.affinity_entries, 16, 100'000'000);
+}
+
+void read_all(const toml::table& table, Scenario& scenario, Problems& problems) {
+  Root root(table, problems);
+  read_day(root, scenario, problems);
+  read_fleet(root, scenario, problems);
+  read_network(root, scenario, problems);
+  read_discovery(root, scenario, problems);
+  read_clients(root, scenario, problems);
+  read_router(root, scenario, problems);
+  read_list(root, "box", scenario.kinds, problems, read_kind);
+  read_list(root, "class", scenario.classes, problems, read_class);
+  read_list(root, "member", scenario.members, problems, read_member);
+  read_list(root, "trouble", scenario.faults, problems, read_fault);
 }
 
 }  // namespace
@@ -172,8 +188,8 @@
 Scenario read_scenario(const std::string& path, const std::vector<Override>& overrides) {
   Scenario scenario;
   settings::read_file(path, [&](toml::table& root, Problems& problems) {
-    for (const auto& o : overrides) settings::set_value(root, o.key, o.value, problems);
-    read_sections(root, scenario, problems);
+    for (const auto& each : overrides) settings::set_value(root, each.key, each.value, problems);
+    read_all(root, scenario, problems);
   });
   return scenario;
 }
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -1,5 +1,9 @@
-// What is emulated: a fleet, its zones and network, who asks, and what goes wrong. A scenario gives ranges; a
-// day is one draw from them by its seed. Read from TOML (docs/experiments.md has every key); checked whole.
+// What is emulated: a fleet, its zones and network, its clients, and its faults. A scenario gives ranges; a
+// day is one draw from them by its seed. Scenarios are read from TOML files, whose keys docs/experiments.md
+// lists.
+//
+// A suffix names the unit of a field: _s seconds, _ms milliseconds, _us microseconds, _per_s a second, _k
+// thousands. Sizes without one are tokens.
 #pragma once
 
 #include <cstdint>
@@ -11,87 +15,124 @@
 
 namespace thornwick::emulator {
 
+// A value is drawn evenly from [low, high).
 struct Range {
-  double low = 0, high = 0;
+  double low = 0;
+  double high = 0;
 };
 
+// Replicas with the same ranges of parameters (ModelLimits says what these mean).
 struct ReplicaKind {
   std::string name;
-  double share = 1;    // of the fleet
+  double share = 1;    // of the fleet, relative to the other kinds
   bool queue = false;  // a plain queue in arrival order instead of a model
   Range speed{1, 1};
-  Range slots{48, 64}, waiting{48, 64}, memory_k{200, 300}, chunk{4096, 4096}, step_ms{12, 16},
-      sequence_us{150, 250}, context_us_per_k{30, 60}, read_per_s{14'000, 20'000};
-  bool keeps_made = true, drops_expired = false;
-  Range initial_capacity{0.4, 0.5}, cold_s{5, 7};
-  double error_rate = 0;  // of requests that fail instead of being answered
+  Range slots{48, 64};
+  Range waiting{48, 64};
+  Range memory_k{200, 300};
+  Range chunk{4096, 4096};
+  Range step_ms{12, 16};
+  Range sequence_us{150, 250};
+  Range context_us_per_k{30, 60};
+  Range read_per_s{14'000, 20'000};
+  bool caches_generated = true;
+  bool drops_expired = false;
+  Range initial_capacity{0.4, 0.5};  // part of the full speed right after a start
+  Range warm_up_s{5, 7};             // until the full speed is reached
+  double error_rate = 0;             // part of the requests that fail instead of being answered
 };
 
-struct Demand {  // a class of requests
+// A class of requests, as the clients of it behave.
+struct RequestClass {
   std::string name;
-  double share = 1;  // of the requests
-  double priority_weight = 1, late_weight = 0.25;
-  double aim_ms = 1000, aim_ms_per_k = 0, token_ms = 100, deadline_ms = 5000;
-  Range turns{1, 1}, new_tokens{100, 100}, generated{100, 100};
-  double new_sigma = 0.5, made_sigma = 0.5;
-  double most_made = 800;
-  std::size_t prefixes = 0;
+  double share = 1;  // of the requests, relative to the other classes
+  double priority_weight = 1;
+  double late_weight = 0.25;           // part of the weight that an answer after the latency objective earns
+  double latency_objective_ms = 1000;  // for the first token
+  double latency_objective_ms_per_k = 0;  // added for each 1,000 prompt tokens
+  double token_ms = 100;                  // mean time for a token after the first one, at most
+  double deadline_ms = 5000;
+  Range turns{1, 1};  // requests of a session
+  Range new_tokens{100, 100};
+  Range generated{100, 100};
+  double new_sigma = 0.5;  // of the logarithm of the new tokens
+  double generated_sigma = 0.5;
+  double max_tokens = 800;   // of an answer
+  std::size_t prefixes = 0;  // prompts that sessions begin with; each session takes one of them
   Range prefix_tokens{1000, 2000};
   double prefix_skew = 0.8;  // Zipf's exponent
-  double think_s = 6;
-  // Of a plain queue: sizes in microseconds at speed 1, Bounded Pareto; used where alpha is above 0.
-  double alpha = 0, least_us = 0, most_us = 0, mean_us = 0;
+  double think_s = 6;        // mean time between an answer and the next request
+  // For plain queues, and used if alpha is above 0: Bounded Pareto sizes, in microseconds at speed 1.
+  double alpha = 0;
+  double min_us = 0;
+  double max_us = 0;
+  double mean_us = 0;
 };
 
+// A member (tenant) of the service.
 struct Member {
   std::string name;
-  double share = 1;   // of the service
-  double demand = 1;  // of the requests
+  double share = 1;   // of the service, relative to the other members
+  double demand = 1;  // of the requests, relative to the other members
 };
 
 enum class DayFaultKind { burst, zone_lost, slow, flush, ageing, replacement, partition };
+
 struct DayFault {
   DayFaultKind kind = DayFaultKind::burst;
-  Range at_s{0, 0}, seconds{0, 0};
-  Range size{1, 1};      // burst: multiple of the rate; slow, ageing: times slower; flush: part of the copies
-  bool silent = false;   // zone_lost: nothing is heard of it; else its processes die
-  bool routers = false;  // zone_lost: its routers, too
-  Range every_s{1, 1};   // replacement: one replica after so long
+  Range at_s{0, 0};
+  Range seconds{0, 0};
+  Range size{
+      1, 1};  // burst: multiple of the rate; slow, ageing: times slower; flush: part of the cached prompts
+  bool silent = false;   // zone_lost: its replicas cannot be reached; else their processes die
+  bool routers = false;  // zone_lost: its routers are lost, too
+  Range every_s{1, 1};   // replacement: interval from one replica to the next
 };
 
 struct Scenario {
   std::string name = "scenario";
-  double seconds = 50, warm_up_s = 5, drain_s = 12;
-  double end_s = 120;  // a day runs on so long at most until all is answered
-  std::size_t routers = 4, replicas = 12;
+  double seconds = 50;   // in which clients send requests
+  double warm_up_s = 5;  // of the day, in which nothing is scored yet
+  double drain_s = 12;   // from draining to the end of a replica that is replaced
+  double end_s = 120;    // after the day, until when open requests are played on, at most
+  std::size_t routers = 4;
+  std::size_t replicas = 12;
   std::vector<std::string> zones{"a"};
   std::vector<ReplicaKind> kinds{ReplicaKind{}};
-  std::vector<Demand> classes{Demand{}};
+  std::vector<RequestClass> classes{RequestClass{}};
   std::vector<Member> members{Member{"all", 1, 1}};
-  double over_share_weight = 1;
-  Range load{0.5, 0.5};     // of the fleet's capacity
-  double zone_skew = 0;     // part by which one zone has more clients than another
-  double hint_sigma = 0.1;  // of the hint's logarithm; below 0: no hint
+  double over_share_weight = 1;  // factor on the priority weight of requests beyond a member's share
+  Range load{0.5, 0.5};          // of the fleet's capacity
+  double zone_skew = 0;          // part by which the zones' numbers of clients differ
+  double hint_sigma = 0.1;       // of the logarithm of the work hint's error; below 0: requests have no hint
   // Network.
-  Range same_ms{0.2, 0.2}, cross_ms{10, 10};
-  double jitter = 0.2;
-  double handshake_ms = 1, idle_s = 5, dial_ms = 120;
-  std::size_t most_connections = 600;  // of a replica
-  // Discovery.
-  Range notice_s{1, 3}, silent_notice_s{5, 12}, add_s{0.3, 1.7};
-  // Peers.
+  Range same_ms{0.2, 0.2};  // one way within a zone
+  Range cross_ms{10, 10};   // one way between zones
+  double jitter = 0.2;      // mean of what is added to each message, as part of the one-way time
+  double handshake_ms = 1;
+  double idle_s = 5;                  // after which an idle connection is closed
+  double dial_ms = 120;               // until a connection to an unreachable replica fails
+  std::size_t max_connections = 600;  // of a replica
+  // Discovery: delays until a change is registered.
+  Range notice_s{1, 3};          // of a replica that drains or has ended
+  Range silent_notice_s{5, 12};  // of a replica that cannot be reached
+  Range add_s{0.3, 1.7};         // of a replica that has started
+  // Messages between routers.
   Range peer_ms{1.6, 22};
   double peer_loss = 0.02;
   // Clients.
   std::size_t retries = 3;
-  double try_share = 0.55, honour = 0.2;
-  double impatient = 0.02;  // of the tries end early, because the client goes
+  double try_share = 0.55;           // part of the deadline after which a try times out
+  double honor_probability = 0.2;    // that a client waits for Retry-After
+  double cancel_probability = 0.02;  // that a client cancels a try
   Range backoff_ms{0, 160};
-  // What the module is told of the rules.
+  // Settings of the routers.
   std::size_t attempts = 5;
-  double drain_grace_ms = 500, overload_multiple = 3, tip_ms = 2000;
+  double drain_grace_ms = 500;
+  double overload_multiple = 3;  // of a replica's current speed, at which a cold one is overloaded...
+  double overload_ms = 2000;     // ... if it lasts for so long
   bool retry_after = true;
-  double most_retry_after_ms = 2000;
+  double max_retry_after_ms = 2000;
   bool affinity = true;
   bool peers = true;  // routers may send each other messages
   std::size_t affinity_entries = 100'000;
@@ -100,14 +141,15 @@
   std::vector<DayFault> faults;
 };
 
-// Another value for a key: "fleet.replicas", or "class.0.share" in the first [[class]]; the value as TOML has
-// it.
+// Another value for a key of the file: "fleet.boxes", or "class.0.share" for the first [[class]]. The value
+// is written as in TOML.
 struct Override {
-  std::string key, value;
+  std::string key;
+  std::string value;
 };
 
-// Throws settings::BadFile with one line for each error: "FILE:LINE: KEY: what is wrong", or "--set KEY: ..."
-// for an override's.
+// Reads and checks a whole file. Throws settings::BadFile with one line for each error: "FILE:LINE: KEY: what
+// is wrong", or "--set KEY: ..." for an override.
 Scenario read_scenario(const std::string& path, const std::vector<Override>& overrides = {});
 
 }  // namespace thornwick::emulator
--- a/src/emulator/slab.hpp
+++ b/src/emulator/slab.hpp
@@ -1,4 +1,4 @@
-// Objects with places that are used again, and names that say whether a place still holds what was meant.
+// Storage whose slots are reused, addressed by handles.
 #pragma once
 
 #include <cstdint>
@@ -7,57 +7,74 @@
 
 namespace thornwick::emulator {
 
+// Names one object of a Slab: the low 32 bits are the index of its slot, the high ones the slot's generation.
+// A handle is never 0, and never names another object once its own was erased.
+using Handle = std::uint64_t;
+
+// Owns objects of one type. Addresses of objects stay valid until they are erased.
 template <typename T>
 class Slab {
  public:
-  using Name = std::uint64_t;  // never 0
-
-  Name make() {
-    std::uint32_t at = 0;
-    if (free_.empty()) {
-      at = static_cast<std::uint32_t>(places_.size());
-      places_.emplace_back();
-    } else {
-      at = free_.back();
-      free_.pop_back();
-    }
-    Place& place = places_[at];
-    place.value = T{};
-    place.used = true;
-    return name(at, place);
+  // Adds a value-initialized object.
+  [[nodiscard]] Handle create() {
+    const std::uint32_t index = take_free_slot();
+    Slot& slot = slots_[index];
+    slot.value = T{};
+    slot.used = true;
+    return handle_of(index, slot);
   }
-  // Null if it was dropped meanwhile.
-  T* find(Name wanted) {
-    const auto at = static_cast<std::uint32_t>(wanted);
-    if (at >= places_.size()) return nullptr;
-    Place& place = places_[at];
-    return place.used && place.turn == wanted >> 32 ? &place.value : nullptr;
+
+  // The object, or null if it was erased.
+  T* find(Handle handle) {
+    const auto index = static_cast<std::uint32_t>(handle);
+    if (index >= slots_.size()) return nullptr;
+    Slot& slot = slots_[index];
+    return slot.used && slot.generation == handle >> 32 ? &slot.value : nullptr;
   }
-  void drop(Name wanted) {
-    if (find(wanted) == nullptr) return;
-    const auto at = static_cast<std::uint32_t>(wanted);
-    places_[at].used = false;
-    ++places_[at].turn;
-    free_.push_back(at);
+
+  // Has no effect if the object was erased before.
+  void erase(Handle handle) {
+    if (find(handle) == nullptr) return;
+    const auto index = static_cast<std::uint32_t>(handle);
+    slots_[index].used = false;
+    ++slots_[index].generation;
+    free_.push_back(index);
   }
-  std::size_t size() const { return places_.size() - free_.size(); }
-  std::size_t places() const { return places_.size(); }
+
+  // Number of objects.
+  std::size_t size() const { return slots_.size() - free_.size(); }
+
+  // Calls visit(handle, object) for every object, in the order of the slots. `visit` must not create or
+  // erase.
   template <typename Visit>
-  void each(Visit visit) {
-    for (std::uint32_t at = 0; at < places_.size(); ++at) {
-      if (places_[at].used) visit(name(at, places_[at]), places_[at].value);
+  void for_each(Visit visit) {
+    for (std::uint32_t index = 0; index < slots_.size(); ++index) {
+      if (slots_[index].used) visit(handle_of(index, slots_[index]), slots_[index].value);
     }
   }
 
  private:
-  struct Place {
+  struct Slot {
     T value{};
-    std::uint32_t turn = 1;
+    std::uint32_t generation = 1;
     bool used = false;
   };
-  static Name name(std::uint32_t at, const Place& place) { return std::uint64_t{place.turn} << 32 | at; }
 
-  std::deque<Place> places_;  // addresses stay
+  static Handle handle_of(std::uint32_t index, const Slot& slot) {
+    return std::uint64_t{slot.generation} << 32 | index;
+  }
+
+  std::uint32_t take_free_slot() {
+    if (free_.empty()) {
+      slots_.emplace_back();
+      return static_cast<std::uint32_t>(slots_.size() - 1);
+    }
+    const std::uint32_t index = free_.back();
+    free_.pop_back();
+    return index;
+  }
+
+  std::deque<Slot> slots_;  // a deque, so that addresses stay valid
   std::vector<std::uint32_t> free_;
 };
 
--- a/src/experiments/command.cpp
+++ b/src/experiments/command.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "emulator/baseline_policies.hpp"
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "experiments/experiment.hpp"
 #include "experiments/report.hpp"
 #include "experiments/statistics.hpp"
@@ -47,13 +47,15 @@
   fmt::print(
       "{:<18} {:>4}  score {:.4f}  in time {:.4f}  kept {:.3f}  shed {:.4f}  attempts/turn {:.3f}  rules {}",
       r.policy, r.seed, r.score, r.whole.share(), r.cached_share(),
-      static_cast<double>(r.sum.rejected) / static_cast<double>(std::max<std::uint64_t>(1, r.sum.taken)),
+      static_cast<double>(r.totals.rejected) /
+          static_cast<double>(std::max<std::uint64_t>(1, r.totals.taken)),
       static_cast<double>(r.attempts) / static_cast<double>(std::max<std::uint64_t>(1, r.turns)),
-      r.broken.all() == 0 ? "kept"
-                          : fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", r.broken.lost,
-                                        r.broken.twice, r.broken.drained, r.broken.tipped));
-  if (!r.sum.holds()) fmt::print("  SUM DOES NOT HOLD");
-  if (!r.sum.tokens_hold()) fmt::print("  TOKENS DO NOT HOLD");
+      r.violations.all() == 0
+          ? "kept"
+          : fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", r.violations.lost,
+                        r.violations.twice, r.violations.drained, r.violations.tipped));
+  if (!r.totals.holds()) fmt::print("  SUM DOES NOT HOLD");
+  if (!r.totals.tokens_hold()) fmt::print("  TOKENS DO NOT HOLD");
   if (time) {
     fmt::print("  {:.0f} requests/s, module {:.2f} us a request", static_cast<double>(r.turns) / r.wall_s,
                1e6 * r.module_s / static_cast<double>(std::max<std::uint64_t>(1, r.turns)));
@@ -73,8 +75,11 @@
   }
   // Costs are measured one after the other, or the days would take each other's time.
   for (const auto& result : play_all(days, line.time ? 1 : line.threads, line.time)) {
-    line.json ? void(std::cout << emulator::to_json(result, line.time) << '\n') : print(result, line.time);
-    good = good && result.sum.holds() && result.sum.tokens_hold();
+    line.json ? void(std::cout << emulator::to_json(result, line.time ? emulator::Costs::included
+                                                                      : emulator::Costs::left_out)
+                               << '\n')
+              : print(result, line.time);
+    good = good && result.totals.holds() && result.totals.tokens_hold();
   }
   return good ? 0 : 1;
 }
@@ -199,7 +204,7 @@
       app.add_subcommand("lab", "play emulated days around the real core and module")->require_subcommand(1);
   auto line = std::make_shared<RunLine>();
   auto* play = lab->add_subcommand("run", "play days of one scenario and tell what they came to");
-  std::vector<std::string> names = emulator::baseline_names();
+  std::vector<std::string> names = emulator::baseline_policy_names();
   names.push_back("module");
   play->add_option("SCENARIO", line->scenario, "a scenario's file (TOML)")->required();
   play->add_option("--seed", line->seed, "of the first day")->capture_default_str();
--- a/src/experiments/experiment.hpp
+++ b/src/experiments/experiment.hpp
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
+#include "emulator/day.hpp"
 #include "emulator/scenario.hpp"
-#include "emulator/world.hpp"
 #include "experiments/results.hpp"
 
 namespace thornwick::experiments {
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -105,12 +105,12 @@
   const std::size_t half = group.size() / 2;
   for (std::size_t i = 0; i < half; ++i) {
     for (std::size_t j = half; j < group.size(); ++j) {
-      group.cut(i, j, true);
-      group.cut(j, i, true);
+      group.block(i, j);
+      group.block(j, i);
     }
   }
   group.run_until(group.now() + kPartition);
-  group.heal();
+  group.unblock_all();
   const Time agreed = wait_for(group, kSecond / 4, [&] { return group.agree(); });
   row.agreed_after_s = static_cast<double>(agreed) / 1e6;
 }
--- a/src/experiments/results.cpp
+++ b/src/experiments/results.cpp
@@ -36,10 +36,10 @@
   row.point = point;
   row.seed = r.seed;
   row.score = r.score, row.in_time = r.whole.share(), row.kept = r.cached_share();
-  row.rejected = part(r.sum.rejected, r.sum.taken), row.attempts = part(r.attempts, r.turns);
+  row.rejected = part(r.totals.rejected, r.totals.taken), row.attempts = part(r.attempts, r.turns);
   row.module_us = 1e6 * part(r.module_s, r.turns), row.requests_per_s = part(r.turns, r.wall_s);
-  row.turns = r.turns, row.rules = r.broken.all();
-  if (whole) row.json = emulator::to_json(r, false);
+  row.turns = r.turns, row.rules = r.violations.all();
+  if (whole) row.json = emulator::to_json(r, emulator::Costs::left_out);
   return row;
 }
 
--- a/src/experiments/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -4,7 +4,7 @@
 
 #include <cmath>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "experiments/plot.hpp"
 #include "experiments/worker_pool.hpp"
 
@@ -29,19 +29,19 @@
   s.jitter = 0;
   s.handshake_ms = 0;
   s.idle_s = 1e9;
-  s.most_connections = 1'000'000'000;
+  s.max_connections = 1'000'000'000;
   s.retries = 0, s.try_share = 1, s.attempts = 1;
-  s.impatient = 0;
+  s.cancel_probability = 0;
   s.hint_sigma = 0;
   s.kinds = {emulator::ReplicaKind{}};
   s.kinds[0].queue = true;
-  s.kinds[0].cold_s = {0, 0};
-  emulator::Demand d;
+  s.kinds[0].warm_up_s = {0, 0};
+  emulator::RequestClass d;
   d.name = "jobs";
-  d.aim_ms = d.deadline_ms = 1e12;
+  d.latency_objective_ms = d.deadline_ms = 1e12;
   d.token_ms = 1e12;
   d.alpha = sizes.alpha;
-  d.least_us = sizes.least * kMicroseconds, d.most_us = sizes.most * kMicroseconds,
+  d.min_us = sizes.least * kMicroseconds, d.max_us = sizes.most * kMicroseconds,
   d.mean_us = plan.mean * kMicroseconds;
   s.classes = {d};
   return s;
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -14,7 +14,7 @@
 namespace thornwick::testbed {
 namespace {
 
-using emulator::Said;
+using emulator::ReportKind;
 using Json = nlohmann::ordered_json;
 
 constexpr Time kFrameEvery = milliseconds(100);  // microseconds between two events of one answer
@@ -101,8 +101,8 @@
   void set_pace() {
     if (!up()) return;
     const double warmth = started_ == 0 ? 1
-                                        : emulator::ability_at(net::now_us() - started_, drawn_.warm_up,
-                                                               drawn_.initial_capacity);
+                                        : emulator::warm_up_factor(net::now_us() - started_, drawn_.warm_up,
+                                                                   drawn_.initial_capacity);
     drawn_.engine->set_pace(net::now_us(), warmth * pace);
     if (warmth < 1) warming_.start(kWarmStep, [this] { set_pace(); });
     plan();
@@ -150,7 +150,7 @@
                                               .session = request.session,
                                               .prefix = request.prefix,
                                               .prompt = std::max(1.0, request.prompt_tokens),
-                                              .beginning = request.prefix_tokens,
+                                              .prefix_tokens = request.prefix_tokens,
                                               .generated = generated,
                                               .size = request.work_hint,
                                               .due = request.due})) {
@@ -180,16 +180,16 @@
         answers_.erase(found);
         continue;
       }
-      if (report.said == Said::dropped) {
+      if (report.kind == ReportKind::dropped) {
         line->write(turned_away());
         answers_.erase(found);
         continue;
       }
-      if (report.said == Said::began) {
+      if (report.kind == ReportKind::first_token) {
         ++owner_.metrics_.begun;
         owner_.options_.tallied(answer.prompt + answer.generated);
         answer.begun = true;
-        answer.kept = report.kept;
+        answer.kept = report.cached;
         line->write(stream_head());
         tell(*line, answer, 1);
         if (!frames_.running()) frames_.start(kFrameEvery, [this] { tell_all(); });
@@ -224,7 +224,7 @@
       Server::Line* line = server_->find(answer.line);
       // The last one goes with the end.
       if (line != nullptr)
-        tell(*line, answer, std::min(answer.generated - 1, drawn_.engine->made_by(net::now_us(), job)));
+        tell(*line, answer, std::min(answer.generated - 1, drawn_.engine->generated_by(net::now_us(), job)));
     }
     if (any) frames_.start(kFrameEvery, [this] { tell_all(); });
   }
@@ -259,13 +259,13 @@
 
 Installation::Installation(const InstallationOptions& options) : options_(options) {
   emulator::RandomStream fleet(options.seed, emulator::Concern::fleet);
-  emulator::RandomStream directory(options.seed, emulator::Concern::directory);
+  emulator::RandomStream directory(options.seed, emulator::Concern::discovery);
   const auto& s = options_.scenario;
   for (std::size_t i = 0; i < s.replicas; ++i) {
     const auto hex = mix(options.seed ^ (std::uint64_t{i} << 20)) >> 32;
     char uid[16];
     std::snprintf(uid, sizeof uid, "s-%08x", static_cast<unsigned>(hex));
-    replicas_.push_back(std::make_unique<StandInReplica>(*this, emulator::draw_box(s, i, fleet), uid));
+    replicas_.push_back(std::make_unique<StandInReplica>(*this, emulator::draw_replica(s, i, fleet), uid));
   }
   notice_s_ = directory.between(s.notice_s.low, s.notice_s.high);
   directory.between(s.silent_notice_s.low, s.silent_notice_s.high);
@@ -355,15 +355,15 @@
     grades.push_back({{"name", d.name},
                       {"credit", d.priority_weight},
                       {"lateValue", d.late_weight},
-                      {"objective", std::llround(1000 * d.aim_ms)},
+                      {"objective", std::llround(1000 * d.latency_objective_ms)},
                       {"deadline", std::llround(1000 * d.deadline_ms)},
                       {"streamed", true}});
-    per_k.push_back(std::llround(1000 * d.aim_ms_per_k));
+    per_k.push_back(std::llround(1000 * d.latency_objective_ms_per_k));
   }
   for (const auto& m : s.members) tenants.push_back({{"name", m.name}, {"share", m.share}});
   for (const auto& k : s.kinds) {
     kinds.push_back(k.name.empty() ? "model" : k.name);
-    warm_up = std::max(warm_up, k.cold_s.high);
+    warm_up = std::max(warm_up, k.warm_up_s.high);
     initial_capacity = std::min(initial_capacity, k.initial_capacity.low);
   }
   return Json{{"name", "r-0"},
@@ -382,14 +382,14 @@
                  {{"mayCancel", true},
                   {"maxAttempts", s.attempts},
                   {"retryAfter", s.retry_after},
-                  {"maxRetryAfter", std::llround(1000 * s.most_retry_after_ms)}}},
+                  {"maxRetryAfter", std::llround(1000 * s.max_retry_after_ms)}}},
                 {"rules",
                  {{"askWithin", 10'000'000},
                   {"stopSendingWithin", std::llround(1000 * s.drain_grace_ms)},
                   {"coldFrom", initial_capacity},
                   {"cold", std::llround(1e6 * warm_up)},
                   {"tipMultiple", s.overload_multiple},
-                  {"fall", std::llround(1000 * s.tip_ms)}}}}}}
+                  {"fall", std::llround(1000 * s.overload_ms)}}}}}}
       .dump(1);
 }
 
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 struct Load::Turn {
-  emulator::Asked asked;  // its times from the start of the load
+  emulator::PlannedRequest asked;  // its times from the start of the load
   int tries = 0;
   bool resumed = false;
   Time first_at = 0;
@@ -93,7 +93,7 @@
   fronts::Chat chat;
   chat.model = "model";
   chat.stream = true;
-  chat.max_tokens = static_cast<std::uint64_t>(a.most_made);
+  chat.max_tokens = static_cast<std::uint64_t>(a.max_tokens);
   chat.turns.push_back({"user", "what does the log say?"});
   const std::string body = dialect_->write_chat(chat);
   std::vector<http::Header> headers = {
@@ -105,7 +105,7 @@
       {"X-Route-Key", fmt::format("{:016x}", a.session)},
       {"X-Timeout-Ms", std::to_string(std::max<Time>(1, limit / 1000))},
       {"X-Attrs", fmt::format("prefix={:016x},prompt_len={:.0f},prefix_len={:.0f},max_out={:.0f}", a.prefix,
-                              a.prompt, a.beginning, a.most_made)},
+                              a.prompt, a.prefix_tokens, a.max_tokens)},
       {"X-Lab-Made", fmt::format("{:.0f}", a.generated)},
       {"Content-Length", std::to_string(body.size())}};
   if (a.hint > 0) headers.push_back({"X-Cost", fmt::format("{:.0f}", a.hint)});
@@ -199,11 +199,11 @@
   const Time now = net::now_us() - began_;
   if (turn.first_at == 0) turn.first_at = now;
   const auto& d = options_.scenario.classes[turn.asked.cls];
-  const double part = emulator::earned_part(d, turn.asked.aim_at, turn.asked.deadline, turn.first_at, now,
-                                            turn.asked.generated);
+  const double part = emulator::earned_part(d, turn.asked.objective_at, turn.asked.deadline, turn.first_at,
+                                            now, turn.asked.generated);
   auto& c = result_.classes[turn.asked.cls];
   ++c.served;
-  ++result_.sum.served;
+  ++result_.totals.served;
   c.in_time += part == 1;
   c.first_us.add(turn.first_at - turn.asked.at);
   c.answer_us.add(now - turn.asked.at);
@@ -217,9 +217,9 @@
   const auto& s = options_.scenario;
   const Time now = net::now_us() - began_;
   if (broken) turn.resumed = true;
-  ++(broken ? result_.sum.broken : result_.sum.rejected);
+  ++(broken ? result_.totals.broken : result_.totals.rejected);
   Time pause = std::llround(backoff_us_);
-  if (retry_after > 0 && chance_.happens(s.honour)) pause = std::max(pause, retry_after);
+  if (retry_after > 0 && chance_.happens(s.honor_probability)) pause = std::max(pause, retry_after);
   if (static_cast<std::size_t>(turn.tries) <= s.retries && now + pause < turn.asked.deadline) {
     turn.first_at = 0;
     return turn.again.start(pause, [this, &turn] { try_turn(turn); });
@@ -230,7 +230,7 @@
 
 void Load::end_turn(Turn& turn, double part) {
   const auto& a = turn.asked;
-  emulator::book(result_, options_.scenario, a.at, a.cls, a.member, a.priority_weight, part);
+  emulator::add_weight(result_, options_.scenario, a.at, a.cls, a.member, a.priority_weight, part);
   // Its own timer may be what runs now.
   const auto at = std::find_if(turns_.begin(), turns_.end(), [&](auto& t) { return t.get() == &turn; });
   struct DeferredDeletions : net::DeferredDeletable {
--- a/src/testbed/load.hpp
+++ b/src/testbed/load.hpp
@@ -10,19 +10,19 @@
 #include <string>
 #include <vector>
 
+#include "emulator/day.hpp"
 #include "emulator/random_stream.hpp"
 #include "emulator/result.hpp"
 #include "emulator/scenario.hpp"
-#include "emulator/world.hpp"
 #include "fronts/dialect.hpp"
 #include "net/loop.hpp"
 
 namespace thornwick::testbed {
 
 struct LoadOptions {
-  emulator::Scenario scenario;         // classes, members, what clients do when they are rejected
-  std::vector<emulator::Asked> asked;  // by time
-  std::vector<std::string> routers;    // addresses; requests go to them in turn
+  emulator::Scenario scenario;                  // classes, members, what clients do when they are rejected
+  std::vector<emulator::PlannedRequest> asked;  // by time
+  std::vector<std::string> routers;             // addresses; requests go to them in turn
   std::string dialect = "platform";
   std::size_t most_connections = 800;
   std::uint64_t seed = 1;
--- a/src/tools/group.cpp
+++ b/src/tools/group.cpp
@@ -31,13 +31,13 @@
   std::uint64_t gone_claims = 0;
   for (std::uint64_t seed = options.seed; seed < options.seed + options.count; ++seed) {
     const auto played =
-        emulator::play(emulator::random_script(seed), options.verbose ? print_line : ignore_line);
+        emulator::play_script(emulator::random_script(seed), options.verbose ? print_line : ignore_line);
     faults += played.faults;
-    gone_claims += played.words_of_gone;
-    if (played.broken.empty()) continue;
+    gone_claims += played.gone_reports;
+    if (played.violation.empty()) continue;
     ++broken;
     fmt::print("seed {}: {}\n  again: thornwick group virtual --seed {} --count 1 --say\n", seed,
-               played.broken, seed);
+               played.violation, seed);
   }
   fmt::print("{} scripts, {} faults, {} words of gone, {} broken\n", options.count, faults, gone_claims,
              broken);
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "testbed/load.hpp"
 #include "tools/main_loop.hpp"
 #include "tools/standins.hpp"
@@ -34,7 +34,7 @@
   fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9} {:>9} {:>9} {:>9}\n", "class", "requests", "served", "in time",
              "p50 ms", "p90 ms", "p99 ms", "p999 ms");
   for (const auto& cls : result.classes) {
-    const auto quantile_ms = [&cls](double quantile) { return cls.first_us.at(quantile) / 1000; };
+    const auto quantile_ms = [&cls](double quantile) { return cls.first_us.quantile(quantile) / 1000; };
     fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9.1f} {:>9.1f} {:>9.1f} {:>9.1f}\n", cls.name, cls.turns,
                cls.served, cls.in_time, quantile_ms(0.5), quantile_ms(0.9), quantile_ms(0.99),
                quantile_ms(0.999));
@@ -44,8 +44,9 @@
              metrics.unanswered, metrics.late_starts);
 }
 
-std::vector<emulator::Asked> requests_of(const LoadOptions& options, const emulator::Scenario& scenario) {
-  if (options.trace.empty()) return emulator::asked_on(scenario, options.seed);
+std::vector<emulator::PlannedRequest> requests_of(const LoadOptions& options,
+                                                  const emulator::Scenario& scenario) {
+  if (options.trace.empty()) return emulator::planned_requests(scenario, options.seed);
   return read_trace(options.trace, scenario);
 }
 
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -22,12 +22,12 @@
 // ---------------------------------------------------------------- virtual time
 
 struct VirtualOptions {
-  emulator::CopiesOptions simulation;  // with the seed of the first script
-  std::uint64_t count = 1;             // scripts, one for each seed from there on
+  emulator::ReplicationOptions simulation;  // with the seed of the first script
+  std::uint64_t count = 1;                  // scripts, one for each seed from there on
   bool verbose = false;
 };
 
-void add_to_total(const emulator::CopiesResult& played, emulator::CopiesResult& total) {
+void add_to_total(const emulator::ReplicationResult& played, emulator::ReplicationResult& total) {
   total.kills += played.kills;
   total.lost_disks += played.lost_disks;
   total.older_disks += played.older_disks;
@@ -40,20 +40,20 @@
 
 int run_virtual(const VirtualOptions& options) {
   std::uint64_t broken = 0;
-  emulator::CopiesResult total;
+  emulator::ReplicationResult total;
   auto simulation = options.simulation;
   const std::uint64_t end = simulation.seed + options.count;
   for (; simulation.seed < end; ++simulation.seed) {
-    const auto played = emulator::play_copies(simulation);
+    const auto played = emulator::simulate_replication(simulation);
     if (options.verbose) fmt::print("{}", played.timeline);
     add_to_total(played, total);
-    if (played.broken.empty()) continue;
+    if (played.violation.empty()) continue;
     ++broken;
     fmt::print(
         "seed {}: {}\n  again: thornwick copies virtual --seed {} --routers {} --sites {} --copies {} "
         "--ledgers {} --say\n",
-        simulation.seed, played.broken, simulation.seed, simulation.routers, simulation.sites,
-        simulation.copies, simulation.ledgers);
+        simulation.seed, played.violation, simulation.seed, simulation.routers, simulation.sites,
+        simulation.replicas, simulation.ledgers);
   }
   fmt::print(
       "{} scripts: {} kills, {} disks lost, {} older, {} stops, {} cuts, {} of {} corrections confirmed, {} "
@@ -77,7 +77,7 @@
   command->add_option("--sites", options->simulation.sites, "that they are spread over")
       ->check(CLI::Range(1, 16))
       ->capture_default_str();
-  command->add_option("--copies", options->simulation.copies, "of each ledger")
+  command->add_option("--copies", options->simulation.replicas, "of each ledger")
       ->check(CLI::IsMember({3, 5}))
       ->capture_default_str();
   command->add_option("--ledgers", options->simulation.ledgers, "that accounts are spread over")
--- a/src/tools/standins.cpp
+++ b/src/tools/standins.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "testbed/installation.hpp"
 #include "tools/main_loop.hpp"
 
--- a/src/tools/trace_file.cpp
+++ b/src/tools/trace_file.cpp
@@ -7,10 +7,10 @@
 namespace thornwick::tools {
 namespace {
 
-emulator::Asked request_from(const nlohmann::json& json) {
-  emulator::Asked request;
+emulator::PlannedRequest request_from(const nlohmann::json& json) {
+  emulator::PlannedRequest request;
   request.at = json.at("at_us");
-  request.aim_at = json.at("aim_us");
+  request.objective_at = json.at("aim_us");
   request.deadline = json.at("deadline_us");
   request.cls = json.at("class");
   request.member = json.at("member");
@@ -18,18 +18,18 @@
   request.session = json.at("session");
   request.prefix = json.at("prefix");
   request.prompt = json.at("prompt");
-  request.beginning = json.at("beginning");
+  request.prefix_tokens = json.at("beginning");
   request.generated = json.at("made");
-  request.most_made = json.at("most_made");
+  request.max_tokens = json.at("most_made");
   request.work = json.at("work_us");
   request.hint = json.at("hint_us");
   request.priority_weight = json.at("worth");
   return request;
 }
 
-nlohmann::ordered_json json_of(const emulator::Asked& request) {
+nlohmann::ordered_json json_of(const emulator::PlannedRequest& request) {
   return {{"at_us", request.at},
-          {"aim_us", request.aim_at},
+          {"aim_us", request.objective_at},
           {"deadline_us", request.deadline},
           {"class", request.cls},
           {"member", request.member},
@@ -37,16 +37,17 @@
           {"session", request.session},
           {"prefix", request.prefix},
           {"prompt", request.prompt},
-          {"beginning", request.beginning},
+          {"beginning", request.prefix_tokens},
           {"made", request.generated},
-          {"most_made", request.most_made},
+          {"most_made", request.max_tokens},
           {"work_us", request.work},
           {"hint_us", request.hint},
           {"worth", request.priority_weight}};
 }
 
 // Throws std::runtime_error. `previous`: the time of the line before.
-void check_request(const emulator::Asked& request, const emulator::Scenario& scenario, Time previous) {
+void check_request(const emulator::PlannedRequest& request, const emulator::Scenario& scenario,
+                   Time previous) {
   if (request.cls >= scenario.classes.size() || request.member >= scenario.members.size())
     throw std::runtime_error("no such class or member");
   if (request.at < previous) throw std::runtime_error("earlier than the line before");
@@ -56,10 +57,11 @@
 
 }  // namespace
 
-std::vector<emulator::Asked> read_trace(const std::string& path, const emulator::Scenario& scenario) {
+std::vector<emulator::PlannedRequest> read_trace(const std::string& path,
+                                                 const emulator::Scenario& scenario) {
   std::ifstream in(path);
   if (!in) throw std::runtime_error(path + ": cannot be read");
-  std::vector<emulator::Asked> requests;
+  std::vector<emulator::PlannedRequest> requests;
   std::string line;
   for (int number = 1; std::getline(in, line); ++number) {
     try {
@@ -73,7 +75,7 @@
   return requests;
 }
 
-void write_trace(const std::string& path, const std::vector<emulator::Asked>& requests) {
+void write_trace(const std::string& path, const std::vector<emulator::PlannedRequest>& requests) {
   std::ofstream out(path);
   for (const auto& request : requests) out << json_of(request) << '\n';
   out.flush();
--- a/tests/emulator/days.cpp
+++ b/tests/emulator/days.cpp
@@ -4,7 +4,7 @@
 
 #include "../store/scratch.hpp"
 #include "emulator/baseline_policies.hpp"
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "settings/section.hpp"
 
 using namespace thornwick;
@@ -35,7 +35,7 @@
 }
 
 std::vector<std::string> all_policies() {
-  std::vector<std::string> names = baseline_names();
+  std::vector<std::string> names = baseline_policy_names();
   names.push_back("module");
   return names;
 }
@@ -64,13 +64,13 @@
     s.policy = policy;
     for (const std::uint64_t seed : {1u, 2u}) {
       const Result r = play_day(s, seed);
-      INFO(policy << " seed " << seed << ": " << to_json(r, false).substr(0, 600));
-      CHECK(r.sum.holds());
-      CHECK(r.sum.open == 0);
-      CHECK(r.sum.tokens_hold());
-      CHECK(r.broken.lost == 0);
-      CHECK(r.broken.twice == 0);
-      CHECK(r.sum.taken == r.tries);
+      INFO(policy << " seed " << seed << ": " << to_json(r, Costs::left_out).substr(0, 600));
+      CHECK(r.totals.holds());
+      CHECK(r.totals.open == 0);
+      CHECK(r.totals.tokens_hold());
+      CHECK(r.violations.lost == 0);
+      CHECK(r.violations.twice == 0);
+      CHECK(r.totals.taken == r.tries);
       CHECK(r.turns > 500);
     }
   }
@@ -79,8 +79,8 @@
 TEST_CASE("the module keeps every rule on a rough day") {
   for (const std::uint64_t seed : {3u, 4u, 5u, 6u}) {
     const Result r = play_day(rough(), seed);
-    INFO("seed " << seed << ": drained " << r.broken.drained << ", tipped " << r.broken.tipped);
-    CHECK(r.broken.all() == 0);
+    INFO("seed " << seed << ": drained " << r.violations.drained << ", tipped " << r.violations.tipped);
+    CHECK(r.violations.all() == 0);
   }
 }
 
@@ -96,11 +96,11 @@
       std::uint64_t rejected = 0;
       for (const auto& c : r.classes) {
         const double all = c.answered_of_longest(0, 1), floor = load < 1 ? 2.0 / 3 : 0.5;
-        INFO("load " << load << " seed " << seed << " " << c.name << ": " << c.fates.size()
+        INFO("load " << load << " seed " << seed << " " << c.name << ": " << c.outcomes.size()
                      << " requests, answered " << all << ", of the longest " << c.answered_of_longest(0, 0.1)
                      << ", of the next " << c.answered_of_longest(0.1, 0.3) << ", sessions singled out "
                      << c.singled_out());
-        REQUIRE(c.fates.size() > 100);
+        REQUIRE(c.outcomes.size() > 100);
         CHECK(c.answered_of_longest(0, 0.1) >= floor * all);
         CHECK(c.answered_of_longest(0.1, 0.3) >= floor * all);
         CHECK(c.singled_out() <= 0.12);
@@ -116,18 +116,18 @@
     Scenario s = rough();
     s.fair = true, s.load = {1.2, 1.2};
     const Result r = play_day(s, seed);
-    CHECK(r.sum.holds());
-    CHECK(r.sum.open == 0);
-    CHECK(r.sum.tokens_hold());
-    CHECK(r.broken.all() == 0);
-    CHECK(r.sum.served > 200);
+    CHECK(r.totals.holds());
+    CHECK(r.totals.open == 0);
+    CHECK(r.totals.tokens_hold());
+    CHECK(r.violations.all() == 0);
+    CHECK(r.totals.served > 200);
   }
 }
 
 TEST_CASE("the same seed gives the same bytes, another one does not") {
-  const std::string first = to_json(play_day(rough(), 7), false);
-  CHECK(first == to_json(play_day(rough(), 7), false));
-  CHECK(first != to_json(play_day(rough(), 8), false));
+  const std::string first = to_json(play_day(rough(), 7), Costs::left_out);
+  CHECK(first == to_json(play_day(rough(), 7), Costs::left_out));
+  CHECK(first != to_json(play_day(rough(), 8), Costs::left_out));
 }
 
 TEST_CASE("what is asked does not depend on the policy") {
@@ -164,14 +164,14 @@
     "after a flush of nearly all copies no box has over 1.5 times its share of the reading in any 2 s") {
   Scenario s;
   s.name = "flush", s.seconds = 17, s.warm_up_s = 2, s.routers = 1, s.replicas = 10;
-  s.load = {0.2, 0.2}, s.hint_sigma = -1, s.impatient = 0;
+  s.load = {0.2, 0.2}, s.hint_sigma = -1, s.cancel_probability = 0;
   ReplicaKind replica;
   replica.slots = {400, 400}, replica.waiting = {400, 400}, replica.memory_k = {40'000, 40'000},
   replica.chunk = {40'000, 40'000};
   replica.step_ms = {2, 2}, replica.sequence_us = {1, 1}, replica.context_us_per_k = {0.1, 0.1},
   replica.read_per_s = {4e6, 4e6};
   s.kinds = {replica};
-  Demand d;
+  RequestClass d;
   d.name = "agent", d.turns = {6, 6}, d.new_tokens = {555, 555}, d.generated = {20, 20}, d.think_s = 3;
   d.prefixes = 100, d.prefix_tokens = {4000, 7000}, d.prefix_skew = 0;
   s.classes = {d};
@@ -183,7 +183,7 @@
     INFO("seed " << seed << ": " << spread << ", kept " << r.cached_share() << ", turns " << r.turns);
     CHECK(r.fleet_losses == 1);
     CHECK(r.regained == 10);
-    CHECK(r.broken.all() == 0);
+    CHECK(r.violations.all() == 0);
     CHECK(spread >= 1);
     CHECK(spread <= 1.5);
     CHECK(r.turns > 20'000);
@@ -200,13 +200,13 @@
     s.peers = false;
     const Result alone = play_day(s, seed);
     INFO("seed " << seed << ": " << together.score << " against " << alone.score);
-    CHECK(together.broken.all() == 0);
-    CHECK(alone.broken.all() == 0);
+    CHECK(together.violations.all() == 0);
+    CHECK(alone.violations.all() == 0);
     CHECK(together.score > 0.85);
     CHECK(together.score > alone.score + 0.08);
-    CHECK(together.sum.rejected * 4 < alone.sum.rejected);
-    CHECK(alone.told_bytes == 0);
-    CHECK(static_cast<double>(together.told_bytes) / 256 < static_cast<double>(together.turns));
+    CHECK(together.totals.rejected * 4 < alone.totals.rejected);
+    CHECK(alone.peer_bytes == 0);
+    CHECK(static_cast<double>(together.peer_bytes) / 256 < static_cast<double>(together.turns));
   }
 }
 
--- a/tests/emulator/histogram.cpp
+++ b/tests/emulator/histogram.cpp
@@ -20,7 +20,7 @@
     for (const double part : {0.01, 0.5, 0.9, 0.99, 1.0}) {
       const auto at = static_cast<std::size_t>(std::ceil(part * static_cast<double>(values.size()))) - 1;
       const auto exact = static_cast<double>(values[at]);
-      RC_ASSERT(std::abs(histogram.at(part) - exact) <= Histogram::kError * exact);
+      RC_ASSERT(std::abs(histogram.quantile(part) - exact) <= Histogram::kError * exact);
     }
   }));
 }
--- a/tests/emulator/replicas.cpp
+++ b/tests/emulator/replicas.cpp
@@ -35,8 +35,8 @@
     const Time at = engine.next();
     engine.run(at, reports);
     for (const auto& r : reports) {
-      if (r.said == Said::began) played.began[r.job] = at, played.kept[r.job] = r.kept;
-      if (r.said == Said::done) played.done[r.job] = at, played.generated[r.job] = r.generated;
+      if (r.kind == ReportKind::first_token) played.began[r.job] = at, played.kept[r.job] = r.cached;
+      if (r.kind == ReportKind::completed) played.done[r.job] = at, played.generated[r.job] = r.generated;
     }
     reports.clear();
   }
@@ -118,7 +118,7 @@
     replica->offer(at, work(job, 4990, 10, 100 + job));
     play(*replica, played, at += 1'000'000);
   }
-  CHECK(replica->load().kept <= 20'000);
+  CHECK(replica->load().cached <= 20'000);
   replica->offer(at, work(6, 5500, 10, 101));
   play(*replica, played, at += 1'000'000);
   CHECK(played.kept[6] == 0);
@@ -169,7 +169,7 @@
     RC_ASSERT(replica->load().running + replica->load().waiting == 0u);
     RC_ASSERT(replica->load().held == 0.0);
     RC_ASSERT(std::abs(replica->load().unread) < 1e-6);
-    RC_ASSERT(replica->load().kept <= limits.memory_tokens);
+    RC_ASSERT(replica->load().cached <= limits.memory_tokens);
   }));
 }
 
--- a/tests/emulator/result_json.cpp
+++ b/tests/emulator/result_json.cpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 
 using namespace thornwick;
 using namespace thornwick::emulator;
@@ -57,7 +57,7 @@
 }  // namespace
 
 TEST_CASE("the JSON object of a day with many kinds of faults has these keys and integer values") {
-  const Json day = Json::parse(to_json(play_day(day_with_faults(), 5), false));
+  const Json day = Json::parse(to_json(play_day(day_with_faults(), 5), Costs::left_out));
   CHECK(keys(day) ==
         "scenario policy seed seconds routers boxes score whole turns tries attempts crossings "
         "sample_s events kept_share wasted_share classes members windows sum trust rules fleet ");
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -37,7 +37,7 @@
 class Explorer {
  public:
   Explorer(Bounds bounds, Options options)
-      : bounds_(bounds), options_(options), roster_(emulator::made_roster(bounds.members, 1)) {}
+      : bounds_(bounds), options_(options), roster_(emulator::make_roster(bounds.members, 1)) {}
 
   // Empty if all held in each state that was reached.
   std::string run() {
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -65,8 +65,8 @@
   }
   void cut_off(std::size_t router) {
     for (std::size_t i = 0; i < group.size(); ++i) {
-      group.cut(router, i, true);
-      group.cut(i, router, true);
+      group.block(router, i);
+      group.block(i, router);
     }
   }
   Group group;
@@ -82,10 +82,10 @@
 void play_scripts(std::uint64_t from, std::uint64_t count = kScripts) {
   std::size_t words = 0;
   for (std::uint64_t seed = from; seed < from + count; ++seed) {
-    const auto played = emulator::play(emulator::random_script(seed));
-    words += played.words_of_gone;
+    const auto played = emulator::play_script(emulator::random_script(seed));
+    words += played.gone_reports;
     INFO("play it again: thornwick group virtual --seed " << seed << " --count 1 --say");
-    REQUIRE(played.broken == "");
+    REQUIRE(played.violation == "");
   }
   CHECK(words > count);  // a run in which nobody is ever called gone shows nothing
 }
@@ -156,7 +156,7 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     auto script = emulator::random_script(seed);
     script.options.swim.refuting_incarnation = [](std::uint64_t heard) { return heard; };
-    broken += emulator::play(script).broken.empty() ? 0 : 1;
+    broken += emulator::play_script(script).violation.empty() ? 0 : 1;
   }
   CHECK(broken > 5);
 }
@@ -186,7 +186,7 @@
 
 TEST_CASE("a router that is told to end says so: nobody suspects it, before or after it ended") {
   Settled settled(4);
-  settled.group.leave(1);
+  settled.group.shut_down(1);
   settled.until([&] { return settled.all_hold(1, MemberState::leaving); });
   settled.until([&] { return settled.all_hold(1, MemberState::left); });
   CHECK(settled.said.find("suspected") == std::string::npos);
@@ -195,11 +195,11 @@
 
 TEST_CASE("a process that was stopped notices by its own clock, before it uses what it believed") {
   Settled settled(5);
-  settled.group.stop(3);
+  settled.group.suspend(3);
   settled.until([&] { return settled.all_hold(3, MemberState::gone); });
   settled.group.run_until(settled.group.now() + seconds(180));
   settled.said.clear();
-  settled.group.go(3);
+  settled.group.resume(3);
   settled.group.run_until(settled.group.now() + 2000);
   CHECK(settled.said.rfind("r3/3 this process stood still for 1", 0) == 0);  // the first word of all
   settled.until([&] { return settled.group.agree() && settled.group.at(3).sure(); });
@@ -217,7 +217,7 @@
     CHECK(settled.group.at(4).view(i).state != MemberState::gone);
   }
   CHECK(!settled.group.at(4).sure());
-  settled.group.heal();
+  settled.group.unblock_all();
   settled.until([&] { return settled.group.agree() && !settled.group.at(4).cut_off(); });
 }
 
@@ -239,8 +239,8 @@
       if (router == last && change.text.starts_with("gone")) gone = true;
     };
     for (std::size_t i = 0; i < routers; ++i) {
-      group.cut(last, i, true);
-      group.cut(i, last, true);
+      group.block(last, i);
+      group.block(i, last);
     }
     group.run_until(group.now() + seconds(120));
     if (gone) ++wrong;
@@ -250,15 +250,15 @@
 
 TEST_CASE("two that do not see each other go on over a third; one deaf link changes nobody's mind for good") {
   Settled settled(3);
-  settled.group.cut(0, 2, true);
-  if (GENERATE(true, false)) settled.group.cut(2, 0, true);
+  settled.group.block(0, 2);
+  if (GENERATE(true, false)) settled.group.block(2, 0);
   settled.group.run_until(settled.group.now() + seconds(600));
   CHECK(settled.group.agree());
   CHECK(settled.said.find("gone") == std::string::npos);
 }
 
 TEST_CASE("two processes of one name are found out by each other and by the rest") {
-  const auto roster = emulator::made_roster(4, 1);
+  const auto roster = emulator::make_roster(4, 1);
   const Options options;
   // A small network of its own: 0..3, and 4 is a second process that calls itself r003.
   std::vector<Swim> all;
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -16,7 +16,7 @@
 emulator::Scenario demo() {
   auto s = emulator::read_scenario(std::string(THORNWICK_DEPLOY) + "/../examples/lab/demo.toml");
   s.seconds = 3;
-  s.impatient = 0;
+  s.cancel_probability = 0;
   s.load = {1, 1};
   return s;
 }
@@ -36,7 +36,7 @@
     node = std::make_unique<node::Node>(config);
     LoadOptions asks;
     asks.scenario = scenario;
-    asks.asked = emulator::asked_on(scenario, 1);
+    asks.asked = emulator::planned_requests(scenario, 1);
     asks.dialect = clients;
     asks.routers = {node->front(clients == "messages" ? 1 : 0).address()};
     load = std::make_unique<Load>(asks);
@@ -73,15 +73,15 @@
     Whole whole(demo(), dialect, "127.0.0.1:0");
     whole.play();
     const auto& r = whole.load->result();
-    INFO(dialect << ": " << emulator::to_json(r, false).substr(0, 400));
+    INFO(dialect << ": " << emulator::to_json(r, Costs::left_out).substr(0, 400));
     CHECK(r.turns > 5);
     CHECK(whole.load->metrics().unanswered == 0);
     CHECK(whole.load->metrics().no_connection == 0);
-    CHECK(r.sum.served == whole.node->core().counters().served);
+    CHECK(r.totals.served == whole.node->core().counters().served);
     CHECK(r.tries == whole.node->core().counters().taken);
     CHECK(whole.node->core().open() == 0);
-    CHECK(r.sum.broken == 0);
-    CHECK(whole.installation->metrics().done >= r.sum.served);
+    CHECK(r.totals.broken == 0);
+    CHECK(whole.installation->metrics().done >= r.totals.served);
     CHECK(r.cached_tokens > 0);
   }
 }
@@ -110,14 +110,14 @@
   LoadOptions asks;
   asks.scenario = demo();
   asks.scenario.seconds = 1;
-  asks.asked = emulator::asked_on(asks.scenario, 1);
+  asks.asked = emulator::planned_requests(asks.scenario, 1);
   asks.routers = {"127.0.0.1:1"};
   for (auto& a : asks.asked) a.at /= 10, a.deadline = a.at + 200'000;
   Load load(asks);
   bool done = false;
   load.start([&] { done = true; });
   while (!done) g_main_context_iteration(nullptr, TRUE);
-  CHECK(load.result().sum.served == 0);
+  CHECK(load.result().totals.served == 0);
   CHECK(load.result().turns == asks.asked.size());
   asks.routers = {"nowhere"};
   CHECK_THROWS_AS(Load(asks), std::invalid_argument);
--- a/tests/recordings/emulated_days.cpp
+++ b/tests/recordings/emulated_days.cpp
@@ -14,9 +14,9 @@
 
 #include "digest.hpp"
 #include "emulator/baseline_policies.hpp"
+#include "emulator/day.hpp"
 #include "emulator/group_faults.hpp"
 #include "emulator/replication_simulation.hpp"
-#include "emulator/world.hpp"
 #include "experiments/group_table.hpp"
 
 using namespace thornwick;
@@ -60,7 +60,7 @@
 void add(Digest& digest, const Histogram& histogram) {
   digest.add(histogram.total());
   digest.add_rounded(histogram.mean());
-  for (const double part : {0.1, 0.5, 0.9, 0.99, 0.999}) digest.add_rounded(histogram.at(part));
+  for (const double part : {0.1, 0.5, 0.9, 0.99, 0.999}) digest.add_rounded(histogram.quantile(part));
 }
 
 void add(Digest& digest, const ClassResult& result) {
@@ -70,7 +70,7 @@
   add(digest, result.answer_us);
   digest.add_rounded(result.answered_of_longest(0, 0.1));
   digest.add_rounded(result.singled_out());
-  for (const Fate& fate : result.fates) {
+  for (const RequestOutcome& fate : result.outcomes) {
     add(digest, {fate.session, std::uint64_t{fate.answered}});
     digest.add_rounded(fate.prompt);
   }
@@ -83,10 +83,10 @@
   for (const double read : replica.read) digest.add_rounded(read);
 }
 
-void add(Digest& digest, const Conservation& sum) {
-  add(digest,
-      {sum.taken, sum.served, sum.rejected, sum.failed, sum.timed_out, sum.broken, sum.gone, sum.open});
-  for (const double tokens : {sum.tokens_made, sum.tokens_charged, sum.tokens_for_nobody}) {
+void add(Digest& digest, const RequestTotals& totals) {
+  add(digest, {totals.taken, totals.served, totals.rejected, totals.failed, totals.timed_out, totals.broken,
+               totals.gone, totals.open});
+  for (const double tokens : {totals.tokens_made, totals.tokens_charged, totals.tokens_for_nobody}) {
     digest.add_rounded(tokens);
   }
 }
@@ -95,14 +95,15 @@
 std::uint64_t digest_of(const Result& result) {
   Digest digest;
   add(digest, {result.seed, result.routers, result.replicas, result.turns, result.tries, result.attempts,
-               result.crossings, result.events, result.told_bytes, result.fleet_losses, result.replica_losses,
+               result.crossings, result.events, result.peer_bytes, result.fleet_losses, result.replica_losses,
                result.regained, result.slowdowns});
-  add(digest, {result.broken.lost, result.broken.twice, result.broken.drained, result.broken.tipped});
-  add(digest, result.sum);
+  add(digest,
+      {result.violations.lost, result.violations.twice, result.violations.drained, result.violations.tipped});
+  add(digest, result.totals);
   for (const ClassResult& each : result.classes) add(digest, each);
   for (const ReplicaResult& replica : result.fleet) add(digest, replica);
-  for (const Worth& window : result.windows) digest.add_rounded(window.share());
-  for (const Worth& member : result.members) digest.add_rounded(member.share());
+  for (const EarnedWeight& window : result.windows) digest.add_rounded(window.share());
+  for (const EarnedWeight& member : result.members) digest.add_rounded(member.share());
   for (const double figure :
        {result.score, result.whole.share(), result.cached_share(), result.prompt_tokens,
         result.work_asked / kMicrosecondsPerSecond, result.work_wasted / kMicrosecondsPerSecond,
@@ -118,19 +119,19 @@
 
 DayRecording record_day(const Scenario& scenario, std::uint64_t seed) {
   const Result result = play_day(scenario, seed);
-  CHECK(result.sum.holds());
-  CHECK(result.sum.tokens_hold());
+  CHECK(result.totals.holds());
+  CHECK(result.totals.tokens_hold());
   return {.digest = digest_of(result),
           .turns = result.turns,
           .tries = result.tries,
           .attempts = result.attempts,
-          .served = result.sum.served,
-          .rejected = result.sum.rejected,
-          .failed = result.sum.failed,
-          .timed_out = result.sum.timed_out,
-          .broken = result.sum.broken,
-          .gone = result.sum.gone,
-          .rules_broken = result.broken.all()};
+          .served = result.totals.served,
+          .rejected = result.totals.rejected,
+          .failed = result.totals.failed,
+          .timed_out = result.totals.timed_out,
+          .broken = result.totals.broken,
+          .gone = result.totals.gone,
+          .rules_broken = result.violations.all()};
 }
 
 std::vector<DayRecording> record_days(const Scenario& scenario, std::initializer_list<std::uint64_t> seeds) {
@@ -196,10 +197,10 @@
   scenario.replicas = 2;
   scenario.load = {0.6, 0.6};
   scenario.kinds.front().queue = true;
-  Demand& demand = scenario.classes.front();
+  RequestClass& demand = scenario.classes.front();
   demand.alpha = 1.1;
-  demand.least_us = 5'000;
-  demand.most_us = 2'000'000;
+  demand.min_us = 5'000;
+  demand.max_us = 2'000'000;
   demand.mean_us = 25'000;
   return scenario;
 }
@@ -318,9 +319,9 @@
                             r.usable_thousandths);
 }
 
-CopiesRecording record_copies(const CopiesOptions& options) {
-  const CopiesResult result = play_copies(options);
-  CHECK(result.broken == "");
+CopiesRecording record_copies(const ReplicationOptions& options) {
+  const ReplicationResult result = simulate_replication(options);
+  CHECK(result.violation == "");
   return {result.kills,       result.lost_disks,
           result.older_disks, result.stops,
           result.cuts,        result.corrections,
@@ -341,9 +342,9 @@
 
 GroupRecording record_group(std::uint64_t seed) {
   std::uint64_t lines = 0;
-  const Played played = play(random_script(seed), [&](const std::string&) { ++lines; });
-  CHECK(played.broken == "");
-  return {played.faults, played.words_of_gone, lines, played.agreed_after};
+  const GroupScriptResult played = play_script(random_script(seed), [&](const std::string&) { ++lines; });
+  CHECK(played.violation == "");
+  return {played.faults, played.gone_reports, lines, played.agreed_after};
 }
 
 std::uint64_t digest_of(const experiments::GroupRow& row) {
@@ -489,7 +490,7 @@
   CHECK(record_days(queue_day(), {45, 145}) == expected);
 }
 
-// In the order of baseline_names().
+// In the order of baseline_policy_names().
 TEST_CASE("emulated days: each rival policy on a lost zone") {
   const std::vector<DayRecording> expected = {{.digest = 0xb20a683939e50dfb,
                                                .turns = 1047,
@@ -569,7 +570,7 @@
                                                .gone = 27,
                                                .rules_broken = 0}};
   std::vector<DayRecording> played;
-  for (const std::string& policy : baseline_names()) {
+  for (const std::string& policy : baseline_policy_names()) {
     Scenario scenario = lost_zone_day();
     scenario.policy = policy;
     played.push_back(record_day(scenario, 46));
@@ -641,8 +642,8 @@
 }
 
 TEST_CASE("emulated days: the names in the JSON of lab run") {
-  CHECK(keys_of(to_json(play_day(calm_day(), 41), false)) == kKeysOfDay);
-  CHECK(keys_of(to_json(play_day(queue_day(), 45), true)) ==
+  CHECK(keys_of(to_json(play_day(calm_day(), 41), Costs::left_out)) == kKeysOfDay);
+  CHECK(keys_of(to_json(play_day(queue_day(), 45), Costs::included)) ==
         with(kKeysOfDay, {"slowdown", "wait_us", "wall_s", "module_s"}));
 }
 
@@ -651,10 +652,10 @@
                                            {5, 1, 0, 4, 8, 5, 5, 5724, 4563, 994},
                                            {9, 1, 2, 5, 14, 7, 7, 5682, 5014, 990}};
   expected.resize(kCopiesPlays);
-  const std::vector<CopiesOptions> plays = {
+  const std::vector<ReplicationOptions> plays = {
       {.seed = 51},
-      {.routers = 5, .sites = 3, .copies = 5, .seed = 52},
-      {.routers = 9, .sites = 3, .copies = 3, .ledgers = 3, .seed = 53}};
+      {.routers = 5, .sites = 3, .replicas = 5, .seed = 52},
+      {.routers = 9, .sites = 3, .replicas = 3, .ledgers = 3, .seed = 53}};
   std::vector<CopiesRecording> played;
   for (std::size_t play = 0; play < kCopiesPlays; ++play) played.push_back(record_copies(plays[play]));
   CHECK(played == expected);
--- a/tests/replication/virtual_time.cpp
+++ b/tests/replication/virtual_time.cpp
@@ -14,21 +14,21 @@
 constexpr std::uint64_t kScripts = 120, kSeeded = 25;
 #endif
 
-CopiesOptions group(std::uint64_t seed, std::size_t routers, std::size_t copies, std::size_t ledgers,
-                    std::size_t sites = 1) {
-  CopiesOptions options;
-  options.seed = seed, options.routers = routers, options.copies = copies, options.ledgers = ledgers,
+ReplicationOptions group(std::uint64_t seed, std::size_t routers, std::size_t copies, std::size_t ledgers,
+                         std::size_t sites = 1) {
+  ReplicationOptions options;
+  options.seed = seed, options.routers = routers, options.replicas = copies, options.ledgers = ledgers,
   options.sites = sites;
   return options;
 }
 
-void holds(const CopiesOptions& options) {
-  const auto played = play_copies(options);
+void holds(const ReplicationOptions& options) {
+  const auto played = simulate_replication(options);
   INFO("again: thornwick copies virtual --seed " << options.seed << " --routers " << options.routers
-                                                 << " --copies " << options.copies << " --ledgers "
+                                                 << " --copies " << options.replicas << " --ledgers "
                                                  << options.ledgers << " --say\n"
                                                  << played.timeline);
-  REQUIRE(played.broken == "");
+  REQUIRE(played.violation == "");
 }
 
 // Whether the checks find the seeded fault in kSeeded scripts from this seed on. Amnesia is found by one in
@@ -38,8 +38,8 @@
   for (std::uint64_t seed = from; seed < from + kSeeded; ++seed) {
     auto options = group(seed, 3, 3, 1);
     seed_fault(options);
-    const auto played = play_copies(options);
-    if (!played.broken.empty()) return true;
+    const auto played = simulate_replication(options);
+    if (!played.violation.empty()) return true;
   }
   return false;
 }
@@ -49,9 +49,9 @@
 TEST_CASE("copies in virtual time: without faults nearly all of a limit is used, and no more") {
   auto options = group(1, 3, 3, 1);
   options.faults = false;
-  const auto played = play_copies(options);
+  const auto played = simulate_replication(options);
   INFO(played.timeline);
-  REQUIRE(played.broken == "");
+  REQUIRE(played.violation == "");
   CHECK(played.usable > 0.9);
 }
 
