--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxWaiting = 256;     // datagrams in a suspended process's socket
 constexpr Time kShutdownTime = seconds(2);   // from SIGTERM to the end of the process
 constexpr std::size_t kResumeSpread = 1000;  // microseconds over which a resumed process finds its events
-constexpr std::size_t kNeighbours = 2;       // with which a router exchanges views
+constexpr std::size_t kNeighbours = 2;       // that a router shares whole views with
 constexpr Time kViewPeriods = 10;
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
