--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -61,7 +61,7 @@
   load.start([&loop] { g_main_loop_quit(loop.get()); });
   g_main_loop_run(loop.get());
   if (options.json) {
-    fmt::print("{}\n", emulator::to_json(load.result(), false));
+    fmt::print("{}\n", emulator::to_json(load.result(), emulator::Costs::left_out));
   } else {
     print_result(load);
   }
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -73,7 +73,7 @@
     Whole whole(demo(), dialect, "127.0.0.1:0");
     whole.play();
     const auto& r = whole.load->result();
-    INFO(dialect << ": " << emulator::to_json(r, Costs::left_out).substr(0, 400));
+    INFO(dialect << ": " << emulator::to_json(r, emulator::Costs::left_out).substr(0, 400));
     CHECK(r.turns > 5);
     CHECK(whole.load->metrics().unanswered == 0);
     CHECK(whole.load->metrics().no_connection == 0);
