--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -106,9 +106,10 @@
   const replication::Correction correction{cluster_.random().bits() | 1, false, -kCorrectionUnits, *line};
   ++cluster_.result().corrections;
   client.correct(cluster_.local_time(router), correction,
-                 [this, id = correction.id](bool confirmed, const std::string& reason) {
-                   cluster_.write_log(
-                       fmt::format("correction {}: {} {}", id % kShownIds, confirmed ? "yes" : "no", reason));
+                 [this, id = correction.id](const replication::OperatorOutcome& outcome) {
+                   const bool confirmed = outcome.status == replication::OperatorOutcome::Status::accepted;
+                   cluster_.write_log(fmt::format("correction {}: {} {}", id % kShownIds,
+                                                  confirmed ? "yes" : "no", outcome.reason));
                    if (!confirmed) return;
                    confirmed_.insert(id);
                    ++cluster_.result().confirmed;
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -143,7 +143,7 @@
   Router& its = routers_[router];
   if (disk != Disk::kept) {
     for (std::size_t ledger = 0; ledger < options_.ledgers; ++ledger) {
-      const auto holders = replication::holders_of(*roster_, ledger, options_.replicas);
+      const auto holders = replication::place_replicas(*roster_, ledger, options_.replicas);
       if (std::find(holders.begin(), holders.end(), router) != holders.end()) its.recovering.insert(ledger);
     }
   }
@@ -190,23 +190,23 @@
 
 replication::Options ReplicationCluster::node_options(std::size_t router) {
   replication::Options options;
-  options.holder.self = router;
-  options.holder.copies = options_.replicas;
-  options.holder.roster = roster_;
-  options.holder.lease = kLeaseDuration;
-  options.holder.patience = kReplicaPatience;
-  options.holder.snapshot_every = kSnapshotEvery;
-  options.holder.trailing = kTrailingEntries;
-  options.holder.trust_any_disk = options_.trust_any_disk;
-  options.holder.answer_before_majority = options_.answer_before_majority;
+  options.replica.self = router;
+  options.replica.replica_count = options_.replicas;
+  options.replica.roster = roster_;
+  options.replica.lease = kLeaseDuration;
+  options.replica.entry_timeout = kReplicaPatience;
+  options.replica.snapshot_every = kSnapshotEvery;
+  options.replica.trailing = kTrailingEntries;
+  options.replica.trust_any_disk = options_.trust_any_disk;
+  options.replica.answer_before_majority = options_.answer_before_majority;
   options.quota_client.self = router;
-  options.quota_client.copies = options_.replicas;
+  options.quota_client.replica_count = options_.replicas;
   options.quota_client.roster = roster_;
   options.quota_client.lease = kLeaseDuration;
   options.quota_client.ledgers = options_.ledgers;
   options.quota_client.run = static_cast<std::uint32_t>(random_.bits());
   options.quota_client.block = kLeaseBlock;
-  options.quota_client.patience = kClientPatience;
+  options.quota_client.response_timeout = kClientPatience;
   options.quota_client.overdraft = options_.overdraft;
   options.quota_client.outlive_lease = options_.outlive_lease;
   return options;
@@ -220,12 +220,12 @@
         return *records;
       },
       .stored =
-          [this, router](std::size_t ledger, const replication::Visit& visit) {
+          [this, router](std::size_t ledger, const replication::RecordVisitor& visit) {
             for (const auto& [key, value] : routers_[router].disk) {
               if (key.ledger == ledger) visit(key.key, value);
             }
           },
-      .chance = [this] { return random_.bits(); },
+      .random_number = [this] { return random_.bits(); },
       .send = [this, router](std::size_t to, const std::string& bytes) { send(router, to, bytes); },
       .write_log = [this, router](
                        bool, const std::string& text) { write_log(fmt::format("r{}   {}", router, text)); }};
@@ -275,7 +275,7 @@
   for (std::size_t i = 0; i < size(); ++i) {
     if (!running(i)) continue;
     routers_[i].node->tick(local_time(i));
-    for (const auto& [ledger, replica] : routers_[i].node->holders()) {
+    for (const auto& [ledger, replica] : routers_[i].node->replicas()) {
       if (replica->leads()) check_recovered(*replica, ledger);
     }
   }
@@ -318,7 +318,7 @@
 const replication::LedgerReplica* ReplicationCluster::replica_at(std::size_t router,
                                                                  std::size_t ledger) const {
   if (!alive(router)) return nullptr;
-  const auto& replicas = routers_[router].node->holders();
+  const auto& replicas = routers_[router].node->replicas();
   const auto found = replicas.find(ledger);
   return found == replicas.end() ? nullptr : found->second.get();
 }
--- a/src/emulator/replication_faults.cpp
+++ b/src/emulator/replication_faults.cpp
@@ -170,7 +170,7 @@
 void ReplicationFaults::restore_older_disk_behind_cut() {
   if (cluster_.options().replicas != kAmnesiaReplicas) return;
   const std::size_t leader = cluster_.leader_of(0).value_or(0);
-  auto others = replication::holders_of(cluster_.roster(), 0, kAmnesiaReplicas);
+  auto others = replication::place_replicas(cluster_.roster(), 0, kAmnesiaReplicas);
   if (std::erase(others, leader) == 0) return;
   const std::size_t lagging = others[cluster_.random().below(2)];
   const std::size_t forgetting = others[others[0] == lagging ? 1 : 0];
--- a/src/emulator/replication_simulation.cpp
+++ b/src/emulator/replication_simulation.cpp
@@ -21,7 +21,7 @@
 void log_final_state(ReplicationCluster& cluster) {
   for (std::size_t router = 0; router < cluster.size(); ++router) {
     if (!cluster.alive(router)) continue;
-    for (const auto& [ledger, replica] : cluster.node(router).holders()) {
+    for (const auto& [ledger, replica] : cluster.node(router).replicas()) {
       cluster.write_log(
           fmt::format("r{}   ledger {}: copy {}, stage {}, {}", router, ledger,
                       replica->process().id % kShownIds, static_cast<int>(replica->stage()),
