--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -213,22 +213,22 @@
 }
 
 replication::ReplicationNode::Dependencies ReplicationCluster::node_dependencies(std::size_t router) {
-  return {
-      .records = [this, router](std::size_t ledger) -> replication::Records& {
-        auto& records = routers_[router].records[ledger];
-        if (!records) records = std::make_unique<LedgerRecords>(*this, router, ledger);
-        return *records;
-      },
-      .stored =
-          [this, router](std::size_t ledger, const replication::RecordVisitor& visit) {
-            for (const auto& [key, value] : routers_[router].disk) {
-              if (key.ledger == ledger) visit(key.key, value);
-            }
+  return {.records = [this, router](std::size_t ledger) -> replication::Records& {
+            auto& records = routers_[router].records[ledger];
+            if (!records) records = std::make_unique<LedgerRecords>(*this, router, ledger);
+            return *records;
           },
-      .random_number = [this] { return random_.bits(); },
-      .send = [this, router](std::size_t to, const std::string& bytes) { send(router, to, bytes); },
-      .write_log = [this, router](
-                       bool, const std::string& text) { write_log(fmt::format("r{}   {}", router, text)); }};
+          .stored =
+              [this, router](std::size_t ledger, const replication::RecordVisitor& visit) {
+                for (const auto& [key, value] : routers_[router].disk) {
+                  if (key.ledger == ledger) visit(key.key, value);
+                }
+              },
+          .random_number = [this] { return random_.bits(); },
+          .send = [this, router](std::size_t to, const std::string& bytes) { send(router, to, bytes); },
+          .write_log = [this, router](
+                           replication::Severity,
+                           const std::string& text) { write_log(fmt::format("r{}   {}", router, text)); }};
 }
 
 void ReplicationCluster::kill(std::size_t router) {
