--- a/src/experiments/command_options.hpp
+++ b/src/experiments/command_options.hpp
@@ -16,13 +16,14 @@
 
 // The names that --policy takes: the baselines, then the router's own policy.
 inline std::vector<std::string> policy_names() {
-  std::vector<std::string> names = emulator::baseline_names();
+  std::vector<std::string> names = emulator::baseline_policy_names();
   names.emplace_back("module");
   return names;
 }
 
 inline void add_threads_option(CLI::App& command, unsigned& threads) {
-  command.add_option("--threads", threads, "0: as many as there are cores")->check(CLI::Range(0, kMaxThreads));
+  command.add_option("--threads", threads, "0: as many as there are cores")
+      ->check(CLI::Range(0, kMaxThreads));
 }
 
 // Throws ExperimentError(output_file).
--- a/src/experiments/grid_commands.cpp
+++ b/src/experiments/grid_commands.cpp
@@ -111,8 +111,7 @@
       ->check(CLI::Range(0.0, 10.0));
   add_threads_option(command, plan.threads);
   command.add_flag("--time", plan.measure_time, "measure the costs, on one thread");
-  command
-      .add_option("--results", options.results, "where days are kept; what is there is not played again")
+  command.add_option("--results", options.results, "where days are kept; what is there is not played again")
       ->capture_default_str();
   command.add_flag("--quiet", options.quiet, "no progress bar");
 }
--- a/src/experiments/run_command.cpp
+++ b/src/experiments/run_command.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "experiments/command_options.hpp"
 #include "experiments/worker_pool.hpp"
 
@@ -50,30 +50,32 @@
   const unsigned threads = options.time ? 1 : options.threads;
   std::vector<Result> results(days.size());
   for_each_index(days.size(), threads, [&](std::size_t index) {
-    results[index] = emulator::play_day(days[index].scenario, days[index].seed, {.time_module = options.time});
+    results[index] =
+        emulator::play_day(days[index].scenario, days[index].seed, {.time_module = options.time});
   });
   return results;
 }
 
 std::string rules_text(const Result& result) {
-  if (result.broken.all() == 0) return "kept";
-  return fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", result.broken.lost,
-                     result.broken.twice, result.broken.drained, result.broken.tipped);
+  if (result.violations.all() == 0) return "kept";
+  return fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", result.violations.lost,
+                     result.violations.twice, result.violations.drained, result.violations.tipped);
 }
 
 void print(const Result& result, bool time) {
-  const auto requests = static_cast<double>(std::max<std::uint64_t>(1, result.sum.taken));
+  const auto requests = static_cast<double>(std::max<std::uint64_t>(1, result.totals.taken));
   const auto turns = static_cast<double>(std::max<std::uint64_t>(1, result.turns));
   fmt::print(
       "{:<18} {:>4}  score {:.4f}  in time {:.4f}  kept {:.3f}  shed {:.4f}  attempts/turn {:.3f}  rules {}",
       result.policy, result.seed, result.score, result.whole.share(), result.cached_share(),
-      static_cast<double>(result.sum.rejected) / requests, static_cast<double>(result.attempts) / turns,
+      static_cast<double>(result.totals.rejected) / requests, static_cast<double>(result.attempts) / turns,
       rules_text(result));
-  if (!result.sum.holds()) fmt::print("  SUM DOES NOT HOLD");
-  if (!result.sum.tokens_hold()) fmt::print("  TOKENS DO NOT HOLD");
+  if (!result.totals.holds()) fmt::print("  SUM DOES NOT HOLD");
+  if (!result.totals.tokens_hold()) fmt::print("  TOKENS DO NOT HOLD");
   if (time) {
     constexpr double kMicrosecondsPerSecond = 1e6;
-    fmt::print("  {:.0f} requests/s, module {:.2f} us a request", static_cast<double>(result.turns) / result.wall_s,
+    fmt::print("  {:.0f} requests/s, module {:.2f} us a request",
+               static_cast<double>(result.turns) / result.wall_s,
                kMicrosecondsPerSecond * result.module_s / turns);
   }
   fmt::print("\n");
@@ -83,11 +85,13 @@
   bool consistent = true;
   for (const auto& result : play_days(days_of(options), options)) {
     if (options.json) {
-      std::cout << emulator::to_json(result, options.time) << '\n';
+      std::cout << emulator::to_json(result,
+                                     options.time ? emulator::Costs::included : emulator::Costs::left_out)
+                << '\n';
     } else {
       print(result, options.time);
     }
-    consistent = consistent && result.sum.holds() && result.sum.tokens_hold();
+    consistent = consistent && result.totals.holds() && result.totals.tokens_hold();
   }
   return consistent ? 0 : 1;
 }
@@ -108,7 +112,8 @@
       ->check(CLI::IsMember(policy_names()));
   add_threads_option(*command, options->threads);
   command->add_flag("--json", options->json, "one JSON object a line, with everything");
-  command->add_flag("--time", options->time, "measure requests a second and the module's share, on one thread");
+  command->add_flag("--time", options->time,
+                    "measure requests a second and the module's share, on one thread");
   command->callback([options, &status] { status = run(*options); });
 }
 
--- a/src/experiments/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <string_view>
 
-#include "emulator/world.hpp"
+#include "emulator/day.hpp"
 #include "experiments/plot.hpp"
 #include "experiments/worker_pool.hpp"
 
@@ -38,23 +38,23 @@
   scenario.jitter = 0;
   scenario.handshake_ms = 0;
   scenario.idle_s = kUnlimitedS;
-  scenario.most_connections = 1'000'000'000;
+  scenario.max_connections = 1'000'000'000;
   scenario.retries = 0;
   scenario.try_share = 1;
   scenario.attempts = 1;
-  scenario.impatient = 0;
+  scenario.cancel_probability = 0;
   scenario.hint_sigma = 0;
   scenario.kinds = {emulator::ReplicaKind{}};
   scenario.kinds[0].queue = true;
-  scenario.kinds[0].cold_s = {0, 0};
-  emulator::Demand jobs;
+  scenario.kinds[0].warm_up_s = {0, 0};
+  emulator::RequestClass jobs;
   jobs.name = "jobs";
-  jobs.aim_ms = kUnlimitedMs;
+  jobs.latency_objective_ms = kUnlimitedMs;
   jobs.deadline_ms = kUnlimitedMs;
   jobs.token_ms = kUnlimitedMs;
   jobs.alpha = sizes.alpha;
-  jobs.least_us = sizes.least * kMicrosecondsPerUnit;
-  jobs.most_us = sizes.most * kMicrosecondsPerUnit;
+  jobs.min_us = sizes.least * kMicrosecondsPerUnit;
+  jobs.max_us = sizes.most * kMicrosecondsPerUnit;
   jobs.mean_us = plan.mean_size * kMicrosecondsPerUnit;
   scenario.classes = {jobs};
   return scenario;
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -40,7 +40,7 @@
 class Explorer {
  public:
   Explorer(Bounds bounds, Options options)
-      : bounds_(bounds), options_(options), roster_(emulator::made_roster(bounds.members, 1)) {}
+      : bounds_(bounds), options_(options), roster_(emulator::make_roster(bounds.members, 1)) {}
 
   // Returns the first broken rule, or an empty string if all rules held in each state.
   std::string run() {
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -33,8 +33,8 @@
 
 void cut_off_router(Group& group, std::size_t router) {
   for (std::size_t other = 0; other < group.size(); ++other) {
-    group.cut(router, other, true);
-    group.cut(other, router, true);
+    group.block(router, other);
+    group.block(other, router);
   }
 }
 
@@ -85,10 +85,10 @@
 void play_scripts(std::uint64_t first_seed) {
   std::size_t failures_reported = 0;
   for (std::uint64_t seed = first_seed; seed < first_seed + kScripts; ++seed) {
-    const auto result = emulator::play(emulator::random_script(seed));
-    failures_reported += result.words_of_gone;
+    const auto result = emulator::play_script(emulator::random_script(seed));
+    failures_reported += result.gone_reports;
     INFO("play it again: thornwick group virtual --seed " << seed << " --count 1 --say");
-    REQUIRE(result.broken == "");
+    REQUIRE(result.violation == "");
   }
   CHECK(failures_reported > kScripts);  // scripts in which no member is called gone would show nothing
 }
@@ -161,7 +161,7 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     auto script = emulator::random_script(seed);
     script.options.swim.refuting_incarnation = [](std::uint64_t claimed) { return claimed; };
-    broken += emulator::play(script).broken.empty() ? 0 : 1;
+    broken += emulator::play_script(script).violation.empty() ? 0 : 1;
   }
   CHECK(broken > 5);
 }
@@ -196,7 +196,7 @@
 
 TEST_CASE("a router announces its shutdown, and is not suspected before or after it") {
   SettledGroup settled(4);
-  settled.group.leave(1);
+  settled.group.shut_down(1);
   settled.require_soon([&] { return settled.all_see(1, MemberState::leaving); });
   settled.require_soon([&] { return settled.all_see(1, MemberState::left); });
   CHECK(settled.reports.find("suspected") == std::string::npos);
@@ -206,11 +206,11 @@
 TEST_CASE(
     "a suspended process detects the suspension by its own clock, before it uses its view of the members") {
   SettledGroup settled(5);
-  settled.group.stop(3);
+  settled.group.suspend(3);
   settled.require_soon([&] { return settled.all_see(3, MemberState::gone); });
   settled.group.run_until(settled.group.now() + seconds(180));
   settled.reports.clear();
-  settled.group.go(3);
+  settled.group.resume(3);
   settled.group.run_until(settled.group.now() + 2000);
   CHECK(settled.reports.rfind("r3/3 this process stood still for 1", 0) == 0);  // the first report
   settled.require_soon([&] { return settled.group.agree() && settled.group.at(3).sure(); });
@@ -229,7 +229,7 @@
     CHECK(settled.group.at(4).view(i).state != MemberState::gone);
   }
   CHECK(!settled.group.at(4).sure());
-  settled.group.heal();
+  settled.group.unblock_all();
   settled.require_soon([&] { return settled.group.agree() && !settled.group.at(4).cut_off(); });
 }
 
@@ -263,15 +263,15 @@
     "two routers that do not reach each other see each other alive through a third, with one direction "
     "blocked or both") {
   SettledGroup settled(3);
-  settled.group.cut(0, 2, true);
-  if (GENERATE(true, false)) settled.group.cut(2, 0, true);
+  settled.group.block(0, 2);
+  if (GENERATE(true, false)) settled.group.block(2, 0);
   settled.group.run_until(settled.group.now() + seconds(600));
   CHECK(settled.group.agree());
   CHECK(settled.reports.find("gone") == std::string::npos);
 }
 
 TEST_CASE("two processes of one name are detected by each other and by the other routers") {
-  const auto roster = emulator::made_roster(4, 1);
+  const auto roster = emulator::make_roster(4, 1);
   const Options options;
   // A small network: processes 0 to 3, and process 4, which also uses the name r003.
   std::vector<Swim> processes;
--- a/tests/replication/virtual_time.cpp
+++ b/tests/replication/virtual_time.cpp
@@ -23,23 +23,23 @@
   std::size_t sites = 1;
 };
 
-CopiesOptions simulation_options(std::uint64_t seed, const GroupSize& size) {
-  CopiesOptions options;
+ReplicationOptions simulation_options(std::uint64_t seed, const GroupSize& size) {
+  ReplicationOptions options;
   options.seed = seed;
   options.routers = size.routers;
-  options.copies = size.replicas;
+  options.replicas = size.replicas;
   options.ledgers = size.ledgers;
   options.sites = size.sites;
   return options;
 }
 
-void require_unbroken(const CopiesOptions& options) {
-  const auto result = play_copies(options);
+void require_unbroken(const ReplicationOptions& options) {
+  const auto result = simulate_replication(options);
   INFO("again: thornwick copies virtual --seed " << options.seed << " --routers " << options.routers
-                                                 << " --copies " << options.copies << " --ledgers "
+                                                 << " --copies " << options.replicas << " --ledgers "
                                                  << options.ledgers << " --say\n"
                                                  << result.timeline);
-  REQUIRE(result.broken == "");
+  REQUIRE(result.violation == "");
 }
 
 // Whether the simulation finds a seeded fault of the program in kFaultScripts scripts from this seed on. One
@@ -49,8 +49,8 @@
   for (std::uint64_t seed = first_seed; seed < first_seed + kFaultScripts; ++seed) {
     auto options = simulation_options(seed, {});
     set_fault(options);
-    const auto result = play_copies(options);
-    if (!result.broken.empty()) return true;
+    const auto result = simulate_replication(options);
+    if (!result.violation.empty()) return true;
   }
   return false;
 }
@@ -60,9 +60,9 @@
 TEST_CASE("ledgers in virtual time: without faults nearly all of a limit is used, and no more") {
   auto options = simulation_options(1, {});
   options.faults = false;
-  const auto result = play_copies(options);
+  const auto result = simulate_replication(options);
   INFO(result.timeline);
-  REQUIRE(result.broken == "");
+  REQUIRE(result.violation == "");
   CHECK(result.usable > 0.9);
 }
 
@@ -86,6 +86,6 @@
 TEST_CASE(
     "ledgers in virtual time: the simulation finds a second vote after a lost disk, and a response before "
     "commitment") {
-  CHECK(finds_fault(26, [](CopiesOptions& options) { options.trust_any_disk = true; }));
-  CHECK(finds_fault(1, [](CopiesOptions& options) { options.answer_before_majority = true; }));
+  CHECK(finds_fault(26, [](ReplicationOptions& options) { options.trust_any_disk = true; }));
+  CHECK(finds_fault(1, [](ReplicationOptions& options) { options.answer_before_majority = true; }));
 }
