--- a/src/emulator/day_simulation.hpp
+++ b/src/emulator/day_simulation.hpp
@@ -42,7 +42,7 @@
   bool cancel_attempt(EmulatedRouter& router, core::AttemptId id);
   void probe(const EmulatedRouter& router, ReplicaId replica_id);
   void request_endpoint_list(EmulatedRouter& router);
-  // `rank`: index of the receiver, or Gossip::kAll.
+  // `rank`: index of the receiver, or Gossip::kAllPeers.
   void send_peer_message(const EmulatedRouter& sender, std::uint32_t rank, const std::string& message);
 
   // ---- the outcome of a try, called by ClientRequest
--- a/src/emulator/emulated_router.cpp
+++ b/src/emulator/emulated_router.cpp
@@ -19,7 +19,7 @@
 
 void EmulatedRouter::watch() { day_.request_endpoint_list(*this); }
 
-void EmulatedRouter::tell(std::uint32_t rank, const std::string& message) {
+void EmulatedRouter::send(std::uint32_t rank, const std::string& message) {
   day_.send_peer_message(*this, rank, message);
 }
 
--- a/src/emulator/emulated_router.hpp
+++ b/src/emulator/emulated_router.hpp
@@ -32,11 +32,12 @@
   void launch(core::AttemptId attempt, ReplicaId replica_id, std::shared_ptr<const core::Payload> payload,
               Time until, std::uint16_t model) override;
   bool abandon(core::AttemptId attempt) override;
-  void hold(core::AttemptId, bool) override {}
+  void pause_reading(core::AttemptId) override {}
+  void resume_reading(core::AttemptId) override {}
   void probe(ReplicaId replica_id) override;
   void watch() override;
   void fetch() override { watch(); }
-  void tell(std::uint32_t rank, const std::string& message) override;
+  void send(std::uint32_t rank, const std::string& message) override;
 
  private:
   DaySimulation& day_;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -163,13 +163,13 @@
     result_.regained += metrics.regained;
   }
   const core::Counters& counters = router.core->counters();
-  result_.totals.taken += counters.taken;
+  result_.totals.taken += counters.admitted;
   result_.totals.served += counters.served;
   result_.totals.rejected += counters.rejected;
   result_.totals.failed += counters.failed;
   result_.totals.timed_out += counters.timed_out;
   result_.totals.broken += counters.broken;
-  result_.totals.gone += counters.gone;
+  result_.totals.gone += counters.client_gone;
   result_.totals.open += router.core->open();
 }
 
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -3,6 +3,7 @@
 #include <map>
 
 #include "emulator/baseline_policies.hpp"
+#include "settings/file.hpp"
 #include "settings/section.hpp"
 
 namespace thornwick::emulator {
