--- a/bench/affinity.cpp
+++ b/bench/affinity.cpp
@@ -134,8 +134,8 @@
     const CacheHint cache_hint = affinity_table.recall(now, request);
     const ReplicaId replica =
         cache_hint.known ? cache_hint.replica : static_cast<ReplicaId>(1 + request.session % replicas);
-    const auto was = affinity_table.began(now, request, replica);
-    affinity_table.answered(now += 100, request, replica, was, was.tokens, 50);
+    const auto was = affinity_table.on_answer_started(now, request, replica);
+    affinity_table.on_answer_complete(now += 100, request, replica, was, was.tokens, 50);
   }
 }
 
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -32,7 +32,7 @@
   affinity::Session session;
   session.prefix = i % 200 + 1;
   session.cached_size = 5000;
-  session.copies.place(0) = {5000, static_cast<std::uint32_t>(i / 64), 1'000'000, 0, 0};
+  session.copies.entry_for(0) = {5000, static_cast<std::uint32_t>(i / 64), 1'000'000, 0, 0};
   return session;
 }
 
--- a/src/affinity/affinity_table.hpp
+++ b/src/affinity/affinity_table.hpp
@@ -1,141 +1,104 @@
-// What this router believes about cached prompts: learns from answers and from discovery's list, tells the
-// routing policy with each request, and says when it can no longer be trusted. No I/O; the clock is handed
-// in.
+// The affinity table: which replica is believed to hold which cached prompt.
 //
-// The module goes on deciding. A belief that names a replica outside the request's interval, or one that is
-// clearly busier, changes nothing.
+// It learns from complete answers and from discovery's endpoint list, and gives the routing policy a cache
+// hint with each request. The policy still decides: a hint changes nothing if its replica is outside the
+// interval of the request's size, or clearly busier than the others. No I/O; the caller passes the time. Not
+// thread-safe.
+//
+// This class is the facade of three parts: CopyLookup (lookup), CopyRecorder (learning) and TrustTracker
+// (trust).
 #pragma once
 
+#include <cstdint>
 #include <span>
-#include <string_view>
 
+#include "affinity/copy_lookup.hpp"
+#include "affinity/copy_recorder.hpp"
 #include "affinity/entry_table.hpp"
+#include "affinity/journal.hpp"
+#include "affinity/metrics.hpp"
 #include "affinity/replica_registry.hpp"
+#include "affinity/trust_tracker.hpp"
 
 namespace thornwick::affinity {
 
 struct Options {
   TableLimits table;
-  std::size_t max_replicas = 4096;
-  Time lifetime = seconds(1'800);        // an entry unused for longer is forgotten
+  std::size_t max_replicas = 4096;       // replicas beyond that have no entries; at most 65,535
+  Time lifetime = seconds(1'800);        // an entry unused for longer is dropped
   double answers_per_false_alarm = 1e5;  // between false losses of trust, for each replica and for the fleet
 };
 
-struct Metrics {
-  std::uint64_t recalled = 0;          // requests that came with a belief
-  std::uint64_t hits = 0, misses = 0;  // answers that had a copy to find, and did or did not
-  std::uint64_t outdated = 0;          // answers whose copies were void by the time they came
-  std::uint64_t fleet_losses = 0, replica_losses = 0, regained = 0;
-  std::uint64_t expired = 0;  // entries that aged out, or whose copies were all void
-  double expected_tokens = 0, found_tokens = 0, prompt_tokens = 0;  // of answers
-};
-
-// Hears of every change, so that it can be kept. Returns false if it cannot take it now; the change is
-// offered again later.
-class Journal {
- public:
-  virtual ~Journal() = default;
-  virtual bool session(std::uint64_t key, const Session& session) = 0;
-  virtual bool prefix(std::uint64_t key, const Prefix& prefix) = 0;
-  virtual bool session_gone(std::uint64_t key) = 0;
-  virtual bool prefix_gone(std::uint64_t key) = 0;
-  virtual bool replica(Slot slot, const Replica& replica) = 0;
-};
-
-// Hears of what operators want to know.
-class Observer {
- public:
-  virtual ~Observer() = default;
-  virtual void fleet_lost(Time now) = 0;
-  virtual void replica_lost(Time now, ReplicaId replica) = 0;
-  virtual void replica_regained(Time now, ReplicaId replica) = 0;
-};
-
-// What a replica was expected to hold of a prompt when it began to answer. The caller keeps it until the
-// tally.
-struct Expectation {
-  double tokens = 0, confidence = 0;
-  double least = 0;  // a find of so many tokens or more is a hit
-  double age = 0;    // tokens sent to the replica since the copy was used
-  Epoch epoch =
-      0;  // of the replica then: once its copies are void, what they were expected to bring proves nothing
-};
-
 class AffinityTable {
  public:
-  // Throws std::invalid_argument where options make no sense. Neither pointer is owned; both may be null.
+  // Throws std::invalid_argument if a limit, the lifetime or the rate of false alarms is out of range. The
+  // observer is not owned and may be null.
   explicit AffinityTable(const Options& options, Observer* observer = nullptr);
 
+  // The parts refer to each other.
+  AffinityTable(const AffinityTable&) = delete;
+  AffinityTable& operator=(const AffinityTable&) = delete;
+
   // ------------------------------------------------------------ with each request
-  // What the module is told. Tokens are those expected to be found: believed times how sure.
+
+  // The hint for the routing policy; `known` is false if there is none. Its tokens are the expected value:
+  // tokens of the copy times the probability that the copy is still there.
   CacheHint recall(Time now, const Request& request);
-  // The replica has read the prompt: its first token came. From then on it holds a copy.
-  Expectation began(Time now, const Request& request, ReplicaId replica);
-  // An answer's tally: `kept` prompt tokens were found, `made` were made.
-  void answered(Time now, const Request& request, ReplicaId replica, const Expectation& was, double kept,
-                double generated);
+
+  // The first token of the answer arrived, so the replica has read the prompt and holds a copy from now on.
+  // Returns what was expected of its cache before that; the caller keeps it until the answer is complete.
+  Expectation on_answer_started(Time now, const Request& request, ReplicaId replica);
+
+  // The answer is complete: the replica found `cached_tokens` of the prompt in its cache and generated
+  // `generated_tokens`.
+  void on_answer_complete(Time now, const Request& request, ReplicaId replica, const Expectation& expectation,
+                          double cached_tokens, double generated_tokens);
 
   // ------------------------------------------------------------ discovery
+
+  // Invalidates the copies of replicas that restarted or are no longer listed. A failed update changes
+  // nothing; a remembered list, which may be old, removes no replica.
   void on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries);
 
   // ------------------------------------------------------------ across a stop
-  // From then on every change goes there.
-  void keep_in(Journal* journal) { journal_ = journal; }
-  // What was kept, before the first request. Replicas first; entries of unknown replicas are void and not
-  // taken.
+
+  // Every later change is offered to this journal, which is not owned; null: to none.
+  void keep_in(Journal* journal) { journal_.set_journal(journal); }
+
+  // Restore stored entries before the first request, replicas first. False if the slot or the id is in use,
+  // or the table is full. Copies of replicas that were not restored are not valid.
   bool restore_replica(Slot slot, const Replica& replica) { return replicas_.restore(slot, replica); }
-  bool restore_session(std::uint64_t key, const Session& session);
-  bool restore_prefix(std::uint64_t key, const Prefix& prefix);
-  // After the last of them: what went on while this router was down is made up for. A clock that went
-  // backwards counts as no time at all.
+  bool restore_session(std::uint64_t key, const Session& session) {
+    return recorder_.restore_session(key, session);
+  }
+  bool restore_prefix(std::uint64_t key, const Prefix& prefix) {
+    return recorder_.restore_prefix(key, prefix);
+  }
+
+  // Call after the last restored entry: accounts for what happened while this router was down. A clock that
+  // was set back counts as no time.
   void restored(Time now);
 
   // ------------------------------------------------------------ for operators
+
   const Metrics& metrics() const { return metrics_; }
   const EntryTable& table() const { return table_; }
   ReplicaRegistry& replicas() { return replicas_; }
   const ReplicaRegistry& replicas() const { return replicas_; }
-  bool trusted() const { return !fleet_doubted_; }
+  // False from the loss of the fleet's copies until every replica is trusted again.
+  bool trusted() const { return trust_.fleet_trusted(); }
 
  private:
-  struct Found {
-    const Copy* copy = nullptr;
-    double tokens = 0, confidence = 0;
-  };
-  bool living(const Copy& copy, std::uint32_t now) const;
-  template <std::size_t N>
-  bool any_living(const Copies<N>& copies, std::uint32_t now) const;
-  Found usable(const Copy& copy, double most_tokens, std::uint32_t now) const;
-  double age_of(const Copy& copy) const;
-  double sure_of(const Copy& copy) const;
-  template <std::size_t N>
-  Found best(const Copies<N>& copies, double most_tokens, std::uint32_t now) const;
-  template <std::size_t N>
-  void catch_up(const Copies<N>& copies);
-  Found spread(Prefix& prefix, const Request& request, std::uint32_t now);
-  Expectation expected(const Request& request, Slot slot, std::uint32_t now);
-  bool shown(Slot slot);
-  void learn(Time now, Slot slot, const Expectation& was, bool hit);
-  void lose_fleet(Time now);
-  void lose_replica(Time now, Slot slot);
-  void believe(Time now, const Request& request, Slot slot);
-  void sent(Time now, Replica& replica, double tokens);
-  void forget_some(std::uint32_t now);
-  void save(std::uint64_t key, Session& session);
-  void save(std::uint64_t key, Prefix& prefix);
-  void save_replica(Slot slot);
-  void take_entry(const Endpoint& entry);
-
-  Options options_;
-  Observer* observer_;
-  Journal* journal_ = nullptr;
+  void on_endpoint(const Endpoint& entry);
+  void remove_replica(Slot slot);
+
+  Metrics metrics_;
   EntryTable table_;
   ReplicaRegistry replicas_;
-  LossTest fleet_loss_;
-  std::uint32_t asked_ = 0;  // requests; wraps
-  std::size_t next_replica_ = 0;
-  bool fleet_doubted_ = false;
-  Metrics metrics_;
+  JournalWriter journal_{replicas_};
+  CopyLookup lookup_;
+  CopyRecorder recorder_{table_, replicas_, lookup_, journal_, metrics_};
+  TrustTracker trust_;
 };
 
 }  // namespace thornwick::affinity
--- a/src/affinity/bounded_map.hpp
+++ b/src/affinity/bounded_map.hpp
@@ -1,19 +1,18 @@
-// A map from 64-bit keys to fixed-size values that holds at most so many of them and never pauses.
+// A map from 64-bit keys to values of fixed size, with a bound on the entries and no pauses.
 //
-// All memory is reserved at construction and touched only as it fills: there is no growth, no rehash and no
-// tombstone, so no call costs more than a few cache misses, however many entries there are. Hashing and lists
-// are Boost.Intrusive's over one slab; keys are spread by XXH3 with a seed of this process, because clients
-// choose some of the keys and could otherwise put them all into one bucket.
+// All memory is reserved at construction and touched only as entries fill it. There is no growth, no rehash
+// and no tombstone, so each call costs a few cache misses at most, whatever the number of entries. The hash
+// index and the lists are Boost.Intrusive's over one slab. Keys are hashed by XXH3 with a seed of this
+// process: clients choose some of the keys and could otherwise put them all into one bucket.
 //
-// Eviction (the comparison is in docs/affinities.md):
-//   lru       one list; the entry unused for longest goes
-//   segmented a probation list in front of a protected one (Karedla et al. 1994, "Caching strategies to
-//   improve
-//             disk system performance"): what was used only once goes first
-//   tinylfu   the same behind a small window and an admission test (Einziger et al. 2017, "TinyLFU"): a
-//             newcomer leaving the window replaces the victim only if it was asked for more often
+// Eviction (docs/affinities.md has the comparison):
+//   lru        one list; the least recently used entry is evicted
+//   segmented  a probation list in front of a protected list: entries that were used only once are evicted
+//              first (Karedla et al. 1994, "Caching strategies to improve disk system performance")
+//   tinylfu    the same behind a small window and an admission test: an entry that leaves the window replaces
+//              the victim only if it was used more often (Einziger et al. 2017, "TinyLFU")
 //
-// Not thread-safe. Pointers to values stay good until their entry is erased, evicted or expired.
+// Not thread-safe. A pointer to a value is valid until its entry is erased, evicted or swept.
 #pragma once
 
 #include <xxhash.h>
@@ -33,15 +32,17 @@
 
 namespace thornwick::affinity {
 
-enum class Eviction { lru, segmented, tinylfu };
+enum class Eviction : std::uint8_t { lru, segmented, tinylfu };
 
-inline std::uint64_t spread(std::uint64_t key, std::uint64_t seed) {
+// A hash of the key that differs with each seed.
+inline std::uint64_t seeded_hash(std::uint64_t key, std::uint64_t seed) {
   return XXH3_64bits_withSeed(&key, sizeof key, seed);
 }
 
 template <typename Value>
 class BoundedMap {
-  static_assert(std::is_trivially_destructible_v<Value>, "entries are reused without a destructor's run");
+  static_assert(std::is_trivially_destructible_v<Value>,
+                "slab entries are reused without running the value's destructor");
 
  public:
   using Key = std::uint64_t;
@@ -65,63 +66,63 @@
     ::operator delete (static_cast<void*>(slab_), std::align_val_t{alignof(Entry)});
   }
 
-  // What one entry costs, its buckets included.
+  // Memory that one entry takes, its buckets included.
   static constexpr std::size_t bytes_per_entry() {
     return sizeof(Entry) + 2 * sizeof(Bucket) + sizeof(Index*);
   }
-  // How many entries fit into so many bytes.
-  static std::size_t entries_in(std::size_t bytes) { return bytes / bytes_per_entry(); }
 
   std::size_t size() const { return size_; }
   std::size_t capacity() const { return capacity_; }
-  // All that is reserved; never changes.
+  // Reserved memory; does not change after construction.
   std::size_t bytes() const {
     return capacity_ * sizeof(Entry) + bucket_count_ * sizeof(Bucket) + sketch_.bytes();
   }
   std::uint64_t evicted() const { return evicted_; }
-  // The most entries that one call has to compare. Walks all buckets: for tests and tools, not for the loop.
-  std::size_t longest_walk() const {
-    std::size_t longest = 0;
+  // Entries in the fullest bucket: the most that one call compares. Visits all buckets, so it is for tests
+  // and tools and not for the router's loop.
+  std::size_t largest_bucket() const {
+    std::size_t largest = 0;
     for (std::size_t i = 0; i < bucket_count_; ++i)
-      longest = std::max<std::size_t>(longest, index_.bucket_size(i));
-    return longest;
+      largest = std::max<std::size_t>(largest, index_.bucket_size(i));
+    return largest;
   }
 
-  // Without counting as a use.
+  // Null if there is no such entry. Does not count as a use.
   Value* find(Key key) {
-    const auto at = index_.find(key, Hash{seed_}, Equal{});
-    return at == index_.end() ? nullptr : &at->value;
+    const auto found = index_.find(key, Hash{seed_}, Equal{});
+    return found == index_.end() ? nullptr : &found->value;
   }
   const Value* find(Key key) const { return const_cast<BoundedMap*>(this)->find(key); }
 
-  // Counts as a use: the entry moves towards safety.
+  // Null if there is no such entry. Counts as a use: the entry is evicted later.
   Value* use(Key key) {
-    const auto at = index_.find(key, Hash{seed_}, Equal{});
-    if (eviction_ == Eviction::tinylfu) sketch_.add(spread(key, seed_));
-    if (at == index_.end()) return nullptr;
-    promote(*at);
-    return &at->value;
+    const auto found = index_.find(key, Hash{seed_}, Equal{});
+    if (eviction_ == Eviction::tinylfu) sketch_.add(seeded_hash(key, seed_));
+    if (found == index_.end()) return nullptr;
+    promote(*found);
+    return &found->value;
   }
 
-  // The entry of this key, made if there is none; another may be evicted for it, and `leaving` is told its
-  // key and value first.
-  template <typename Leaving>
-  Value& put(Key key, Leaving leaving) {
+  // The value of this key, inserted if there is none. In a full map that evicts another entry: `on_evict(key,
+  // value)` is called first. Counts as a use.
+  template <typename OnEvict>
+  Value& put(Key key, OnEvict on_evict) {
     if (Value* found = use(key)) return *found;
-    if (size_ == capacity_) evict(leaving);
-    Entry& entry = make(key);
+    if (size_ == capacity_) evict(on_evict);
+    Entry& entry = insert(key);
     push(entry, eviction_ == Eviction::tinylfu ? Segment::window : Segment::probation);
-    ease_window();
+    shrink_window();
     return entry.value;
   }
   Value& put(Key key) {
     return put(key, [](Key, const Value&) {});
   }
 
+  // False if there is no such entry.
   bool erase(Key key) {
-    const auto at = index_.find(key, Hash{seed_}, Equal{});
-    if (at == index_.end()) return false;
-    drop(*at);
+    const auto found = index_.find(key, Hash{seed_}, Equal{});
+    if (found == index_.end()) return false;
+    drop(*found);
     return true;
   }
 
@@ -131,22 +132,24 @@
     }
   }
 
-  // Looks at the next `most` places of the slab, in turn, and drops each entry of which `gone(key, value)`
-  // says so. Called with a few places for every request it visits all of them without ever pausing.
-  template <typename Gone>
-  std::size_t sweep(std::size_t most, Gone gone) {
+  // Visits the next `max_places` places of the slab, in turn, and drops each entry for which
+  // `should_drop(key, value)` returns true. Returns the number of dropped entries. Called with a few places
+  // for each request, it visits all entries without a pause.
+  template <typename Predicate>
+  std::size_t sweep(std::size_t max_places, Predicate should_drop) {
     std::size_t dropped = 0;
-    for (std::size_t i = 0; i < most && touched_ > 0; ++i) {
-      if (cursor_ >= touched_) cursor_ = 0;
-      Entry& entry = slab_[cursor_++];
-      if (entry.segment == Segment::free || !gone(entry.key, entry.value)) continue;
+    for (std::size_t i = 0; i < max_places && touched_ > 0; ++i) {
+      if (sweep_position_ >= touched_) sweep_position_ = 0;
+      Entry& entry = slab_[sweep_position_];
+      ++sweep_position_;
+      if (entry.segment == Segment::free || !should_drop(entry.key, entry.value)) continue;
       drop(entry);
       ++dropped;
     }
     return dropped;
   }
 
-  // Every entry, in the order of the slab.
+  // Calls `visit(key, value)` for each entry, in the order of the slab.
   template <typename Visit>
   void for_each(Visit visit) const {
     for (std::size_t i = 0; i < touched_; ++i) {
@@ -155,7 +158,7 @@
   }
 
  private:
-  enum class Segment : std::uint8_t { free, window, probation, protected_ };
+  enum class Segment : std::uint8_t { free, window, probation, protected_entries };
   using Link = boost::intrusive::link_mode<boost::intrusive::normal_link>;
   struct Entry : boost::intrusive::unordered_set_base_hook<Link>, boost::intrusive::list_base_hook<Link> {
     Key key = 0;
@@ -164,8 +167,8 @@
   };
   struct Hash {
     std::uint64_t seed;
-    std::size_t operator()(Key key) const { return spread(key, seed); }
-    std::size_t operator()(const Entry& entry) const { return spread(entry.key, seed); }
+    std::size_t operator()(Key key) const { return seeded_hash(key, seed); }
+    std::size_t operator()(const Entry& entry) const { return seeded_hash(entry.key, seed); }
   };
   struct Equal {
     bool operator()(Key key, const Entry& entry) const { return key == entry.key; }
@@ -186,44 +189,45 @@
 
   List& list(Segment segment) { return lists_[static_cast<std::size_t>(segment) - 1]; }
 
-  // Newest at the back.
+  // Appends the entry as the segment's most recently used one.
   void push(Entry& entry, Segment segment) {
     entry.segment = segment;
     list(segment).push_back(entry);
-    if (segment == Segment::protected_) {
-      // Four fifths for the protected, as the paper has it: a fifth is left to prove itself.
-      while (list(segment).size() > std::max<std::size_t>(1, capacity_ * 4 / 5)) {
-        Entry& oldest = list(segment).front();
-        list(segment).pop_front();
-        push(oldest, Segment::probation);
-      }
+    if (segment != Segment::protected_entries) return;
+    // As in the paper, the protected list takes four fifths; a fifth is left for entries on probation.
+    while (list(segment).size() > std::max<std::size_t>(1, capacity_ * 4 / 5)) {
+      Entry& oldest = list(segment).front();
+      list(segment).pop_front();
+      push(oldest, Segment::probation);
     }
   }
 
   void promote(Entry& entry) {
     List& from = list(entry.segment);
     from.erase(from.iterator_to(entry));
-    const bool up = eviction_ != Eviction::lru && entry.segment == Segment::probation;
-    push(entry, up ? Segment::protected_ : entry.segment);
+    const bool protect = eviction_ != Eviction::lru && entry.segment == Segment::probation;
+    push(entry, protect ? Segment::protected_entries : entry.segment);
   }
 
-  template <typename Leaving>
-  void evict(Leaving leaving) {
+  template <typename OnEvict>
+  void evict(OnEvict on_evict) {
     Entry& victim = choose_victim();
-    leaving(victim.key, victim.value);
+    on_evict(victim.key, victim.value);
     ++evicted_;
     drop(victim);
   }
 
   Entry& choose_victim() {
     List& window = list(Segment::window);
-    List& main = !list(Segment::probation).empty() ? list(Segment::probation) : list(Segment::protected_);
+    List& main =
+        !list(Segment::probation).empty() ? list(Segment::probation) : list(Segment::protected_entries);
     if (eviction_ != Eviction::tinylfu) return main.front();
-    if (window.size() < window_room() && !main.empty()) return main.front();
+    if (window.size() < window_capacity() && !main.empty()) return main.front();
     Entry& newcomer = window.front();
     if (main.empty()) return newcomer;
     Entry& oldest = main.front();
-    if (sketch_.estimate(spread(newcomer.key, seed_)) <= sketch_.estimate(spread(oldest.key, seed_))) {
+    if (sketch_.estimate(seeded_hash(newcomer.key, seed_)) <=
+        sketch_.estimate(seeded_hash(oldest.key, seed_))) {
       return newcomer;
     }
     window.pop_front();
@@ -231,27 +235,30 @@
     return oldest;
   }
 
-  // A tenth stays a plain queue of newcomers: a session's second turn must find it still there.
-  std::size_t window_room() const { return std::max<std::size_t>(1, capacity_ / 10); }
+  // A tenth of the map is a plain queue of new entries: a session's second request must still find its entry.
+  std::size_t window_capacity() const { return std::max<std::size_t>(1, capacity_ / 10); }
 
-  // While there is room nobody has to prove anything to leave the window.
-  void ease_window() {
+  // Moves the oldest entries out of a window that is too large. While the map has room there is no admission
+  // test.
+  void shrink_window() {
     List& window = list(Segment::window);
-    while (window.size() > window_room()) {
+    while (window.size() > window_capacity()) {
       Entry& oldest = window.front();
       window.pop_front();
       push(oldest, Segment::probation);
     }
   }
 
-  Entry& make(Key key) {
+  // A new entry at a free place of the slab, in the index but in no list yet.
+  Entry& insert(Key key) {
     Entry* place = nullptr;
     if (!free_.empty()) {
       place = &free_.front();
       free_.pop_front();
       place->~Entry();
     } else {
-      place = &slab_[touched_++];
+      place = &slab_[touched_];
+      ++touched_;
     }
     Entry& entry = *new (place) Entry;
     entry.key = key;
@@ -274,12 +281,14 @@
   std::uint64_t seed_;
   std::size_t bucket_count_;
   std::unique_ptr<Bucket[]> buckets_;
-  Entry* slab_;
+  Entry* slab_;  // owned; entries are constructed as they are needed
   Index index_;
-  std::array<List, 3> lists_;
-  List free_;
-  Sketch sketch_;
-  std::size_t size_ = 0, touched_ = 0, cursor_ = 0;
+  std::array<List, 3> lists_;  // one for each segment but `free`; least recently used entry first
+  List free_;                  // places that can be used again
+  FrequencySketch sketch_;
+  std::size_t size_ = 0;
+  std::size_t touched_ = 0;         // places of the slab that have ever held an entry
+  std::size_t sweep_position_ = 0;  // place that the next sweep visits first
   std::uint64_t evicted_ = 0;
 };
 
--- a/src/affinity/cache_hit_estimator.hpp
+++ b/src/affinity/cache_hit_estimator.hpp
@@ -1,93 +1,126 @@
-// Is what the table believes still so? Sequential tests on answers, each of which either found the prompt
-// copy that was expected (a hit) or did not. No clock, no I/O.
+// Statistics of cache hits. Each answer either found the prompt copy that was expected (a hit) or did not (a
+// miss). The tests decide from a sequence of answers whether the predictions still hold; the models make the
+// predictions. No clock, no I/O.
 //
-// Loss: Page's CUSUM of the log likelihood ratio between "hits come as predicted" (probability p, told with
-// each answer) and "the copies are void" (probability kVoidHit). For independent answers with right p the
-// mean number of answers between false alarms is at least e^h (Lorden 1971, "Procedures for reacting to a
-// change in distribution", theorem 2), so h = ln(answers between false alarms). With p = 0.9 a run of misses
-// adds 2.25 each: six of them raise the alarm at one false alarm in 100,000 answers.
+// Loss of copies: Page's CUSUM of the log likelihood ratio between two hypotheses: "hits come as predicted"
+// (probability p, predicted for each answer) and "the copies are gone" (probability kHitRateWhenGone). For
+// independent answers with the right p the mean number of answers between false alarms is at least e^h
+// (Lorden 1971, "Procedures for reacting to a change in distribution", theorem 2), so the threshold is h =
+// ln(answers between false alarms). At p = 0.9 each miss adds 2.25: six misses in a row raise the alarm at
+// one false alarm in 100,000 answers.
 //
-// Recovery: Wald's sequential probability ratio test between the same two, with the two error rates below.
+// Recovery: Wald's sequential probability ratio test between the same two hypotheses, with two given error
+// rates.
 #pragma once
 
 #include <cstdint>
 
 namespace thornwick::affinity {
 
-inline constexpr double kVoidHit =
-    0.05;  // of expected copies are found though all are void: chance, other routers
-inline constexpr double kLeastSure = 0.10, kMostSure = 0.95;  // predictions are held between these
+// Share of the expected copies that are found though all copies are gone: by chance, or because of other
+// routers.
+inline constexpr double kHitRateWhenGone = 0.05;
+// Predictions are limited to this range.
+inline constexpr double kMinPrediction = 0.10;
+inline constexpr double kMaxPrediction = 0.95;
 
-// A prediction that both tests can use: never so sure that a single miss decides.
-double held(double p);
-// log P(outcome | void) - log P(outcome | as predicted)
-double evidence_of_loss(double p, bool hit);
+enum class CacheOutcome : std::uint8_t { miss, hit };
 
+// The prediction, limited so that no single answer decides a test.
+double clamp_prediction(double probability);
+
+// ln P(outcome | the copies are gone) - ln P(outcome | hits come as predicted), of a hit predicted with this
+// probability.
+double loss_log_likelihood_ratio(double probability, CacheOutcome outcome);
+
+// Detects that copies are gone.
 class LossTest {
  public:
-  // `answers_per_false_alarm` above 1; throws std::invalid_argument otherwise.
+  // Throws std::invalid_argument unless `answers_per_false_alarm` is above 1.
   explicit LossTest(double answers_per_false_alarm);
 
-  // True once the alarm is raised; the test has then begun anew.
-  bool add(double p, bool hit);
+  // Adds an answer whose hit was predicted with this probability. True if that raises the alarm; the test
+  // then begins again.
+  bool add(double probability, CacheOutcome outcome);
   void reset() { sum_ = 0; }
-  // A fast initial response (Lucas and Crosier 1982): half way to the alarm, for what was believed long ago.
+  // Fast initial response (Lucas and Crosier 1982): the test begins half way to the alarm. For copies that
+  // were recorded long ago.
   void head_start() { sum_ = threshold_ / 2; }
 
  private:
-  double threshold_, sum_ = 0;
+  double threshold_;
+  double sum_ = 0;
 };
 
-enum class Verdict { open, good, lost };
+enum class Verdict : std::uint8_t { undecided, recovered, lost };
 
+// Decides whether a replica on probation keeps its new copies.
 class RecoveryTest {
  public:
-  // Error rates in (0, 0.5): trusting what is void, and not trusting what is good.
-  RecoveryTest(double false_trust = 0.001, double false_doubt = 0.01);
-  // A verdict begins the test anew.
-  Verdict add(double p, bool hit);
+  // Error rates: `false_trust` of trusting a replica that keeps nothing, `false_doubt` of doubting one that
+  // keeps its copies. Throws std::invalid_argument unless both are in (0, 0.5).
+  RecoveryTest(double false_trust, double false_doubt);
+  // With the rates 0.001 and 0.01.
+  RecoveryTest();
+
+  // Adds an answer whose hit was predicted with this probability. After a verdict the test begins again.
+  Verdict add(double probability, CacheOutcome outcome);
   void reset() { sum_ = 0; }
 
  private:
-  double good_, lost_, sum_ = 0;
+  double recovered_threshold_;
+  double lost_threshold_;
+  double sum_ = 0;
 };
 
-// How long copies live on one replica, learned from answers: they are lost at a constant rate for each token
-// that this router sent there since. Tokens and not time, because a replica evicts when it needs the room;
-// this router's own tokens, because it knows no others and its part of them is about constant.
+// How long copies survive on one replica: each is evicted at a constant rate for each token that this router
+// has sent to the replica since. The unit is tokens and not time because a replica evicts when it needs the
+// room; only this router's own tokens count because it does not know those of others, and its share of them
+// is about constant.
 //
-// The rate's estimate is the mean of a Gamma posterior that forgets: a miss is an event half way, a hit is
-// exposure without one.
+// The rate is the mean of a Gamma posterior with exponential forgetting: a miss is an event half way through
+// the age, a hit is exposure without an event.
 class Survival {
  public:
-  // Probability that a copy last used so many tokens ago is still there.
-  double after(double tokens) const;
-  void learn(double tokens, bool hit);
+  // Probability that a copy is still there after so many tokens. Negative counts are taken as 0.
+  double probability_after(double tokens) const;
+  // Adds an answer whose copy had this age in tokens.
+  void learn(double age_tokens, CacheOutcome outcome);
   // Tokens after which half of the copies are gone.
   double half_life() const;
 
  private:
-  static constexpr double kPriorEvents = 0.5, kPriorTokens = 200'000;
-  static constexpr double kForget = 0.99;  // of what was learned is kept with each answer: about 100 count
-  double events_ = 0, tokens_ = 0;
+  static constexpr double kPriorEvents = 0.5;
+  static constexpr double kPriorTokens = 200'000;
+  static constexpr double kForgetting =
+      0.99;  // weight kept with each answer: about the last 100 answers count
+
+  double events_ = 0;
+  double tokens_ = 0;
 };
 
-// The share of predicted hits that came, with its bounds, over about the last 200 answers.
+// The share of predicted hits that occurred, with its bounds, over about the last 200 answers.
 class Calibration {
  public:
-  void learn(double p, bool hit);
-  // Multiplies a prediction; 1 until something else is learned.
+  // Adds an answer whose hit was predicted with this probability.
+  void learn(double probability, CacheOutcome outcome);
+  // Factor by which predictions are to be multiplied, in (0, 1]; 1 before the first answer.
   double factor() const;
-  // Bounds of the hit rate at this confidence in (0, 1), by the beta posterior with Jeffreys' prior.
+
   struct Bounds {
-    double low, high;
+    double low;
+    double high;
   };
+  // Credible interval of the hit rate: the beta posterior with Jeffreys' prior. `confidence` is in (0, 1).
   Bounds bounds(double confidence) const;
-  double answers() const { return answers_; }
 
  private:
-  static constexpr double kForget = 0.995, kPrior = 8;
-  double answers_ = 0, predicted_ = 0, hits_ = 0;
+  static constexpr double kForgetting = 0.995;
+  static constexpr double kPriorHits = 8;  // hits that were predicted and occurred before the first answer
+
+  double answers_ = 0;
+  double predicted_ = 0;
+  double hits_ = 0;
 };
 
 }  // namespace thornwick::affinity
--- a/src/affinity/entry_table.cpp
+++ b/src/affinity/entry_table.cpp
@@ -1,22 +1,26 @@
 #include "affinity/entry_table.hpp"
 
+#include <algorithm>
+#include <stdexcept>
+
 namespace thornwick::affinity {
 
-// How many groups of one prefix and its sessions fit into both limits.
-std::size_t EntryTable::pairs(const TableLimits& limits) {
-  // Guards the bound in bytes: a bucket array is a power of two, up to twice the entries; a sketch likewise.
-  const std::size_t sketch = limits.eviction == Eviction::tinylfu ? 8 : 0;
-  const std::size_t group = kSessionsPerPrefix * (BoundedMap<Session>::bytes_per_entry() + sketch) +
-                            BoundedMap<Prefix>::bytes_per_entry() + sketch;
-  constexpr std::size_t kSmallSketches = 64;  // two of the least size, where no admission is tested
-  const std::size_t room = limits.bytes > kSmallSketches ? limits.bytes - kSmallSketches : 0;
-  const std::size_t fit = std::min(room / group, limits.entries / (kSessionsPerPrefix + 1));
-  if (fit == 0) throw std::invalid_argument("affinity table: the limits leave no room for an entry");
-  return fit;
+std::size_t EntryTable::group_count(const TableLimits& limits) {
+  // The bytes are counted for the worst case: a bucket array, like a sketch, is rounded up to a power of two.
+  constexpr std::size_t kSketchBytesPerEntry = 8;
+  constexpr std::size_t kSmallestSketches = 64;  // bytes of both maps' sketches at their least size
+  const std::size_t sketch = limits.eviction == Eviction::tinylfu ? kSketchBytesPerEntry : 0;
+  const std::size_t session_bytes = BoundedMap<Session>::bytes_per_entry() + sketch;
+  const std::size_t prefix_bytes = BoundedMap<Prefix>::bytes_per_entry() + sketch;
+  const std::size_t group_bytes = kSessionsPerPrefix * session_bytes + prefix_bytes;
+  const std::size_t usable_bytes = limits.bytes > kSmallestSketches ? limits.bytes - kSmallestSketches : 0;
+  const std::size_t groups = std::min(usable_bytes / group_bytes, limits.entries / (kSessionsPerPrefix + 1));
+  if (groups == 0) throw std::invalid_argument("affinity table: the limits leave no room for an entry");
+  return groups;
 }
 
 EntryTable::EntryTable(const TableLimits& limits)
-    : sessions_(pairs(limits) * kSessionsPerPrefix, limits.eviction, limits.seed),
-      prefixes_(pairs(limits), limits.eviction, limits.seed) {}
+    : sessions_(group_count(limits) * kSessionsPerPrefix, limits.eviction, limits.seed),
+      prefixes_(group_count(limits), limits.eviction, limits.seed) {}
 
 }  // namespace thornwick::affinity
--- a/src/affinity/entry_table.hpp
+++ b/src/affinity/entry_table.hpp
@@ -1,10 +1,9 @@
-// The two linked tables: which replica holds a session's prompt copy, and which replicas hold a shared
-// beginning.
+// The entries of the affinity table: which replicas hold the cached prompt of a session, and which hold a
+// shared prefix.
 //
-// A copy names its replica by a slot and carries the slot's epoch. Raising the epoch of a slot voids all that
-// is believed of that replica in one step, however much it is; entries without a living copy go when the
-// sweep comes past. Sessions name their prefix, so that a session without a copy of its own falls back to the
-// prefix's.
+// A copy names its replica by a slot and carries the slot's epoch. Raising the epoch of a slot invalidates
+// all copies of that replica in one step, whatever their number; a sweep drops entries without a valid copy
+// later. Each session names its prefix.
 #pragma once
 
 #include <array>
@@ -16,67 +15,77 @@
 
 namespace thornwick::affinity {
 
-using Slot = std::uint16_t;
-using Epoch = std::uint16_t;
+using Slot = std::uint16_t;   // index of a replica in the registry
+using Epoch = std::uint16_t;  // counts how often a slot's copies were invalidated; wraps
 
+// A prompt, or its beginning, that a replica is believed to have cached.
 struct Copy {
-  std::uint32_t tokens = 0;    // of the prompt, believed kept
-  std::uint32_t odometer = 0;  // of its replica when it was last used, in units of 64 tokens; wraps
-  std::uint32_t seen = 0;      // when that was, in seconds of the caller's clock
+  std::uint32_t tokens = 0;  // of the prompt
+  std::uint32_t odometer =
+      0;                   // reading of its replica's odometer at the last use, in units of 64 tokens; wraps
+  std::uint32_t seen = 0;  // time of the last use, in seconds of the caller's clock
   Slot replica = 0;
-  Epoch epoch = 0;
+  Epoch epoch = 0;  // of the slot when the copy was made
 };
 
-inline constexpr std::size_t kSessionCopies = 3;  // a step to a neighbour leaves two; one more in passing
-inline constexpr std::size_t kPrefixCopies =
-    8;  // the freshest; a hotter prefix is on more, and is found anyway
+// A session that migrates to a neighbour leaves a copy on two replicas; a third is for one that was used
+// once.
+inline constexpr std::size_t kSessionCopies = 3;
+// The most recently used ones. A popular prefix is on more replicas, but is found on these.
+inline constexpr std::size_t kPrefixCopies = 8;
 
+// At most N copies, each on another replica.
 template <std::size_t N>
 struct Copies {
   std::array<Copy, N> at{};
-  std::uint8_t count = 0;
+  std::uint8_t count = 0;  // copies in use, from the front of `at`
 
   std::span<Copy> all() { return {at.data(), count}; }
   std::span<const Copy> all() const { return {at.data(), count}; }
-  Copy* on(Slot replica, Epoch epoch) {
+  // Null if there is no copy on this replica from this epoch.
+  Copy* find(Slot replica, Epoch epoch) {
     for (Copy& copy : all()) {
       if (copy.replica == replica && copy.epoch == epoch) return &copy;
     }
     return nullptr;
   }
-  void erase(const Copy* copy) { at[static_cast<std::size_t>(copy - at.data())] = at[--count]; }
-  // The place for a copy on this replica: its own, a free one, or that of the copy unseen for longest.
-  Copy& place(Slot replica) {
+  // The entry to write a copy on this replica to: the replica's own, an unused one, or the least recently
+  // used.
+  Copy& entry_for(Slot replica) {
     Copy* oldest = at.data();
     for (Copy& copy : all()) {
       if (copy.replica == replica) return copy;
       if (copy.seen < oldest->seen) oldest = &copy;
     }
-    return count < N ? at[count++] : *oldest;
+    if (count == N) return *oldest;
+    Copy& unused = at[count];
+    ++count;
+    return unused;
   }
 };
 
 struct Session {
-  std::uint64_t prefix = 0;       // 0: none
-  std::uint32_t cached_size = 0;  // size of the request that made the first living copy, in tokens
-  bool unsaved = false;           // a store has not taken its latest state yet
+  std::uint64_t prefix = 0;       // key of its shared prefix; 0: none
+  std::uint32_t cached_size = 0;  // size of the request that made the first valid copy, in tokens
+  bool unsaved = false;           // the journal has not accepted the latest state yet
   Copies<kSessionCopies> copies;
 };
 
 struct Prefix {
-  float heat = 0;           // requests with it lately, fading; not kept across a stop
-  std::uint32_t asked = 0;  // number of the request for which that was up to date
-  bool unsaved = false;
+  float recent_requests = 0;       // requests with this prefix, decaying; not stored
+  std::uint32_t last_request = 0;  // number of the request at which recent_requests was updated; not stored
+  bool unsaved = false;            // the journal has not accepted the latest state yet
   Copies<kPrefixCopies> copies;
 };
 
 struct TableLimits {
-  std::size_t entries = 1'000'000;  // of both tables together, at most
-  std::size_t bytes = 12 << 20;     // reserved by both, at most
+  std::size_t entries = 1'000'000;  // at most, of sessions and prefixes together
+  std::size_t bytes = 12 << 20;     // reserved at most, by both maps together
   Eviction eviction = Eviction::lru;
-  std::uint64_t seed = 0;  // of the hashing
+  std::uint64_t seed = 0;  // of the hash
 };
 
+// The two maps of entries, sized so that both limits hold.
 class EntryTable {
  public:
   // Throws std::invalid_argument if the limits leave no room for one entry in each table.
@@ -90,9 +99,10 @@
   std::size_t bytes() const { return sessions_.bytes() + prefixes_.bytes(); }
 
  private:
-  // One prefix for so many sessions: deployments share few beginnings among many sessions.
+  // Many sessions share few prefixes.
   static constexpr std::size_t kSessionsPerPrefix = 15;
-  static std::size_t pairs(const TableLimits& limits);
+  // The number of groups, of one prefix and its sessions each, that fit into both limits.
+  static std::size_t group_count(const TableLimits& limits);
 
   BoundedMap<Session> sessions_;
   BoundedMap<Prefix> prefixes_;
--- a/src/affinity/frequency_sketch.hpp
+++ b/src/affinity/frequency_sketch.hpp
@@ -1,7 +1,9 @@
-// How often a key was asked for lately, roughly: a count-min sketch with counters of four bits (Einziger et
-// al. 2017, section 3.2), sixteen to a word. The paper halves all counters at once after a sample; with a
-// million entries that is a pause, so here each addition halves the next few words in turn, which comes to
-// the same.
+// An estimate of how often each key was used recently: a count-min sketch (Cormode and Muthukrishnan 2005)
+// with four-bit counters, sixteen to a 64-bit word, as in TinyLFU (Einziger et al. 2017, section 3.2).
+//
+// TinyLFU halves all counters at once after a sample, which is a pause of milliseconds with a million
+// entries. Here every few additions halve the counters of the next word in turn: over a sample each counter
+// is halved once as well.
 #pragma once
 
 #include <algorithm>
@@ -11,28 +13,31 @@
 
 namespace thornwick::affinity {
 
-class Sketch {
+class FrequencySketch {
  public:
-  // Eight counters for each of the entries, rounded up to a power of two.
-  explicit Sketch(std::size_t entries) : words_(std::bit_ceil(std::max<std::size_t>(entries / 2, 4))) {}
+  // Reserves eight counters for each entry, rounded up to a power of two.
+  explicit FrequencySketch(std::size_t entries)
+      : words_(std::bit_ceil(std::max<std::size_t>(entries / 2, 4))) {}
 
+  // Counts a use of the key with this hash.
   void add(std::uint64_t hash) {
     for (unsigned row = 0; row < kRows; ++row) {
-      const auto [word, shift] = place(hash, row);
-      if (((words_[word] >> shift) & 15) < 15) words_[word] += std::uint64_t{1} << shift;
+      const CounterPosition counter = position(hash, row);
+      if (value(counter) < kMaxCount) words_[counter.word] += std::uint64_t{1} << counter.shift;
     }
-    // Twenty additions for each word of two entries: every counter is halved once in ten additions an entry.
-    if (++owed_ < 2 * kSamplePerEntry) return;
-    owed_ = 0;
-    next_ = (next_ + 1) % words_.size();
-    words_[next_] = (words_[next_] >> 1) & 0x7777777777777777ULL;
+    ++additions_since_halving_;
+    if (additions_since_halving_ < kAdditionsPerHalving) return;
+    additions_since_halving_ = 0;
+    next_word_ = (next_word_ + 1) % words_.size();
+    words_[next_word_] = (words_[next_word_] >> 1) & kHalvedCounters;
   }
 
+  // Recent uses of the key with this hash, 0 to 15. Too high if other keys share all of its counters, never
+  // too low.
   unsigned estimate(std::uint64_t hash) const {
-    unsigned least = 15;
+    unsigned least = kMaxCount;
     for (unsigned row = 0; row < kRows; ++row) {
-      const auto [word, shift] = place(hash, row);
-      least = std::min(least, static_cast<unsigned>((words_[word] >> shift) & 15));
+      least = std::min(least, value(position(hash, row)));
     }
     return least;
   }
@@ -40,21 +45,32 @@
   std::size_t bytes() const { return words_.size() * sizeof(std::uint64_t); }
 
  private:
-  static constexpr unsigned kRows = 4;
-  static constexpr std::size_t kSamplePerEntry = 10;
-  struct Place {
+  static constexpr unsigned kRows = 4;  // counters of each key
+  static constexpr unsigned kCounterBits = 4;
+  static constexpr unsigned kMaxCount = 15;
+  // Keeps the halves of a word's counters apart after a shift by one bit.
+  static constexpr std::uint64_t kHalvedCounters = 0x7777777777777777ULL;
+  // The sample is ten additions for each entry, and a word serves two entries.
+  static constexpr std::size_t kAdditionsPerHalving = 20;
+
+  struct CounterPosition {
     std::size_t word;
-    unsigned shift;
+    unsigned shift;  // of the counter's lowest bit
   };
 
-  Place place(std::uint64_t hash, unsigned row) const {
-    const std::uint64_t turned = std::rotl(hash, static_cast<int>(16 * row)) * 0x9e3779b97f4a7c15ULL;
-    return {static_cast<std::size_t>(turned >> 20) & (words_.size() - 1),
-            static_cast<unsigned>(turned >> 60) * 4};
+  CounterPosition position(std::uint64_t hash, unsigned row) const {
+    const std::uint64_t row_hash = std::rotl(hash, static_cast<int>(16 * row)) * 0x9e3779b97f4a7c15ULL;
+    return {static_cast<std::size_t>(row_hash >> 20) & (words_.size() - 1),
+            static_cast<unsigned>(row_hash >> 60) * kCounterBits};
+  }
+
+  unsigned value(const CounterPosition& counter) const {
+    return static_cast<unsigned>((words_[counter.word] >> counter.shift) & kMaxCount);
   }
 
   std::vector<std::uint64_t> words_;
-  std::size_t owed_ = 0, next_ = 0;
+  std::size_t additions_since_halving_ = 0;
+  std::size_t next_word_ = 0;  // whose counters were halved last
 };
 
 }  // namespace thornwick::affinity
--- a/src/affinity/replica_registry.cpp
+++ b/src/affinity/replica_registry.cpp
@@ -5,11 +5,11 @@
 
 namespace thornwick::affinity {
 
-ReplicaRegistry::ReplicaRegistry(std::size_t most, double answers_per_false_alarm)
-    : most_(std::min<std::size_t>(most, std::numeric_limits<Slot>::max())),
+ReplicaRegistry::ReplicaRegistry(std::size_t max_replicas, double answers_per_false_alarm)
+    : max_replicas_(std::min<std::size_t>(max_replicas, std::numeric_limits<Slot>::max())),
       answers_per_false_alarm_(answers_per_false_alarm) {}
 
-Replica ReplicaRegistry::fresh(ReplicaId id, Epoch epoch) const {
+Replica ReplicaRegistry::make_replica(ReplicaId id, Epoch epoch) const {
   Replica replica;
   replica.id = id;
   replica.used = true;
@@ -25,7 +25,7 @@
 
 std::optional<Slot> ReplicaRegistry::admit(ReplicaId id) {
   if (const auto known = slot_of(id)) return known;
-  if (free_.empty() && replicas_.size() >= most_) {
+  if (free_.empty() && replicas_.size() >= max_replicas_) {
     ++rejected_;
     return std::nullopt;
   }
@@ -35,25 +35,24 @@
   }
   const Slot slot = free_.back();
   free_.pop_back();
-  replicas_[slot] = fresh(id, replicas_[slot].epoch);
+  replicas_[slot] = make_replica(id, replicas_[slot].epoch);
   by_id_[id] = slot;
   return slot;
 }
 
 bool ReplicaRegistry::restore(Slot slot, const Replica& replica) {
-  if (slot >= most_ || (replica.used && by_id_.contains(replica.id))) return false;
+  if (slot >= max_replicas_ || (replica.used && by_id_.contains(replica.id))) return false;
   while (replicas_.size() <= slot) {
     free_.push_back(static_cast<Slot>(replicas_.size()));
     replicas_.emplace_back();
   }
   if (replicas_[slot].used) return false;
-  const auto place = std::find(free_.begin(), free_.end(), slot);
   if (!replica.used) {
     replicas_[slot].epoch = replica.epoch;
     return true;
   }
-  free_.erase(place);
-  Replica restored = fresh(replica.id, replica.epoch);
+  free_.erase(std::find(free_.begin(), free_.end(), slot));
+  Replica restored = make_replica(replica.id, replica.epoch);
   restored.started = replica.started;
   restored.sent = replica.sent;
   restored.sent_at = replica.sent_at;
@@ -67,12 +66,13 @@
   Replica& replica = replicas_[slot];
   if (!replica.used) return;
   by_id_.erase(replica.id);
-  replica.used = replica.listed = false;
+  replica.used = false;
+  replica.listed = false;
   ++replica.epoch;
   free_.push_back(slot);
 }
 
-void ReplicaRegistry::void_copies(Slot slot) {
+void ReplicaRegistry::invalidate_copies(Slot slot) {
   Replica& replica = replicas_[slot];
   ++replica.epoch;
   replica.survival = {};
@@ -81,8 +81,8 @@
   replica.recovery.reset();
 }
 
-void ReplicaRegistry::distrust(Slot slot) {
-  void_copies(slot);
+void ReplicaRegistry::start_probation(Slot slot) {
+  invalidate_copies(slot);
   replicas_[slot].trust_state = TrustState::probing;
   ++replicas_[slot].losses;
 }
--- a/src/affinity/replica_registry.hpp
+++ b/src/affinity/replica_registry.hpp
@@ -1,11 +1,11 @@
-// What is known of each replica as a holder of copies: its epoch, how much was sent to it, how long copies
-// live there, and whether what is believed of it can be trusted.
+// The replicas that copies can be on: for each its epoch, how many tokens were sent to it, how long copies
+// survive there, and whether predictions about its cache are trusted.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
 
+#include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "affinity/cache_hit_estimator.hpp"
@@ -13,51 +13,60 @@
 
 namespace thornwick::affinity {
 
-enum class TrustState { trusted, probing };
+// `probing`: the replica is on probation after a loss.
+enum class TrustState : std::uint8_t { trusted, probing };
 
 struct Replica {
   ReplicaId id = 0;
-  bool used = false;     // the slot belongs to this id
-  bool listed = false;   // discovery names it
-  bool unsaved = false;  // a store has not taken its latest state yet
+  bool used = false;     // the slot is assigned to `id`
+  bool listed = false;   // in discovery's latest endpoint list
+  bool unsaved = false;  // the journal has not accepted the latest state yet
   EndpointState state = EndpointState::ready;
-  Time started = 0;  // as discovery tells it; 0: long ago
-  Epoch epoch = 0;   // survives in the slot when the replica goes, so that no old copy comes to life
-  double sent = 0;   // tokens that this router made it read or make, ever
-  Time sent_at = 0;  // when it last was sent any
-  double pace = 0;   // tokens a second, smoothed: what others go on sending while this router is down
+  Time started = 0;  // start of the replica according to discovery; 0: unknown
+  Epoch epoch = 0;  // stays in the slot after the replica is removed, so that no old copy becomes valid again
+  double sent = 0;  // odometer: tokens that this router made the replica read or generate
+  Time sent_at = 0;  // when `sent` last grew; 0: never
+  double pace = 0;   // smoothed growth of `sent`, tokens a second: what is assumed while this router is down
   Survival survival;
   Calibration calibration;
-  LossTest loss{2};  // set anew with the table's own rate
+  LossTest loss{2};  // replaced by one with the table's rate of false alarms
   RecoveryTest recovery;
   TrustState trust_state = TrustState::trusted;
-  std::uint64_t answers = 0, hits = 0, misses = 0, losses = 0, probes = 0;
+  std::uint64_t answers = 0;  // complete answers
+  std::uint64_t hits = 0;     // answers that found the expected copy
+  std::uint64_t misses = 0;   // answers that did not
+  std::uint64_t losses = 0;   // times that its copies were invalidated by a loss test
+  std::uint64_t probes = 0;   // hints considered while on probation
 };
 
+// Assigns a slot to each replica. References to a replica are valid until the next admission or restoration.
 class ReplicaRegistry {
  public:
-  // At most so many at once, 65,535 at the most.
-  ReplicaRegistry(std::size_t most, double answers_per_false_alarm);
+  // At most `max_replicas` at once, and never more than 65,535. `answers_per_false_alarm`: of each replica's
+  // loss test.
+  ReplicaRegistry(std::size_t max_replicas, double answers_per_false_alarm);
 
-  // The slot of this replica, or none: it was never listed, or there are more replicas than slots.
+  // The slot of this replica; none if it was never listed, or was not admitted because all slots were in use.
   std::optional<Slot> slot_of(ReplicaId id) const;
   Replica& at(Slot slot) { return replicas_[slot]; }
   const Replica& at(Slot slot) const { return replicas_[slot]; }
   std::size_t size() const { return by_id_.size(); }
   std::size_t slots() const { return replicas_.size(); }
-  std::uint64_t rejected() const { return rejected_; }  // replicas without a slot
+  // Admissions that failed because all slots were in use.
+  std::uint64_t rejected() const { return rejected_; }
 
-  // The slot of a replica that is listed now, made if need be.
+  // The slot of a listed replica, which is assigned if the replica has none; none if all slots are in use.
   std::optional<Slot> admit(ReplicaId id);
-  // A slot read from a store: taken as it is. False if that slot or id is in use, or beyond the bound.
+  // Fills a slot as it was stored. False if the slot or the id is in use, or the slot is out of range.
   bool restore(Slot slot, const Replica& replica);
-  // Its copies are void, and the slot is free for another.
+  // Removes the replica: invalidates its copies and frees the slot.
   void release(Slot slot);
-  // Nothing believed of it is true any more.
-  void void_copies(Slot slot);
-  // ... and what comes next has to prove itself.
-  void distrust(Slot slot);
+  // Invalidates all copies of the replica and forgets what was learned about their survival.
+  void invalidate_copies(Slot slot);
+  // Invalidates all copies and puts the replica on probation.
+  void start_probation(Slot slot);
 
+  // Calls `visit(slot, replica)` for each slot in use, in the order of the slots.
   template <typename Visit>
   void for_each(Visit visit) const {
     for (std::size_t slot = 0; slot < replicas_.size(); ++slot) {
@@ -72,12 +81,12 @@
   }
 
  private:
-  Replica fresh(ReplicaId id, Epoch epoch) const;
+  Replica make_replica(ReplicaId id, Epoch epoch) const;
 
-  std::size_t most_;
+  std::size_t max_replicas_;
   double answers_per_false_alarm_;
-  std::vector<Replica> replicas_;
-  std::vector<Slot> free_;
+  std::vector<Replica> replicas_;  // by slot
+  std::vector<Slot> free_;         // the last one is assigned next
   absl::flat_hash_map<ReplicaId, Slot> by_id_;
   std::uint64_t rejected_ = 0;
 };
--- /dev/null
+++ b/src/affinity/trust_tracker.cpp
@@ -0,0 +1,82 @@
+#include "affinity/trust_tracker.hpp"
+
+namespace thornwick::affinity {
+namespace {
+
+constexpr std::uint64_t kHintsPerProbe = 4;  // of a replica on probation, one of so many hints is given
+
+}  // namespace
+
+bool TrustTracker::allow_hint(Slot slot) {
+  Replica& replica = replicas_.at(slot);
+  if (replica.trust_state == TrustState::trusted) return true;
+  ++replica.probes;
+  return replica.probes % kHintsPerProbe == 0;
+}
+
+void TrustTracker::learn(Time now, Slot slot, const Expectation& expectation, CacheOutcome outcome) {
+  Replica& replica = replicas_.at(slot);
+  // Answers that were in flight when a loss was noticed expected copies that have been invalidated since.
+  // Counting them would report the same loss again.
+  if (expectation.epoch != replica.epoch) {
+    ++metrics_.outdated;
+    return;
+  }
+  const bool hit = outcome == CacheOutcome::hit;
+  ++(hit ? metrics_.hits : metrics_.misses);
+  ++(hit ? replica.hits : replica.misses);
+  replica.survival.learn(expectation.age_tokens, outcome);
+  replica.calibration.learn(expectation.confidence, outcome);
+  if (fleet_loss_.add(expectation.confidence, outcome)) {
+    lose_fleet(now);
+    return;
+  }
+  if (replica.trust_state == TrustState::trusted) {
+    if (replica.loss.add(expectation.confidence, outcome)) lose_replica(now, slot);
+    return;
+  }
+  switch (replica.recovery.add(expectation.confidence, outcome)) {
+    case Verdict::undecided: return;
+    case Verdict::lost: lose_replica(now, slot); return;
+    case Verdict::recovered: regain_replica(now, slot); return;
+  }
+}
+
+void TrustTracker::lose_fleet(Time now) {
+  ++metrics_.fleet_losses;
+  fleet_trusted_ = false;
+  replicas_.for_each([&](Slot slot, const Replica&) {
+    replicas_.start_probation(slot);
+    journal_.save_replica(slot);
+  });
+  if (observer_ != nullptr) observer_->fleet_lost(now);
+}
+
+void TrustTracker::lose_replica(Time now, Slot slot) {
+  const bool was_trusted = replicas_.at(slot).trust_state == TrustState::trusted;
+  replicas_.start_probation(slot);
+  journal_.save_replica(slot);
+  if (!was_trusted) return;
+  ++metrics_.replica_losses;
+  if (observer_ != nullptr) observer_->replica_lost(now, replicas_.at(slot).id);
+}
+
+void TrustTracker::regain_replica(Time now, Slot slot) {
+  Replica& replica = replicas_.at(slot);
+  replica.trust_state = TrustState::trusted;
+  replica.loss.reset();
+  ++metrics_.regained;
+  bool any_on_probation = false;
+  replicas_.for_each([&](Slot, const Replica& other) {
+    if (other.trust_state == TrustState::probing) any_on_probation = true;
+  });
+  if (!any_on_probation) fleet_trusted_ = true;
+  if (observer_ != nullptr) observer_->replica_regained(now, replica.id);
+}
+
+void TrustTracker::resume(std::size_t restored_entries) {
+  replicas_.for_each([](Slot, Replica& replica) { replica.loss.head_start(); });
+  if (restored_entries > 0) fleet_loss_.head_start();
+}
+
+}  // namespace thornwick::affinity
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -132,7 +132,7 @@
   request.arrival.payload.reset();  // the body, which takes most of the memory, is not needed again
   if (dependencies_.affinity_table != nullptr) {
     request.expectation =
-        dependencies_.affinity_table->began(started, request.arrival.request, request.replica);
+        dependencies_.affinity_table->on_answer_started(started, request.arrival.request, request.replica);
   }
   decider_->on_first_token(started, request.attempt.request_id, request.attempt.number, request.replica,
                            started - request.attempt_sent);
@@ -157,9 +157,9 @@
 void RequestManager::learn_cache_use(const ActiveRequest& request) {
   if (dependencies_.affinity_table == nullptr) return;
   const Usage& usage = request.summary.usage;
-  dependencies_.affinity_table->answered(now(), request.arrival.request, request.replica, request.expectation,
-                                         static_cast<double>(usage.cached),
-                                         static_cast<double>(usage.generated));
+  dependencies_.affinity_table->on_answer_complete(now(), request.arrival.request, request.replica,
+                                                   request.expectation, static_cast<double>(usage.cached),
+                                                   static_cast<double>(usage.generated));
 }
 
 void RequestManager::report_result(ActiveRequest& request, Outcome outcome, RequestFate fate,
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -92,7 +92,8 @@
   void handle(Time now, Instance& instance, const simulator_adapter::FirstToken& first) {
     const auto found = instance.in_flight.find(first.id);
     if (found != instance.in_flight.end()) {
-      found->second.expectation = instance.affinity_table.began(now, found->second.request, first.replica);
+      found->second.expectation =
+          instance.affinity_table.on_answer_started(now, found->second.request, first.replica);
     }
     instance.router.on_first_token(now, first.id, first.attempt, first.replica, first.elapsed);
   }
@@ -102,7 +103,8 @@
     const auto found = instance.in_flight.find(result.id);
     if (found != instance.in_flight.end() && result.outcome == Outcome::served) {
       const auto& [request, expectation] = found->second;
-      instance.affinity_table.answered(now, request, result.replica, expectation, result.cached_tokens, 0);
+      instance.affinity_table.on_answer_complete(now, request, result.replica, expectation,
+                                                 result.cached_tokens, 0);
     }
     if (found != instance.in_flight.end() && result.concluded) instance.in_flight.erase(found);
     instance.router.on_attempt_result(now, result);
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -1,4 +1,4 @@
-// What the router believes, against replicas that keep and lose prompts by plain rules.
+// The affinity table against simulated replicas that cache prompts, and lose them, by simple rules.
 #include "affinity/affinity_table.hpp"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -14,206 +14,220 @@
 
 constexpr Time kSecond = seconds(1);
 
-struct Heard : Observer {
-  int fleet = 0, lost = 0, regained = 0;
-  void fleet_lost(Time) override { ++fleet; }
-  void replica_lost(Time, ReplicaId) override { ++lost; }
+struct CountingObserver : Observer {
+  int fleet_losses = 0;
+  int replica_losses = 0;
+  int regained = 0;
+  void fleet_lost(Time) override { ++fleet_losses; }
+  void replica_lost(Time, ReplicaId) override { ++replica_losses; }
   void replica_regained(Time, ReplicaId) override { ++regained; }
 };
 
-Request turn(std::uint64_t session, double prompt, std::uint64_t prefix = 0, double beginning = 0) {
+Request make_request(std::uint64_t session, double prompt_tokens, std::uint64_t prefix = 0,
+                     double prefix_tokens = 0) {
   Request request;
   request.session = session;
-  request.prompt_tokens = prompt;
+  request.prompt_tokens = prompt_tokens;
   request.max_tokens = 100;
   request.prefix = prefix;
-  request.prefix_tokens = beginning;
+  request.prefix_tokens = prefix_tokens;
   return request;
 }
 
-struct World {
-  explicit World(int replicas = 4) { list(replicas); }
+// A table, the replicas that discovery lists, and a clock.
+struct TableFixture {
+  explicit TableFixture(int replicas = 4) { list_replicas(replicas); }
 
-  void list(int count) {
+  void list_replicas(int count) {
     std::vector<Endpoint> entries;
     for (int i = 1; i <= count; ++i) entries.push_back({.id = static_cast<ReplicaId>(i)});
     affinity_table.on_endpoints(EndpointUpdate::full, entries);
   }
-  void change(ReplicaId id, EndpointState state, Time started = 0) {
+  void update_replica(ReplicaId id, EndpointState state, Time started = 0) {
     const Endpoint entry{.id = id, .state = state, .started = started};
     affinity_table.on_endpoints(EndpointUpdate::delta, std::span(&entry, 1));
   }
-  // A whole answer by this replica, which finds so many tokens.
-  void answer(const Request& request, ReplicaId replica, double found) {
-    const auto was = affinity_table.began(now, request, replica);
-    now += 50'000;
-    affinity_table.answered(now, request, replica, was, found, 50);
+  // A complete answer of this replica, which finds so many tokens in its cache.
+  void answer(const Request& request, ReplicaId replica, double cached_tokens) {
+    const Expectation expectation = affinity_table.on_answer_started(now, request, replica);
+    now += milliseconds(50);
+    affinity_table.on_answer_complete(now, request, replica, expectation, cached_tokens, 50);
   }
 
   Time now = seconds(1'000'000);
-  Heard heard;
-  AffinityTable affinity_table{Options{.table = {.entries = 10'000, .bytes = 4 << 20}}, &heard};
+  CountingObserver observer;
+  AffinityTable affinity_table{Options{.table = {.entries = 10'000, .bytes = 4 << 20}}, &observer};
 };
 
-// A fleet that keeps whole prompts; requests go where the table says, or to a replica by their number.
-struct Fleet : World {
-  Fleet() : World(8) {}
+// Eight replicas that cache whole prompts. Requests go where the table's hint says, or else to a replica by
+// their session's number.
+struct SimulatedFleet : TableFixture {
+  SimulatedFleet() : TableFixture(8) {}
 
-  void play(int requests, bool keep = true) {
+  void run(int requests) {
     for (int i = 0; i < requests; ++i) {
-      const std::uint64_t session = 1 + boost::random::uniform_int_distribution<std::uint64_t>(0, 199)(dice);
-      double& prompt = prompts[session];
-      prompt += 200;
-      if (prompt > 4000) prompt = 200, held.erase(session);
-      const Request request = turn(session, prompt);
-      const CacheHint cache_hint = affinity_table.recall(now, request);
-      const ReplicaId replica =
-          cache_hint.known ? cache_hint.replica : static_cast<ReplicaId>(1 + session % 8);
-      told += cache_hint.known ? 1 : 0;
-      const auto found = held.find(session);
-      const bool there = found != held.end() && found->second.first == replica;
-      answer(request, replica, there && keep ? found->second.second : 0);
-      held[session] = {replica, prompt};
+      const auto session = boost::random::uniform_int_distribution<std::uint64_t>(1, 200)(random);
+      double& prompt_tokens = prompts[session];
+      prompt_tokens += 200;
+      if (prompt_tokens > 4000) {
+        prompt_tokens = 200;
+        caches.erase(session);
+      }
+      const Request request = make_request(session, prompt_tokens);
+      const CacheHint hint = affinity_table.recall(now, request);
+      const ReplicaId replica = hint.known ? hint.replica : static_cast<ReplicaId>(1 + session % 8);
+      hints += hint.known ? 1 : 0;
+      const auto cached = caches.find(session);
+      const bool hit = cached != caches.end() && cached->second.replica == replica;
+      answer(request, replica, hit ? cached->second.tokens : 0);
+      caches[session] = {replica, prompt_tokens};
     }
   }
-  // All copies are void, as the replicas see it.
+  // Empties the caches of all replicas.
   void flush() {
-    for (auto& [session, copy] : held) copy.second = 0;
+    for (auto& [session, cached] : caches) cached.tokens = 0;
   }
 
-  boost::random::mt19937_64 dice{11};
-  std::map<std::uint64_t, double> prompts;
-  std::map<std::uint64_t, std::pair<ReplicaId, double>> held;
-  int told = 0;
+  struct CachedPrompt {
+    ReplicaId replica;
+    double tokens;
+  };
+  boost::random::mt19937_64 random{11};
+  std::map<std::uint64_t, double> prompts;       // tokens of each session's latest prompt
+  std::map<std::uint64_t, CachedPrompt> caches;  // by session
+  int hints = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a session is believed to be where it was answered, at the size it was placed") {
-  World w;
-  CHECK_FALSE(w.affinity_table.recall(w.now, turn(7, 1000)).known);
-  w.answer(turn(7, 1000), 3, 0);
-  const CacheHint cache_hint = w.affinity_table.recall(w.now, turn(7, 1500));
-  CHECK(cache_hint.known);
-  CHECK(cache_hint.replica == 3);
-  CHECK(cache_hint.tokens > 800);
-  CHECK(cache_hint.tokens <= 1000);
-  CHECK(cache_hint.cached_size == 1100);
-  w.answer(turn(7, 1500), 3, 1000);
-  CHECK(w.affinity_table.recall(w.now, turn(7, 1800)).cached_size == 1100);
+TEST_CASE("a session's hint names the replica that answered it last, and the size at which it was placed") {
+  TableFixture fixture;
+  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1000)).known);
+  fixture.answer(make_request(7, 1000), 3, 0);
+  const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(7, 1500));
+  CHECK(hint.known);
+  CHECK(hint.replica == 3);
+  CHECK(hint.tokens > 800);
+  CHECK(hint.tokens <= 1000);
+  CHECK(hint.cached_size == 1100);
+  fixture.answer(make_request(7, 1500), 3, 1000);
+  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1800)).cached_size == 1100);
 }
 
-TEST_CASE("a step to a neighbour leaves the copy in two places") {
-  World w;
-  w.answer(turn(7, 1000), 2, 0);
-  w.answer(turn(7, 1400), 3, 0);
-  CHECK(w.affinity_table.recall(w.now, turn(7, 1600)).replica == 3);
-  w.change(3, EndpointState::draining);
-  CHECK(w.affinity_table.recall(w.now, turn(7, 1600)).replica == 2);
-  w.change(3, EndpointState::ready);
-  CHECK(w.affinity_table.recall(w.now, turn(7, 1600)).replica == 3);
+TEST_CASE("a session that migrates to a neighbour leaves a copy on both replicas") {
+  TableFixture fixture;
+  fixture.answer(make_request(7, 1000), 2, 0);
+  fixture.answer(make_request(7, 1400), 3, 0);
+  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 3);
+  fixture.update_replica(3, EndpointState::draining);
+  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 2);
+  fixture.update_replica(3, EndpointState::ready);
+  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 3);
 }
 
-TEST_CASE("a box that restarted, went or was replaced holds nothing") {
-  World w;
-  w.answer(turn(7, 1000), 2, 0);
-  SECTION("it started anew under its name") { w.change(2, EndpointState::ready, w.now); }
-  SECTION("it went") { w.change(2, EndpointState::gone); }
-  SECTION("it went and came back") {
-    w.change(2, EndpointState::gone);
-    w.change(2, EndpointState::ready);
+TEST_CASE("a replica that restarted, was removed or was replaced has no copies") {
+  TableFixture fixture;
+  fixture.answer(make_request(7, 1000), 2, 0);
+  SECTION("it restarted under its id") { fixture.update_replica(2, EndpointState::ready, fixture.now); }
+  SECTION("it was removed") { fixture.update_replica(2, EndpointState::gone); }
+  SECTION("it was removed and listed again") {
+    fixture.update_replica(2, EndpointState::gone);
+    fixture.update_replica(2, EndpointState::ready);
   }
-  SECTION("a whole list omits it") { w.list(1); }
-  SECTION("another takes its slot") {
-    w.change(2, EndpointState::gone);
-    w.change(9, EndpointState::ready);
+  SECTION("a full endpoint list omits it") { fixture.list_replicas(1); }
+  SECTION("another replica gets its slot") {
+    fixture.update_replica(2, EndpointState::gone);
+    fixture.update_replica(9, EndpointState::ready);
   }
-  CHECK_FALSE(w.affinity_table.recall(w.now, turn(7, 1500)).known);
+  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1500)).known);
 }
 
-TEST_CASE("a new session follows its beginning, over all boxes that hold it") {
-  World w;
+TEST_CASE("new sessions are spread over all replicas that have their prefix cached") {
+  TableFixture fixture;
   for (ReplicaId replica = 1; replica <= 4; ++replica)
-    w.answer(turn(100 + replica, 5000, 55, 4000), replica, 0);
+    fixture.answer(make_request(100 + replica, 5000, 55, 4000), replica, 0);
   std::map<ReplicaId, int> chosen;
   for (std::uint64_t session = 1000; session < 1400; ++session) {
-    const CacheHint cache_hint = w.affinity_table.recall(w.now, turn(session, 5000, 55, 4000));
-    REQUIRE(cache_hint.known);
-    CHECK(cache_hint.cached_size == 0);
-    ++chosen[cache_hint.replica];
+    const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(session, 5000, 55, 4000));
+    REQUIRE(hint.known);
+    CHECK(hint.cached_size == 0);
+    ++chosen[hint.replica];
   }
   CHECK(chosen.size() == 4);
   for (const auto& [replica, count] : chosen) CHECK(count < 150);  // 100 each are fair
 }
 
-TEST_CASE("what the beginning alone brings is no proof that the session's copy is there") {
-  World w;
-  w.answer(turn(7, 5000, 55, 4000), 2, 0);
-  w.answer(turn(7, 6000, 55, 4000), 2, 4000);
-  CHECK(w.affinity_table.metrics().misses == 1);
-  w.answer(turn(7, 7000, 55, 4000), 2, 6000);
-  CHECK(w.affinity_table.metrics().hits == 1);
+TEST_CASE("cached tokens of the prefix alone do not count as a hit of the session's copy") {
+  TableFixture fixture;
+  fixture.answer(make_request(7, 5000, 55, 4000), 2, 0);
+  fixture.answer(make_request(7, 6000, 55, 4000), 2, 4000);
+  CHECK(fixture.affinity_table.metrics().misses == 1);
+  fixture.answer(make_request(7, 7000, 55, 4000), 2, 6000);
+  CHECK(fixture.affinity_table.metrics().hits == 1);
 }
 
-TEST_CASE("entries age out, also when the clock went back meanwhile") {
-  World w;
-  w.answer(turn(7, 1000), 2, 0);
-  const Time then = w.now;
-  w.now -= seconds(3600);
-  CHECK(w.affinity_table.recall(w.now, turn(7, 1200)).known);
-  w.now = then + seconds(1801);
-  CHECK_FALSE(w.affinity_table.recall(w.now, turn(7, 1200)).known);
-  for (std::uint64_t i = 0; i < 200; ++i) w.answer(turn(50, 100), 1, 0);
-  CHECK(w.affinity_table.table().sessions().find(7) == nullptr);
-  CHECK(w.affinity_table.metrics().expired == 1);
+TEST_CASE("entries expire after the lifetime, also if the clock was set back meanwhile") {
+  TableFixture fixture;
+  fixture.answer(make_request(7, 1000), 2, 0);
+  const Time then = fixture.now;
+  fixture.now -= seconds(3600);
+  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1200)).known);
+  fixture.now = then + seconds(1801);
+  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1200)).known);
+  for (std::uint64_t i = 0; i < 200; ++i) fixture.answer(make_request(50, 100), 1, 0);
+  CHECK(fixture.affinity_table.table().sessions().find(7) == nullptr);
+  CHECK(fixture.affinity_table.metrics().expired == 1);
 }
 
-TEST_CASE("when all copies vanish the table is not believed within 20 answers, and box by box again later") {
-  Fleet fleet;
-  fleet.play(3000);
-  REQUIRE(fleet.heard.fleet + fleet.heard.lost == 0);
+TEST_CASE("a flush of all caches is noticed within 20 answers, and replicas are trusted again one by one") {
+  SimulatedFleet fleet;
+  fleet.run(3000);
+  REQUIRE(fleet.observer.fleet_losses + fleet.observer.replica_losses == 0);
   REQUIRE(fleet.affinity_table.metrics().hits > 2000);
   fleet.flush();
   const auto misses = fleet.affinity_table.metrics().misses;
   int answers = 0;
-  while (fleet.heard.fleet == 0 && answers < 100) fleet.play(1), ++answers;
+  while (fleet.observer.fleet_losses == 0 && answers < 100) {
+    fleet.run(1);
+    ++answers;
+  }
   CHECK(answers <= 20);
   CHECK(fleet.affinity_table.metrics().misses - misses <= 20);
   CHECK_FALSE(fleet.affinity_table.trusted());
   CHECK(fleet.affinity_table.table().sessions().size() > 0);
-  // Nothing old is told any more; what is told are now and then new copies, to learn from.
-  fleet.told = 0;
-  fleet.play(100);
-  CHECK(fleet.told < 40);
-  fleet.play(3000);
+  // No hint names an old copy; every fourth hint about a new copy is given, to learn from.
+  fleet.hints = 0;
+  fleet.run(100);
+  CHECK(fleet.hints < 40);
+  fleet.run(3000);
   CHECK(fleet.affinity_table.trusted());
-  CHECK(fleet.heard.regained == 8);
-  fleet.told = 0;
-  fleet.play(1000);
-  CHECK(fleet.told > 700);
+  CHECK(fleet.observer.regained == 8);
+  fleet.hints = 0;
+  fleet.run(1000);
+  CHECK(fleet.hints > 700);
 }
 
-TEST_CASE("one box that loses its copies is doubted alone") {
-  Fleet fleet;
-  fleet.play(3000);
-  for (int i = 0; i < 40 && fleet.heard.lost == 0; ++i) {
-    for (auto& [session, copy] : fleet.held) {
-      if (copy.first == 5) copy.second = 0;
+TEST_CASE("only the replica that lost its copies is put on probation") {
+  SimulatedFleet fleet;
+  fleet.run(3000);
+  for (int i = 0; i < 40 && fleet.observer.replica_losses == 0; ++i) {
+    for (auto& [session, cached] : fleet.caches) {
+      if (cached.replica == 5) cached.tokens = 0;
     }
-    fleet.play(25);
+    fleet.run(25);
   }
-  CHECK(fleet.heard.lost == 1);
-  CHECK(fleet.heard.fleet == 0);
+  CHECK(fleet.observer.replica_losses == 1);
+  CHECK(fleet.observer.fleet_losses == 0);
   CHECK(fleet.affinity_table.trusted());
 }
 
-TEST_CASE("more boxes than slots are passed over, not lost") {
+TEST_CASE("replicas beyond the slots are rejected and counted, and get no copies") {
   AffinityTable affinity_table(Options{.table = {.entries = 1000}, .max_replicas = 2});
   std::vector<Endpoint> entries{{.id = 1}, {.id = 2}, {.id = 3}};
   affinity_table.on_endpoints(EndpointUpdate::full, entries);
   CHECK(affinity_table.replicas().size() == 2);
   CHECK(affinity_table.replicas().rejected() == 1);
-  const auto was = affinity_table.began(kSecond, turn(7, 1000), 3);
-  affinity_table.answered(kSecond, turn(7, 1000), 3, was, 0, 10);
-  CHECK_FALSE(affinity_table.recall(kSecond, turn(7, 1000)).known);
+  const Expectation expectation = affinity_table.on_answer_started(kSecond, make_request(7, 1000), 3);
+  affinity_table.on_answer_complete(kSecond, make_request(7, 1000), 3, expectation, 0, 10);
+  CHECK_FALSE(affinity_table.recall(kSecond, make_request(7, 1000)).known);
 }
--- a/tests/affinity/bounded_map.cpp
+++ b/tests/affinity/bounded_map.cpp
@@ -1,4 +1,4 @@
-// The bounded tables against plain models.
+// The bounded map, the entry table and its copies, against simple models.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -11,106 +11,133 @@
 
 namespace {
 
+enum class Operation { put, use, erase, sweep_odd_values };
+
 struct Step {
-  int kind;  // 0 put, 1 use, 2 erase, 3 sweep of odd values
+  Operation operation;
   std::uint64_t key;
 };
 
 rc::Gen<std::vector<Step>> steps() {
   return rc::gen::container<std::vector<Step>>(
-      rc::gen::construct<Step>(rc::gen::weightedElement<int>({{6, 0}, {4, 1}, {1, 2}, {1, 3}}),
+      rc::gen::construct<Step>(rc::gen::weightedElement<Operation>({{6, Operation::put},
+                                                                    {4, Operation::use},
+                                                                    {1, Operation::erase},
+                                                                    {1, Operation::sweep_odd_values}}),
                                rc::gen::inRange<std::uint64_t>(0, 40)));
 }
 
-// The plainest list of what was used last, at the back.
-struct PlainLru {
+// An LRU map as a list with the most recently used entry at the back.
+struct ListLru {
+  struct Entry {
+    std::uint64_t key;
+    int value;
+  };
   std::size_t capacity;
-  std::list<std::pair<std::uint64_t, int>> order;
+  std::list<Entry> entries;
 
-  auto at(std::uint64_t key) {
-    return std::find_if(order.begin(), order.end(), [&](auto& e) { return e.first == key; });
+  auto find(std::uint64_t key) {
+    return std::find_if(entries.begin(), entries.end(), [&](const Entry& entry) { return entry.key == key; });
   }
   bool use(std::uint64_t key) {
-    const auto found = at(key);
-    if (found == order.end()) return false;
-    order.splice(order.end(), order, found);
+    const auto found = find(key);
+    if (found == entries.end()) return false;
+    entries.splice(entries.end(), entries, found);
     return true;
   }
   void put(std::uint64_t key, int value) {
-    if (use(key)) return void(order.back().second = value);
-    if (order.size() == capacity) order.pop_front();
-    order.emplace_back(key, value);
+    if (use(key)) {
+      entries.back().value = value;
+      return;
+    }
+    if (entries.size() == capacity) entries.pop_front();
+    entries.push_back({key, value});
   }
 };
 
-bool check(bool good) { return good; }
+bool is_odd(int value) { return value % 2 == 1; }
+
+// Makes a plain value of the result, which Catch2's macros can take apart.
+bool holds(bool result) { return result; }
 
 }  // namespace
 
-TEST_CASE("a plain LRU table does what a list does, whatever comes") {
-  CHECK(check(rc::check([] {
+TEST_CASE("the LRU map behaves as a list ordered by use, for any sequence of operations") {
+  CHECK(holds(rc::check([] {
     const auto capacity = *rc::gen::inRange<std::size_t>(1, 12);
     BoundedMap<int> map(capacity, Eviction::lru, 7);
-    PlainLru plain{capacity, {}};
+    ListLru model{capacity, {}};
     const std::size_t bytes = map.bytes();
     int value = 0;
-    for (const auto& [kind, key] : *steps()) {
+    for (const auto& [operation, key] : *steps()) {
       ++value;
-      if (kind == 0) map.put(key) = value, plain.put(key, value);
-      if (kind == 1) RC_ASSERT((map.use(key) != nullptr) == plain.use(key));
-      if (kind == 2) {
-        RC_ASSERT(map.erase(key) == (plain.at(key) != plain.order.end()));
-        plain.order.remove_if([&](auto& e) { return e.first == key; });
+      switch (operation) {
+        case Operation::put:
+          map.put(key) = value;
+          model.put(key, value);
+          break;
+        case Operation::use: RC_ASSERT((map.use(key) != nullptr) == model.use(key)); break;
+        case Operation::erase:
+          RC_ASSERT(map.erase(key) == (model.find(key) != model.entries.end()));
+          model.entries.remove_if([&](const auto& entry) { return entry.key == key; });
+          break;
+        case Operation::sweep_odd_values:
+          map.sweep(capacity, [](std::uint64_t, int swept) { return is_odd(swept); });
+          model.entries.remove_if([](const auto& entry) { return is_odd(entry.value); });
+          break;
       }
-      if (kind == 3) {
-        map.sweep(capacity, [](std::uint64_t, int v) { return v % 2 == 1; });
-        plain.order.remove_if([](auto& e) { return e.second % 2 == 1; });
-      }
-      RC_ASSERT(map.size() == plain.order.size());
+      RC_ASSERT(map.size() == model.entries.size());
       RC_ASSERT(map.size() <= capacity);
       RC_ASSERT(map.bytes() == bytes);
-      for (const auto& [k, v] : plain.order) RC_ASSERT(map.find(k) != nullptr && *map.find(k) == v);
+      for (const auto& entry : model.entries) {
+        RC_ASSERT(map.find(entry.key) != nullptr && *map.find(entry.key) == entry.value);
+      }
     }
   })));
 }
 
-TEST_CASE("whatever the eviction, an entry stays until it is told to leave, and the bound holds") {
-  CHECK(check(rc::check([] {
+TEST_CASE(
+    "with each eviction policy an entry stays until it is erased, swept or evicted, and the capacity holds") {
+  CHECK(holds(rc::check([] {
     const auto eviction = *rc::gen::element(Eviction::lru, Eviction::segmented, Eviction::tinylfu);
     const auto capacity = *rc::gen::inRange<std::size_t>(1, 12);
     BoundedMap<int> map(capacity, eviction, 3);
     std::map<std::uint64_t, int> model;
     int value = 0;
-    for (const auto& [kind, key] : *steps()) {
+    for (const auto& [operation, key] : *steps()) {
       ++value;
-      if (kind == 0) {
-        map.put(key, [&](std::uint64_t gone, int v) {
-          RC_ASSERT(model.size() == capacity);
-          RC_ASSERT(model.at(gone) == v);
-          model.erase(gone);
-        }) = value;
-        model[key] = value;
-      }
-      if (kind == 1) RC_ASSERT((map.use(key) != nullptr) == model.contains(key));
-      if (kind == 2) RC_ASSERT(map.erase(key) == (model.erase(key) == 1));
-      if (kind == 3) {
-        const std::size_t dropped = map.sweep(capacity, [](std::uint64_t, int v) { return v % 2 == 1; });
-        RC_ASSERT(dropped == std::erase_if(model, [](auto& e) { return e.second % 2 == 1; }));
+      switch (operation) {
+        case Operation::put:
+          map.put(key, [&](std::uint64_t evicted_key, int evicted_value) {
+            RC_ASSERT(model.size() == capacity);
+            RC_ASSERT(model.at(evicted_key) == evicted_value);
+            model.erase(evicted_key);
+          }) = value;
+          model[key] = value;
+          break;
+        case Operation::use: RC_ASSERT((map.use(key) != nullptr) == model.contains(key)); break;
+        case Operation::erase: RC_ASSERT(map.erase(key) == (model.erase(key) == 1)); break;
+        case Operation::sweep_odd_values: {
+          const std::size_t dropped =
+              map.sweep(capacity, [](std::uint64_t, int swept) { return is_odd(swept); });
+          RC_ASSERT(dropped == std::erase_if(model, [](const auto& entry) { return is_odd(entry.second); }));
+          break;
+        }
       }
       RC_ASSERT(map.size() == model.size());
-      std::size_t seen = 0;
-      map.for_each([&](std::uint64_t k, int v) {
-        RC_ASSERT(model.at(k) == v);
-        ++seen;
+      std::size_t visited = 0;
+      map.for_each([&](std::uint64_t visited_key, int visited_value) {
+        RC_ASSERT(model.at(visited_key) == visited_value);
+        ++visited;
       });
-      RC_ASSERT(seen == model.size());
+      RC_ASSERT(visited == model.size());
     }
   })));
 }
 
-// A queue of strangers, each seen once, must not push out what is used again and again.
-TEST_CASE("a scan does not empty a segmented or a TinyLFU table") {
-  // The sketch of TinyLFU takes some strangers for regulars: its counters are shared.
+// A scan is a sequence of new keys, each used once. It must not evict the entries that are used often.
+TEST_CASE("a scan does not evict the frequently used entries of a segmented or a TinyLFU map") {
+  // Keys share the counters of the TinyLFU sketch, so some keys of the scan pass the admission test.
   for (const auto& [eviction, least] : {std::pair{Eviction::segmented, 500}, {Eviction::tinylfu, 400}}) {
     BoundedMap<int> map(1000, eviction, 5);
     for (int round = 0; round < 20; ++round) {
@@ -123,26 +150,30 @@
   }
 }
 
-// No call may pause: none walks a long bucket, whatever keys clients choose, and none moves what is there.
-TEST_CASE("a million entries of keys in a row, and of keys that differ in few bits, make no long walk") {
+// No call may pause: none compares many entries, whatever keys clients choose, and none moves existing
+// entries.
+TEST_CASE("a million consecutive keys, and keys that differ in few bits, do not fill single buckets") {
   for (const int shift : {0, 40}) {
     BoundedMap<int> map(1'000'000, Eviction::lru, 5);
     const int* first = &map.put(0);
     for (std::uint64_t key = 1; key < 1'000'000; ++key) map.put(key << shift);
-    CHECK(map.longest_walk() <= 12);  // by a Poisson law of mean 0.95, 3 tables in 100,000 exceed it
+    CHECK(map.largest_bucket() <= 12);  // by a Poisson law of mean 0.95, 3 tables in 100,000 exceed it
     CHECK(map.find(0) == first);
   }
 }
 
-TEST_CASE("both limits of a table hold, and one too small is refused") {
-  CHECK(check(rc::check([] {
+TEST_CASE("both limits of an entry table hold, and limits that are too small are rejected") {
+  CHECK(holds(rc::check([] {
     TableLimits limits;
     limits.entries = *rc::gen::inRange<std::size_t>(16, 5000);
     limits.bytes = *rc::gen::inRange<std::size_t>(8'000, 2'000'000);
     limits.eviction = *rc::gen::element(Eviction::lru, Eviction::segmented, Eviction::tinylfu);
     EntryTable table(limits);
     RC_ASSERT(table.bytes() <= limits.bytes);
-    for (std::uint64_t key = 1; key < 6000; ++key) table.sessions().put(key), table.prefixes().put(key);
+    for (std::uint64_t key = 1; key < 6000; ++key) {
+      table.sessions().put(key);
+      table.prefixes().put(key);
+    }
     RC_ASSERT(table.size() <= limits.entries);
     RC_ASSERT(table.bytes() <= limits.bytes);
   })));
@@ -150,18 +181,20 @@
   CHECK_THROWS_AS(EntryTable({.bytes = 1000}), std::invalid_argument);
 }
 
-TEST_CASE("the place for a copy is its box's own, a free one, or the oldest") {
+TEST_CASE("a copy is written to the entry of its replica, an unused one, or the least recently used") {
   Copies<3> copies;
   const auto put = [&](Slot replica, std::uint32_t seen) {
-    copies.place(replica) = {100, 0, seen, replica, 1};
+    copies.entry_for(replica) = {.tokens = 100, .odometer = 0, .seen = seen, .replica = replica, .epoch = 1};
   };
-  put(1, 10), put(2, 20), put(3, 30);
+  put(1, 10);
+  put(2, 20);
+  put(3, 30);
   put(2, 40);
   CHECK(copies.count == 3);
   put(4, 50);
   CHECK(copies.count == 3);
-  CHECK(copies.on(1, 1) == nullptr);
-  CHECK(copies.on(2, 1)->seen == 40);
-  CHECK(copies.on(4, 1) != nullptr);
-  CHECK(copies.on(4, 2) == nullptr);
+  CHECK(copies.find(1, 1) == nullptr);
+  CHECK(copies.find(2, 1)->seen == 40);
+  CHECK(copies.find(4, 1) != nullptr);
+  CHECK(copies.find(4, 2) == nullptr);
 }
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -39,9 +39,9 @@
   }
   // The replica answers the request and has as much cached as was expected.
   void answer(const Request& request, ReplicaId replica) {
-    const auto was = affinity_table.began(now, request, replica);
-    affinity_table.answered(now += 10'000, request, replica, was, was.tokens,
-                            50);  // what was expected is found
+    const auto was = affinity_table.on_answer_started(now, request, replica);
+    affinity_table.on_answer_complete(now += 10'000, request, replica, was, was.tokens,
+                                      50);  // what was expected is found
   }
   void stop() { REQUIRE(state_store.writer().drain(std::chrono::seconds(20))); }
 
--- a/tests/net/tools.cpp
+++ b/tests/net/tools.cpp
@@ -47,8 +47,8 @@
     request.session = session;
     request.prompt_tokens = 900;
     request.max_tokens = 100;
-    const auto was = affinity_table.began(now, request, replica);
-    affinity_table.answered(now, request, replica, was, 0, 10);
+    const auto was = affinity_table.on_answer_started(now, request, replica);
+    affinity_table.on_answer_complete(now, request, replica, was, 0, 10);
   };
   answer(0xabc, 1), answer(0xabc, 2), answer(0xdef, 2);
   REQUIRE(state_store.writer().drain(std::chrono::seconds(20)));
