--- a/include/thornwick/settings.hpp
+++ b/include/thornwick/settings.hpp
@@ -71,7 +71,7 @@
   bool may_probe = false;
   bool may_message_peers = false;
   bool hedging = false;      // two attempts of a request may be outstanding at once
-  bool retry_after = false;  // clients can be told how long to stay away
+  bool retry_after = false;  // a rejection can carry Retry-After
   Time max_retry_after = 0;
   std::uint32_t max_attempts = 1;    // of each request; 1 at least
   Time drain_grace = 0;              // nothing is sent to a draining replica later than this
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -90,7 +90,7 @@
   request.client_repeat = sent->tries > 1;
   request.resumed = sent->resumed;
   if (client_random_.happens(scenario_.cancel_probability)) {
-    const double latest = static_cast<double>(request.due - now_);
+    const auto latest = static_cast<double>(request.due - now_);
     schedule(now_ + std::llround(client_random_.between(0, latest)), EventType::client_cancelled, handle);
   }
   // The client's request is the payload. It outlives the core's use of it, so the pointer owns nothing.
--- a/src/emulator/day_simulation.hpp
+++ b/src/emulator/day_simulation.hpp
@@ -102,7 +102,7 @@
 
   // ---- clients (clients.cpp)
   void on_session_arrived();
-  void send_next_turn(Handle session);
+  void send_next_turn(Handle handle);
   void send_request(const PlannedRequest& plan);
   void send_try(Handle handle);
   void cancel_request(Handle handle);
--- a/src/emulator/emulated_router.cpp
+++ b/src/emulator/emulated_router.cpp
@@ -8,12 +8,12 @@
 
 void EmulatedRouter::wake_at(Time when) { day_.set_router_timer(*this, when); }
 
-void EmulatedRouter::launch(core::AttemptId id, ReplicaId replica_id,
+void EmulatedRouter::launch(core::AttemptId attempt, ReplicaId replica_id,
                             std::shared_ptr<const core::Payload> payload, Time, std::uint16_t) {
-  day_.start_attempt(*this, id, replica_id, static_cast<const ClientRequest&>(*payload));
+  day_.start_attempt(*this, attempt, replica_id, static_cast<const ClientRequest&>(*payload));
 }
 
-bool EmulatedRouter::abandon(core::AttemptId id) { return day_.cancel_attempt(*this, id); }
+bool EmulatedRouter::abandon(core::AttemptId attempt) { return day_.cancel_attempt(*this, attempt); }
 
 void EmulatedRouter::probe(ReplicaId replica_id) { day_.probe(*this, replica_id); }
 
--- a/src/emulator/model_replica.cpp
+++ b/src/emulator/model_replica.cpp
@@ -128,7 +128,7 @@
 
   // The inverse of duration_of(): the steps that are done by `now`, with the part of the current one.
   double steps_by(Time now) const {
-    const double elapsed = static_cast<double>(now - run_start_);
+    const auto elapsed = static_cast<double>(now - run_start_);
     const double half_growth = growth_us_ / 2;
     const double linear = first_us_ - half_growth;
     if (half_growth < 1e-9) return elapsed / linear;
--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -55,7 +55,7 @@
 
 std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
                         const replication::LedgerReplica& leader, std::size_t ledger) {
-  if (const auto fault = leader.ledger().fault(); !fault.empty()) return fault;
+  if (auto fault = leader.ledger().fault(); !fault.empty()) return fault;
   for (const auto& [key, account] : leader.ledger().accounts()) {
     if (auto violation = check_usage(clients, key, account); !violation.empty()) return violation;
     if (key != kCorrectedAccount) continue;
--- a/src/emulator/replication_cluster.hpp
+++ b/src/emulator/replication_cluster.hpp
@@ -113,7 +113,8 @@
   struct RecordKey {
     std::size_t ledger = 0;
     std::string key;
-    auto operator<=>(const RecordKey&) const = default;
+    auto operator<=>(const RecordKey&) const =
+        default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 reads <=> so
   };
   using DiskRecords = std::map<RecordKey, std::string>;
   struct PendingWrite {
--- a/src/models/pool.hpp
+++ b/src/models/pool.hpp
@@ -11,7 +11,7 @@
 
 namespace thornwick::models {
 
-// What a pool's decider has to be told, and which replicas the pool has gained and lost.
+// The endpoint updates that a pool's decider has to get, and which replicas the pool has gained and lost.
 struct MembershipChange {
   std::vector<Endpoint> updates;
   std::vector<ReplicaId> joined;
@@ -43,7 +43,7 @@
   std::unique_ptr<core::Decider> decider_;
   SlowStartController slow_start_;
   bool touched_ = false;
-  std::map<ReplicaId, Endpoint> members_;  // as the decider was told
+  std::map<ReplicaId, Endpoint> members_;  // as the decider knows them
 };
 
 }  // namespace thornwick::models
--- a/src/node/affinity_report.hpp
+++ b/src/node/affinity_report.hpp
@@ -1,4 +1,4 @@
-// What operators are told about the affinity table: a line for each replica, and warnings as replicas lose
+// The reports on the affinity table for operators: a line for each replica, and warnings as replicas lose
 // and regain trust.
 #pragma once
 
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -145,7 +145,7 @@
   update_prices();
 }
 
-// ---------------------------------------------------------------- what operators are told
+// ---------------------------------------------------------------- reports for operators
 
 void DurableState::print_counters(std::ostream& out) const {
   if (!quota_service_) return;
