--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -148,8 +148,8 @@
   std::string value;
 };
 
-// Reads and checks a whole file. Throws settings::InvalidFile with one line for each error: "FILE:LINE: KEY: what
-// is wrong", or "--set KEY: ..." for an override.
+// Reads and checks a whole file. Throws settings::InvalidFile with one line for each error: "FILE:LINE: KEY:
+// what is wrong", or "--set KEY: ..." for an override.
 Scenario read_scenario(const std::string& path, const std::vector<Override>& overrides = {});
 
 }  // namespace thornwick::emulator
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -6,6 +6,7 @@
 #include <iostream>
 #include <memory>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "config/config.hpp"
@@ -13,6 +14,7 @@
 #include "logging/log.hpp"
 #include "node/config_validation.hpp"
 #include "tools/budgets.hpp"
+#include "tools/command_error.hpp"
 #include "tools/group.hpp"
 #include "tools/load.hpp"
 #include "tools/models.hpp"
@@ -24,10 +26,9 @@
 namespace thornwick {
 namespace {
 
-constexpr const char* kVersion = "0.3.0";
-constexpr int kUsageError = 2;  // exit status: wrong arguments, or a configuration with errors
+constexpr std::string_view kVersion = "0.3.0";
 
-constexpr const char* kFooter =
+constexpr std::string_view kFooter =
     "SIGHUP reads the configuration again; SIGUSR1 prints the counters; SIGTERM lets the router finish what\n"
     "it has and end.";
 
@@ -48,9 +49,9 @@
   std::string log_format = "text";
 };
 
-// The sub-commands that main.cpp itself has to tell apart. All others run in their callbacks, while the
-// command line is parsed.
-struct OwnCommands {
+// The sub-commands that run() itself implements. All others run in their callbacks, while the command line is
+// parsed.
+struct BuiltinCommands {
   CLI::App* check_config = nullptr;
   CLI::App* version = nullptr;
   CLI::App* help = nullptr;
@@ -70,8 +71,8 @@
       ->capture_default_str();
 }
 
-OwnCommands add_own_commands(CLI::App& app) {
-  OwnCommands commands;
+BuiltinCommands add_builtin_commands(CLI::App& app) {
+  BuiltinCommands commands;
   commands.check_config =
       app.add_subcommand("check-config", "read the configuration, say what is wrong with it, and end");
   commands.version = app.add_subcommand("version", "print the version");
@@ -80,7 +81,7 @@
   return commands;
 }
 
-// The sub-commands of src/tools and src/experiments. `status` becomes the exit status of the one that runs.
+// Adds the sub-commands of src/tools and src/experiments. The one that runs sets `status` to the exit status.
 std::vector<CLI::App*> add_tools(CLI::App& app, const GlobalOptions& options, int& status) {
   const std::string& operator_file = options.files.operator_file;
   std::vector<CLI::App*> commands = tools::add_store_commands(app, status);
@@ -101,27 +102,28 @@
 
 int run(int argc, char** argv) {
   CLI::App app("thornwick: a request router for language-model boxes", "thornwick");
-  app.footer(kFooter);
-  app.set_version_flag("-v,--version", std::string("thornwick ") + kVersion);
+  app.footer(std::string(kFooter));
+  app.set_version_flag("-v,--version", "thornwick " + std::string(kVersion));
   app.require_subcommand(0, 1);
   app.fallthrough();
   GlobalOptions options;
   int status = 0;
   add_global_options(app, options);
-  const OwnCommands own = add_own_commands(app);
+  const BuiltinCommands builtin = add_builtin_commands(app);
   const std::vector<CLI::App*> tool_commands = add_tools(app, options, status);
-  const std::string help = app.help();  // once a sub-command is parsed this would be only its own
+  const std::string help =
+      app.help();  // before parsing: afterwards it would be the help of the sub-command that ran
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& problem) {
-    return app.exit(problem) == 0 ? 0 : kUsageError;
+    return app.exit(problem) == 0 ? 0 : static_cast<int>(tools::ExitStatus::usage_error);
   }
   set_up_logging(options);
-  if (own.help->parsed()) {
+  if (builtin.help->parsed()) {
     std::cout << help;
-  } else if (own.version->parsed()) {
+  } else if (builtin.version->parsed()) {
     std::cout << "thornwick " << kVersion << '\n';
-  } else if (own.check_config->parsed()) {
+  } else if (builtin.check_config->parsed()) {
     node::check_config(config::read_config(options.files.config, options.files.operator_file));
     std::cout << "the configuration is good\n";
   } else if (std::none_of(tool_commands.begin(), tool_commands.end(),
@@ -131,16 +133,23 @@
   return status;
 }
 
+// Prints why the program fails and returns its exit status.
+int fail(const std::exception& problem, tools::ExitStatus status) {
+  std::cerr << "thornwick: " << problem.what() << '\n';
+  return static_cast<int>(status);
+}
+
 }  // namespace
 }  // namespace thornwick
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until there is something to reload
+  std::signal(SIGHUP, SIG_IGN);  // until a router runs that can reload its configuration
   try {
     return thornwick::run(argc, argv);
+  } catch (const thornwick::tools::CommandError& problem) {
+    return thornwick::fail(problem, problem.status());
   } catch (const std::exception& problem) {
-    std::cerr << "thornwick: " << problem.what() << '\n';
-    return thornwick::kUsageError;
+    return thornwick::fail(problem, thornwick::tools::ExitStatus::usage_error);
   }
 }
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -35,7 +35,7 @@
   return {{"account", key},
           {"limit", budgets::in_tokens(state.amount)},
           {"left", budgets::in_tokens(state.left)},
-          {"at_ms", state.at / 1000}};
+          {"at_ms", state.at / milliseconds(1)}};
 }
 
 // ---------------------------------------------------------------- show
@@ -56,14 +56,15 @@
 
 // ---------------------------------------------------------------- set and grant
 
-enum class ChangeKind { set, grant };  // so much is left; so much more is left
+// `set` replaces what is left on the account, `grant` adds to it.
+enum class ChangeKind { set, grant };
 
 struct Change {
   ChangeKind kind = ChangeKind::set;
-  std::string path;  // a store's file, or a running router's local socket
+  std::string path;  // a store's file, or the local socket of a running router
   std::string account;
   double tokens = 0;
-  std::uint64_t id = 0;  // of an earlier try at a running router; 0: a new one
+  std::uint64_t id = 0;  // of an earlier attempt at a running router; 0: a new command
 };
 
 std::optional<budgets::LimitState> find_account(const store::File& file, const std::string& account) {
@@ -74,15 +75,13 @@
   return found;
 }
 
-// Opening fails while a router runs on the file.
+// Opening the file fails while a router runs on it.
 int change_in_file(const Change& change) {
   return with_store_errors([&] {
     store::File file(read_write(change.path, kHolder), persistence::state_tables());
     auto state = find_account(file, change.account);
-    if (!state) {
-      std::cerr << "thornwick: " << change.path << " has no account '" << change.account << "'\n";
-      return 1;
-    }
+    if (!state)
+      throw CommandError(ExitStatus::failure, change.path + " has no account '" + change.account + "'");
     const auto units = static_cast<budgets::Units>(std::llround(change.tokens * budgets::kUnitsPerToken));
     const bool grant = change.kind == ChangeKind::grant;
     state->left = std::min(state->amount, grant ? budgets::sum_of(state->left, units) : units);
--- a/src/tools/group_play.cpp
+++ b/src/tools/group_play.cpp
@@ -7,10 +7,10 @@
 #include <filesystem>
 #include <memory>
 #include <optional>
-#include <stdexcept>
 #include <string>
 
 #include "testbed/fault_script.hpp"
+#include "tools/command_error.hpp"
 
 namespace thornwick::tools {
 namespace {
@@ -50,7 +50,7 @@
   std::fflush(stdout);
 }
 
-// Prints the timeline; 0 if all held.
+// Prints the timeline and a summary. Returns the exit status: 0 if no check failed.
 int play_one(const PlayOptions& options, const testbed::FaultScript& script, const std::string& folder) {
   testbed::FaultHarnessOptions harness;
   harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
@@ -67,7 +67,7 @@
   return 1;
 }
 
-// What the command line says counts, then what the script says.
+// Options of the command line take precedence over those of the script.
 int play_script(PlayOptions options, const std::string& folder) {
   auto script = testbed::read_rig_script(options.script);
   script.seed = options.seed.value_or(script.seed);
@@ -75,15 +75,14 @@
   if (options.scenario.empty() && !script.scenario.empty())
     options.scenario = (std::filesystem::path(options.script).parent_path() / script.scenario).string();
   if (options.scenario.empty()) {
-    throw std::invalid_argument(
-        "group play: the script has no rig.scenario, and there is no --scenario FILE");
+    throw UsageError("group play: the script has no rig.scenario, and there is no --scenario FILE");
   }
   return play_one(options, script, folder);
 }
 
 int play_drawn_scripts(const PlayOptions& options, const std::string& folder) {
   if (options.scenario.empty()) {
-    throw std::invalid_argument(
+    throw UsageError(
         "group play: --scenario FILE is needed: boxes and classes, as `thornwick boxes` takes it");
   }
   const std::uint64_t first = options.seed.value_or(kDefaultSeed);
--- a/src/tools/group_play.hpp
+++ b/src/tools/group_play.hpp
@@ -6,7 +6,7 @@
 
 namespace thornwick::tools {
 
-// `status` becomes the exit status: 0 all that has to hold held, 1 something did not.
+// The command sets `status` to its exit status: 0 if all checks passed, 1 if one failed.
 void add_group_play(CLI::App& group, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -3,12 +3,12 @@
 #include <fmt/format.h>
 
 #include <memory>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "emulator/day.hpp"
 #include "testbed/load.hpp"
+#include "tools/command_error.hpp"
 #include "tools/main_loop.hpp"
 #include "tools/standins.hpp"
 #include "tools/trace_file.hpp"
@@ -77,7 +77,7 @@
     write_trace(options.write_trace, load_options.asked);
     if (options.routers.empty()) return 0;
   }
-  if (options.routers.empty()) throw std::invalid_argument("load: --router ADDRESS is needed");
+  if (options.routers.empty()) throw UsageError("load: --router ADDRESS is needed");
   return send_load(options, std::move(load_options));
 }
 
--- a/src/tools/load.hpp
+++ b/src/tools/load.hpp
@@ -5,7 +5,7 @@
 
 namespace thornwick::tools {
 
-// `status` becomes the exit status: 0 all requests were answered, 1 some were not.
+// The command sets `status` to its exit status: 0 if all requests were answered, 1 if some were not.
 CLI::App* add_load(CLI::App& app, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/main_loop.hpp
+++ b/src/tools/main_loop.hpp
@@ -1,4 +1,4 @@
-// GLib's main loop for commands that run until they are done or stopped.
+// GLib's main loop, for commands that run until they are complete or stopped.
 #pragma once
 
 #include <glib.h>
@@ -12,10 +12,10 @@
 };
 using MainLoop = std::unique_ptr<GMainLoop, UnrefMainLoop>;
 
-// Of GLib's default context; does not run yet.
+// Returns a loop of GLib's default context that does not run yet.
 inline MainLoop make_main_loop() { return MainLoop(g_main_loop_new(nullptr, FALSE)); }
 
-// Ends the loop at SIGTERM and SIGINT. The loop has to outlive the program's use of these signals.
+// Ends the loop at SIGTERM and SIGINT. The loop has to exist as long as these signals may come.
 void quit_on_stop_signals(GMainLoop* loop);
 
 }  // namespace thornwick::tools
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -4,7 +4,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <string>
-#include <utility>
+#include <string_view>
 
 #include "config/operator_file.hpp"
 
@@ -13,12 +13,17 @@
 
 using Json = nlohmann::ordered_json;
 
-// Names of the reasons that are set in a fallback's bits.
+struct ReasonName {
+  models::When reason;
+  std::string_view name;
+};
+
+// The names of the reasons whose bits are set.
 Json reasons_json(std::uint8_t reasons) {
-  static constexpr std::pair<models::When, const char*> names[] = {{models::When::missing, "missing"},
-                                                                   {models::When::overloaded, "overloaded"},
-                                                                   {models::When::over_budget, "over-budget"},
-                                                                   {models::When::too_long, "too-long"}};
+  static constexpr ReasonName names[] = {{models::When::missing, "missing"},
+                                         {models::When::overloaded, "overloaded"},
+                                         {models::When::over_budget, "over-budget"},
+                                         {models::When::too_long, "too-long"}};
   Json json = Json::array();
   for (const auto& [reason, name] : names) {
     if ((reasons & static_cast<std::uint8_t>(reason)) != 0) json.push_back(name);
@@ -31,7 +36,7 @@
   for (const auto& fallback : model.fallbacks) {
     json.push_back({{"to", fallback.to},
                     {"when", reasons_json(fallback.when)},
-                    {"time_left_ms", fallback.least_left / 1000}});
+                    {"time_left_ms", fallback.least_left / milliseconds(1)}});
   }
   return json;
 }
--- a/src/tools/models.hpp
+++ b/src/tools/models.hpp
@@ -1,12 +1,12 @@
-// `thornwick models ...`: a look at the catalogue of an operator's file. Results go to standard output, JSON
-// one object a line.
+// `thornwick models ...`: checks and prints the catalogue of an operator's file. Results go to standard
+// output, one JSON object a line.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace thornwick::tools {
 
-// `status` becomes the exit status: 0 good. A file with errors throws BadConfig, a line for each error.
+// The command sets `status` to 0. It throws BadConfig with one line for each error of the file.
 CLI::App* add_models(CLI::App& app, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -19,6 +19,37 @@
 namespace thornwick::tools {
 namespace {
 
+// ---------------------------------------------------------------- options of all trials
+
+// Help texts and bounds of the options that trials in virtual time and trials with processes share.
+struct SeriesOptions {
+  std::string first_run;  // help of --seed
+  std::string runs;       // help of --count
+  std::string copied;     // help of --copies
+  int max_count = 0;
+  int max_routers = 0;
+};
+
+// Adds the options of a series of runs. `script` holds the first run's seed and the size of the group;
+// `replicas` is its number of replicas of each ledger, `count` the number of runs.
+template <typename Script>
+void add_series_options(CLI::App& command, Script& script, std::size_t& replicas, std::uint64_t& count,
+                        const SeriesOptions& series) {
+  command.add_option("--seed", script.seed, series.first_run)->capture_default_str();
+  command.add_option("--count", count, series.runs)
+      ->check(CLI::Range(1, series.max_count))
+      ->capture_default_str();
+  command.add_option("--routers", script.routers, "in the group")
+      ->check(CLI::Range(3, series.max_routers))
+      ->capture_default_str();
+  command.add_option("--sites", script.sites, "that they are spread over")
+      ->check(CLI::Range(1, 16))
+      ->capture_default_str();
+  command.add_option("--copies", replicas, series.copied)
+      ->check(CLI::IsMember({3, 5}))
+      ->capture_default_str();
+}
+
 // ---------------------------------------------------------------- virtual time
 
 struct VirtualOptions {
@@ -67,19 +98,12 @@
   auto options = std::make_shared<VirtualOptions>();
   auto* command =
       copies.add_subcommand("virtual", "random fault scripts on routers, ledgers and disks in virtual time");
-  command->add_option("--seed", options->simulation.seed, "of the first script")->capture_default_str();
-  command->add_option("--count", options->count, "scripts, one for each seed from there on")
-      ->check(CLI::Range(1, 100'000'000))
-      ->capture_default_str();
-  command->add_option("--routers", options->simulation.routers, "in the group")
-      ->check(CLI::Range(3, 300))
-      ->capture_default_str();
-  command->add_option("--sites", options->simulation.sites, "that they are spread over")
-      ->check(CLI::Range(1, 16))
-      ->capture_default_str();
-  command->add_option("--copies", options->simulation.replicas, "of each ledger")
-      ->check(CLI::IsMember({3, 5}))
-      ->capture_default_str();
+  add_series_options(*command, options->simulation, options->simulation.replicas, options->count,
+                     {.first_run = "of the first script",
+                      .runs = "scripts, one for each seed from there on",
+                      .copied = "of each ledger",
+                      .max_count = 100'000'000,
+                      .max_routers = 300});
   command->add_option("--ledgers", options->simulation.ledgers, "that accounts are spread over")
       ->check(CLI::Range(1, 16))
       ->capture_default_str();
@@ -216,19 +240,12 @@
   command->add_option("--scenario", options->scenario, "boxes and classes of requests (TOML)")
       ->required()
       ->check(CLI::ExistingFile);
-  command->add_option("--seed", options->script.seed, "of the first play")->capture_default_str();
-  command->add_option("--count", options->count, "plays, one for each seed from there on")
-      ->check(CLI::Range(1, 100'000))
-      ->capture_default_str();
-  command->add_option("--routers", options->script.routers, "in the group")
-      ->check(CLI::Range(3, 50))
-      ->capture_default_str();
-  command->add_option("--sites", options->script.sites, "that they are spread over")
-      ->check(CLI::Range(1, 16))
-      ->capture_default_str();
-  command->add_option("--copies", options->script.copies, "of the ledger")
-      ->check(CLI::IsMember({3, 5}))
-      ->capture_default_str();
+  add_series_options(*command, options->script, options->script.copies, options->count,
+                     {.first_run = "of the first play",
+                      .runs = "plays, one for each seed from there on",
+                      .copied = "of the ledger",
+                      .max_count = 100'000,
+                      .max_routers = 50});
   command->add_flag("--site", options->script.site, "a whole site is lost at a time");
   command->add_option("--folder", options->folder, "for logs, disks and configurations; it stays");
   command->add_flag("--quiet", options->quiet, "no timeline");
--- a/src/tools/replication.hpp
+++ b/src/tools/replication.hpp
@@ -1,5 +1,5 @@
-// `thornwick copies`: the replicated ledgers of a running router, their file, and trials of them with faults,
-// with real processes and in virtual time.
+// `thornwick copies`: commands on the replicated ledgers of a running router and on their file, and fault
+// trials with real processes and in virtual time.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,7 +7,8 @@
 
 namespace thornwick::tools {
 
-// `status` becomes the exit status. `operator_file`: where the command line's one is, once it is parsed.
+// The command sets `status` to its exit status. `operator_file`: the path of the operator's file, which has
+// its value once the command line is parsed.
 CLI::App* add_copies(CLI::App& app, int& status, const std::string& operator_file);
 
 }  // namespace thornwick::tools
--- a/src/tools/running_router.cpp
+++ b/src/tools/running_router.cpp
@@ -4,11 +4,11 @@
 #include <unistd.h>
 
 #include <memory>
-#include <stdexcept>
 
 #include "config/operator_file.hpp"
 #include "net/unix_socket.hpp"
 #include "node/identity.hpp"
+#include "tools/command_error.hpp"
 
 namespace thornwick::tools {
 namespace {
@@ -16,10 +16,7 @@
 constexpr Time kDecisionTimeout = seconds(20);
 constexpr Time kAnswerTimeout = seconds(3);
 constexpr Time kStatusTimeout = seconds(5);
-constexpr unsigned kPollInterval = 50'000;  // microseconds
-
-constexpr int kRefused = 1;
-constexpr int kNotKnown = 3;
+constexpr Time kPollInterval = milliseconds(50);  // between two questions for the decision
 
 struct StatusOptions {
   std::string socket;
@@ -31,21 +28,21 @@
   const std::string path =
       options.socket.empty() ? config::read_operator_file(operator_file).group.status : options.socket;
   if (path.empty()) {
-    throw std::invalid_argument(parent_name +
-                                " status: name the socket, or an operator's file (-o) that has group.status");
+    throw UsageError(parent_name +
+                     " status: name the socket, or an operator's file (-o) that has group.status");
   }
   fmt::print("{}", net::call_unix_socket(path, options.json ? call + " JSON" : call, kStatusTimeout));
   return 0;
 }
 
-// The router's last answer: the decision, or that there is none yet.
+// Returns the router's last answer: the decision, or that there is none yet.
 std::string wait_for_decision(const std::string& socket, const RouterCommand& command, std::uint64_t id) {
   std::string answer = net::call_unix_socket(
       socket, fmt::format("{} {} {}", command.name, id, command.arguments), kAnswerTimeout);
   const Time limit = net::now_us() + kDecisionTimeout;
   while (answer.starts_with("+OK pending") && net::now_us() < limit) {
     answer = net::call_unix_socket(socket, fmt::format("CORRECTION {}", id), kAnswerTimeout);
-    usleep(kPollInterval);
+    usleep(static_cast<useconds_t>(kPollInterval));
   }
   return answer;
 }
@@ -71,8 +68,8 @@
     return 0;
   }
   const std::string first_line = answer.substr(0, answer.find('\n'));
-  fmt::print(stderr, "thornwick: {} (id {})\n", answer.empty() ? "no answer" : first_line, id);
-  return answer.starts_with("-ERR no:") ? kRefused : kNotKnown;
+  const auto status = answer.starts_with("-ERR no:") ? ExitStatus::failure : ExitStatus::outcome_unknown;
+  throw CommandError(status, fmt::format("{} (id {})", answer.empty() ? "no answer" : first_line, id));
 }
 
 }  // namespace thornwick::tools
--- a/src/tools/running_router.hpp
+++ b/src/tools/running_router.hpp
@@ -1,4 +1,4 @@
-// What operators ask a running router at its local socket (group.status of the operator's file).
+// Commands that are sent to the local socket of a running router (group.status of the operator's file).
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,22 +9,23 @@
 
 struct StatusCommand {
   std::string description;  // for the help page
-  std::string call;         // that the router answers; with " JSON" it answers in JSON
+  std::string call;         // the line that is sent; " JSON" is appended for an answer in JSON
 };
-// Adds a sub-command `status` that prints what the router answers, as text or JSON; `status` becomes the exit
-// status. `operator_file`: where the command line's one is, once it is parsed.
+// Adds a sub-command `status` that prints the router's answer, as text or JSON, and sets `status` to the exit
+// status. `operator_file`: the path that the command line names, once it is parsed.
 void add_status(CLI::App& parent, const StatusCommand& status_command, int& status,
                 const std::string& operator_file);
 
 // A command of node/replication_commands.hpp that changes something.
 struct RouterCommand {
   std::string name;
-  std::uint64_t id = 0;  // 0: one is drawn
+  std::uint64_t id = 0;  // 0: a random one is used
   std::string arguments;
 };
-// Sends the command and waits until it is decided, 20 seconds at the most; prints what became of it. Returns
-// the exit status, 0: done; 1: refused; 3: not known, and the same id asks again without doubling it. Throws
-// net::NetError.
+// Sends the command, waits until it is decided, 20 seconds at most, and prints the outcome. Returns the exit
+// status of a command that was carried out. Throws CommandError: `failure` if the router has rejected it;
+// `outcome_unknown` if no decision came in time, and then the command can be repeated with the same id
+// without being carried out twice. Throws net::NetError if no router answers.
 int run_command(const std::string& socket, const RouterCommand& command);
 
 }  // namespace thornwick::tools
--- a/src/tools/standins.cpp
+++ b/src/tools/standins.cpp
@@ -5,11 +5,11 @@
 #include <cstdio>
 #include <fstream>
 #include <memory>
-#include <stdexcept>
 #include <string>
 
 #include "emulator/day.hpp"
 #include "testbed/installation.hpp"
+#include "tools/command_error.hpp"
 #include "tools/main_loop.hpp"
 
 namespace thornwick::tools {
@@ -24,11 +24,11 @@
   double seconds = 0;
 };
 
-// Renamed into place, as whoever waits for the file must not read half of it.
+// Writes a new file and renames it, so that a process that waits for the file never reads a part of it.
 void write_router_config(const std::string& path, const std::string& config) {
   const std::string fresh = path + ".new";
   std::ofstream(fresh) << config << '\n';
-  if (std::rename(fresh.c_str(), path.c_str()) != 0) throw std::runtime_error(path + ": cannot be written");
+  if (std::rename(fresh.c_str(), path.c_str()) != 0) throw FileError(path, "cannot be written");
 }
 
 void print_addresses(const testbed::Installation& installation) {
--- a/src/tools/standins.hpp
+++ b/src/tools/standins.hpp
@@ -6,10 +6,10 @@
 
 namespace thornwick::tools {
 
-// Descriptors that commands with stand-ins may hold.
+// The limit of descriptors for commands with stand-ins.
 inline constexpr std::size_t kStandinDescriptors = 4000;
 
-// `status` becomes the exit status.
+// The command sets `status` to its exit status.
 CLI::App* add_standins(CLI::App& app, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/store.cpp
+++ b/src/tools/store.cpp
@@ -19,19 +19,19 @@
 
 constexpr const char* kStoreHolder = "thornwick store";
 
-// Two digits a byte: sixteen for a session or prefix, as clients write them.
+// Returns two hexadecimal digits for each byte. Sessions and prefixes have sixteen, as clients write them.
 std::string hex(std::string_view bytes) {
   static constexpr char digits[] = "0123456789abcdef";
-  std::string out;
+  std::string text;
   for (const char byte : bytes) {
-    out += digits[static_cast<unsigned char>(byte) >> 4];
-    out += digits[byte & 15];
+    text += digits[static_cast<unsigned char>(byte) >> 4];
+    text += digits[byte & 15];
   }
-  return out;
+  return text;
 }
 
-// Reports progress on standard error once a second; silent for work that takes less.
-class Ticker {
+// Prints progress on standard error once a second, so nothing for work that takes less.
+class ProgressPrinter {
  public:
   void on_progress(std::uint64_t records, std::uint64_t total) {
     const auto now = std::chrono::steady_clock::now();
@@ -66,9 +66,9 @@
   return with_store_errors([&] {
     // Opening takes the lock; the check itself reads everything in a process of its own.
     const store::File file(read_only(path, kStoreHolder), {});
-    Ticker ticker;
+    ProgressPrinter printer;
     const auto contents =
-        store::File::check(path, [&](auto records, auto total) { ticker.on_progress(records, total); });
+        store::File::check(path, [&](auto records, auto total) { printer.on_progress(records, total); });
     for (const auto& table : contents.tables) std::cout << table_json(table) << '\n';
     std::cout << "{\"batches\":" << contents.serial << ",\"file_bytes\":" << contents.file_bytes
               << ",\"used_bytes\":" << contents.used_bytes << ",\"sound\":true}\n";
@@ -84,8 +84,8 @@
 int dump_store(const std::string& path) {
   return with_store_errors([&] {
     const store::File file(read_only(path, kStoreHolder), {});
-    Ticker ticker;
-    file.each_table(print_record, [&](auto records, auto total) { ticker.on_progress(records, total); });
+    ProgressPrinter printer;
+    file.each_table(print_record, [&](auto records, auto total) { printer.on_progress(records, total); });
     return 0;
   });
 }
@@ -107,7 +107,7 @@
 
 // ---------------------------------------------------------------- thornwick affinity
 
-void print_unreadable(const char* kind, std::string_view key) {
+void print_unreadable(std::string_view kind, std::string_view key) {
   std::cout << "{\"" << kind << "\":\"" << hex(key) << "\",\"unreadable\":true}\n";
 }
 
@@ -117,7 +117,7 @@
   const auto& replica = record->replica;
   std::cout << "{\"box\":" << json_text(record->uid) << ",\"slot\":" << record->slot
             << ",\"epoch\":" << replica.epoch << ",\"listed\":" << (replica.used ? "true" : "false")
-            << ",\"boot_ms\":" << replica.started / 1000
+            << ",\"boot_ms\":" << replica.started / milliseconds(1)
             << ",\"sent_tokens\":" << static_cast<std::uint64_t>(replica.sent)
             << ",\"tokens_per_s\":" << static_cast<std::uint64_t>(replica.pace) << "}\n";
 }
@@ -149,7 +149,8 @@
 // ---------------------------------------------------------------- command line
 
 struct FileCommand {
-  std::string name, description;
+  std::string name;
+  std::string description;
   int (*run)(const std::string& path);  // returns the exit status
 };
 
--- a/src/tools/store.hpp
+++ b/src/tools/store.hpp
@@ -1,5 +1,5 @@
-// `thornwick store ...` and `thornwick affinity ...`: what operators do with a store's file. Results go to
-// standard output, JSON one object a line; progress and errors to standard error.
+// `thornwick store ...` and `thornwick affinity ...`: check, print and compact a store's file. Results go to
+// standard output, one JSON object a line; progress goes to standard error.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,8 +7,8 @@
 
 namespace thornwick::tools {
 
-// Adds both. `status` becomes the exit status of the one that runs: 0 good, 1 the file is damaged or cannot
-// be used (one line says why).
+// Adds both commands. The one that runs sets `status` to its exit status, or throws CommandError (`failure`)
+// if the file is damaged or cannot be used.
 std::vector<CLI::App*> add_store_commands(CLI::App& app, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/store_file.hpp
+++ b/src/tools/store_file.hpp
@@ -1,32 +1,31 @@
-// What all commands on a store's file share.
+// Options and errors of the commands on a store's file.
 #pragma once
 
-#include <iostream>
 #include <string>
 
 #include "store/file.hpp"
+#include "tools/command_error.hpp"
 
 namespace thornwick::tools {
 
-// To look at a file without changing it; `holder` is named to others while the file is open.
+// Options to read a file without changing it. Other processes see `holder` as the one that has it open.
 inline store::FileOptions read_only(const std::string& path, const std::string& holder) {
   return {.path = path, .holder = holder, .set_aside_damaged = false, .read_only = true};
 }
 
-// To change a file; one that is damaged stays where it is.
+// Options to change a file. A damaged file stays where it is.
 inline store::FileOptions read_write(const std::string& path, const std::string& holder) {
   return {.path = path, .holder = holder, .set_aside_damaged = false};
 }
 
-// Runs `work`, which returns the exit status. 1, and a line on standard error that says why, if the file is
-// damaged, held by another process or cannot be used for another reason.
+// Runs `work` and returns its exit status. Throws CommandError (status `failure`) if the file is damaged,
+// held by another process or cannot be used for another reason.
 template <typename Work>
 int with_store_errors(Work work) {
   try {
     return work();
   } catch (const store::StoreError& problem) {
-    std::cerr << "thornwick: " << problem.what() << '\n';
-    return 1;
+    throw CommandError(ExitStatus::failure, problem.what());
   }
 }
 
--- a/src/tools/trace_file.cpp
+++ b/src/tools/trace_file.cpp
@@ -2,7 +2,9 @@
 
 #include <fstream>
 #include <nlohmann/json.hpp>
-#include <stdexcept>
+#include <optional>
+
+#include "tools/command_error.hpp"
 
 namespace thornwick::tools {
 namespace {
@@ -45,14 +47,27 @@
           {"worth", request.priority_weight}};
 }
 
-// Throws std::runtime_error. `previous`: the time of the line before.
-void check_request(const emulator::PlannedRequest& request, const emulator::Scenario& scenario,
-                   Time previous) {
+// What is wrong with a request whose line is well formed.
+enum class TraceFault { unknown_name, out_of_order, impossible_value };
+
+std::string to_string(TraceFault fault) {
+  switch (fault) {
+    case TraceFault::unknown_name: return "no such class or member";
+    case TraceFault::out_of_order: return "earlier than the line before";
+    case TraceFault::impossible_value: break;
+  }
+  return "times or lengths that make no sense";
+}
+
+// Returns none if the request is valid. `previous`: the time of the request in the line before.
+std::optional<TraceFault> check_request(const emulator::PlannedRequest& request,
+                                        const emulator::Scenario& scenario, Time previous) {
   if (request.cls >= scenario.classes.size() || request.member >= scenario.members.size())
-    throw std::runtime_error("no such class or member");
-  if (request.at < previous) throw std::runtime_error("earlier than the line before");
+    return TraceFault::unknown_name;
+  if (request.at < previous) return TraceFault::out_of_order;
   if (request.at < 0 || request.deadline <= request.at || request.generated < 1)
-    throw std::runtime_error("times or lengths that make no sense");
+    return TraceFault::impossible_value;
+  return std::nullopt;
 }
 
 }  // namespace
@@ -60,16 +75,18 @@
 std::vector<emulator::PlannedRequest> read_trace(const std::string& path,
                                                  const emulator::Scenario& scenario) {
   std::ifstream in(path);
-  if (!in) throw std::runtime_error(path + ": cannot be read");
+  if (!in) throw FileError(path, "cannot be read");
   std::vector<emulator::PlannedRequest> requests;
   std::string line;
   for (int number = 1; std::getline(in, line); ++number) {
     try {
       const auto request = request_from(nlohmann::json::parse(line));
-      check_request(request, scenario, requests.empty() ? request.at : requests.back().at);
+      const Time previous = requests.empty() ? request.at : requests.back().at;
+      if (const auto fault = check_request(request, scenario, previous))
+        throw FileError(path, number, to_string(*fault));
       requests.push_back(request);
-    } catch (const std::exception& problem) {
-      throw std::runtime_error(path + ":" + std::to_string(number) + ": " + problem.what());
+    } catch (const nlohmann::json::exception& problem) {
+      throw FileError(path, number, problem.what());
     }
   }
   return requests;
@@ -79,7 +96,7 @@
   std::ofstream out(path);
   for (const auto& request : requests) out << json_of(request) << '\n';
   out.flush();
-  if (!out) throw std::runtime_error(path + ": cannot be written");
+  if (!out) throw FileError(path, "cannot be written");
 }
 
 }  // namespace thornwick::tools
