--- a/src/net/admin_endpoint.cpp
+++ b/src/net/admin_endpoint.cpp
@@ -6,17 +6,16 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kLineLimit = seconds(2);    // for the whole line, from the connection on
-constexpr Time kAnswerLimit = seconds(2);  // for the caller to take its answer and go
+constexpr Time kLineTimeout = seconds(2);    // from the connection to the end of the line
+constexpr Time kAnswerTimeout = seconds(2);  // for the caller to read its answer and close
 constexpr std::size_t kMaxLineBytes = 256;
-constexpr std::size_t kMaxDiscarded =
-    64UL * 1024;  // read and dropped behind the line, so that the answer survives
+constexpr std::size_t kMaxDiscarded = 64UL * 1024;  // bytes read and dropped after the line
 
 bool always_room() { return true; }
 
 }  // namespace
 
-// One connection: reads a line, writes the answer, and waits for the caller to go.
+// One connection: reads a line, writes the answer, and waits for the caller to close.
 class AdminEndpoint::Caller : public DeferredDeletable {
  public:
   Caller(AdminEndpoint& owner, Owned<GSocket> socket)
@@ -26,23 +25,23 @@
                  .drained = [this] { on_drained(); },
                  .ended = [this] { on_ended(); }}) {
     stream_.adopt(std::move(socket));
-    limit_.start(kLineLimit, [this] { on_line_limit(); });
+    timeout_.start(kLineTimeout, [this] { on_line_timeout(); });
   }
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
 
-  // No whole line has come yet.
+  // Whether no whole line has come yet.
   bool silent() const { return !answered_; }
 
-  void leave() {
-    if (std::exchange(left_, true)) return;
+  void close() {
+    if (std::exchange(closed_, true)) return;
     stream_.close();
-    limit_.stop();
+    timeout_.stop();
     owner_.remove(*this);
   }
 
  private:
-  void on_line_limit() {
+  void on_line_timeout() {
     ++owner_.counters_.silent;
     write_answer("-ERR no whole line in time\n");
   }
@@ -57,10 +56,10 @@
 
   void discard(std::size_t size) {
     discarded_ += size;
-    if (discarded_ > kMaxDiscarded) leave();
+    if (discarded_ > kMaxDiscarded) close();
   }
 
-  // `end`: how long the line is.
+  // `end`: the length of the line.
   void on_whole_line(std::size_t end) {
     const bool more = end + 1 < line_.size();
     line_.resize(end);
@@ -84,30 +83,30 @@
 
   void write_answer(std::string answer) {
     answered_ = true;
-    limit_.start(kAnswerLimit, [this] { leave(); });
+    timeout_.start(kAnswerTimeout, [this] { close(); });
     stream_.write(std::move(answer));
   }
 
-  // The caller reads the end and closes. Closing first would reset the connection under its answer if it sent
-  // more.
+  // The caller closes once it has read the end. If this side closed first and the caller had sent more bytes,
+  // a reset might destroy the answer.
   void on_drained() {
     if (answered_) stream_.finish_sending();
   }
 
-  // A last line need not have an end where the caller ends its sending behind it.
+  // The line needs no newline if the caller closes its sending side after it.
   void on_ended() {
-    if (answered_ || line_.empty()) return leave();
+    if (answered_ || line_.empty()) return close();
     on_whole_line(line_.size());
-    limit_.start(0, [this] { leave(); });
+    timeout_.start(0, [this] { close(); });
   }
 
   AdminEndpoint& owner_;
   Stream stream_;
-  Timer limit_;
+  Timer timeout_;
   std::string line_;
   std::size_t discarded_ = 0;
   bool answered_ = false;
-  bool left_ = false;
+  bool closed_ = false;
 };
 
 AdminEndpoint::AdminEndpoint(const std::string& address, Answer answer) : answer_(std::move(answer)) {
@@ -128,14 +127,14 @@
   callers_.push_back(std::make_unique<Caller>(*this, std::move(socket)));
 }
 
-// Guards a caller with a call against others that hold their connections and send nothing.
+// Closes a caller that has sent nothing, so that such callers cannot block the others.
 void AdminEndpoint::make_room() {
-  if (callers_.size() < kMostCallers) return;
+  if (callers_.size() < kMaxCallers) return;
   const auto silent =
       std::find_if(callers_.begin(), callers_.end(), [](const auto& caller) { return caller->silent(); });
-  if (silent == callers_.end()) return callers_.front()->leave();
+  if (silent == callers_.end()) return callers_.front()->close();
   ++counters_.silent;
-  (*silent)->leave();
+  (*silent)->close();
 }
 
 void AdminEndpoint::remove(Caller& caller) {
--- a/src/net/admin_endpoint.hpp
+++ b/src/net/admin_endpoint.hpp
@@ -1,4 +1,5 @@
-// The admin endpoint: one line a connection, one answer, beside all that clients do.
+// The admin endpoint: each connection carries one line and its answer. It is independent of the listeners for
+// clients.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +15,21 @@
 
 struct AdminCounters {
   std::uint64_t calls = 0;   // answered
-  std::uint64_t bad = 0;     // lines that are no call
-  std::uint64_t silent = 0;  // callers that made way for others or ran out of time
+  std::uint64_t bad = 0;     // lines that are no known call
+  std::uint64_t silent = 0;  // callers that sent no whole line in time, or were closed to make room
 };
 
 class AdminEndpoint {
  public:
-  // At a time; whoever comes next takes the place of one that has sent no line yet.
-  static constexpr std::size_t kMostCallers = 12;
+  // At the same time. Beyond that, a new caller replaces one that has sent no line yet.
+  static constexpr std::size_t kMaxCallers = 12;
 
-  // Called with each whole line, without its end; returns the answer. Empty: there is no such call.
+  // Called with each line, without its newline. Returns the answer; an empty one if the call is unknown.
   using Answer = std::function<std::string(std::string_view)>;
 
   // Throws NetError if it cannot listen.
   AdminEndpoint(const std::string& address, Answer answer);
-  // At a socket that listens already; `calls` are those that a bad call's answer names.
+  // Uses a socket that listens already. `calls`: the calls that the answer to an unknown call names.
   AdminEndpoint(Owned<GSocket> listening, std::string calls, Answer answer);
   AdminEndpoint(const AdminEndpoint&) = delete;
   AdminEndpoint& operator=(const AdminEndpoint&) = delete;
@@ -47,7 +48,7 @@
   Answer answer_;
   std::string calls_ = "HEALTH, DUMP, LEAVE and JOIN";
   AdminCounters counters_;
-  std::list<std::unique_ptr<Caller>> callers_;  // the one that came first is first
+  std::list<std::unique_ptr<Caller>> callers_;  // in the order in which they connected
   std::unique_ptr<Listener> listener_;
 };
 
--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -6,17 +6,18 @@
 namespace thornwick::net {
 namespace {
 
-constexpr int kReadsAtOnce = 256;  // guards the loop's other work against a flood
+constexpr int kReadsAtOnce =
+    256;  // bounds the time that a flood of datagrams takes from the loop's other work
 constexpr std::size_t kReadSize = 2048;
 
 Owned<GSocket> bind_socket(const std::string& address, AddressUse use) {
-  const auto own = parse_address(address);
-  if (!own) throw NetError("not an address: " + address);
+  const auto local = parse_address(address);
+  if (!local) throw NetError("not an address: " + address);
   GLibError error;
-  Owned<GSocket> socket(g_socket_new(g_socket_address_get_family(own.get()), G_SOCKET_TYPE_DATAGRAM,
+  Owned<GSocket> socket(g_socket_new(g_socket_address_get_family(local.get()), G_SOCKET_TYPE_DATAGRAM,
                                      G_SOCKET_PROTOCOL_UDP, error.out()));
   const gboolean allow_reuse = use == AddressUse::shared ? TRUE : FALSE;
-  if (!socket || !g_socket_bind(socket.get(), own.get(), allow_reuse, error.out())) {
+  if (!socket || !g_socket_bind(socket.get(), local.get(), allow_reuse, error.out())) {
     throw NetError("cannot listen on " + address + ": " + error.message());
   }
   return socket;
@@ -27,14 +28,16 @@
 Datagrams::Datagrams(const std::string& address, Owned<GSocket> bound, Arrived arrived, AddressUse use)
     : arrived_(std::move(arrived)), socket_(bound ? std::move(bound) : bind_socket(address, use)) {
   g_socket_set_blocking(socket_.get(), FALSE);
-  listen(true);
+  resume_reading();
 }
 
-void Datagrams::listen(bool on) {
+void Datagrams::resume_reading() {
   watcher_.stop();
-  if (on) watcher_.start(socket_.get(), G_IO_IN, [this] { on_readable(); });
+  watcher_.start(socket_.get(), G_IO_IN, [this] { on_readable(); });
 }
 
+void Datagrams::pause_reading() { watcher_.stop(); }
+
 bool Datagrams::send(GSocketAddress* to, const std::string& bytes) {
   return g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, nullptr) >= 0;
 }
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,5 +1,4 @@
-// A UDP socket: datagrams out, and datagrams in with where they came from. What cannot be sent is lost, as on
-// the way.
+// A UDP socket on the main loop. A datagram that cannot be sent is lost, like one that is lost on its way.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +14,19 @@
  public:
   using Arrived = std::function<void(GSocketAddress* from, std::span<const std::uint8_t> bytes)>;
 
-  // At `address`, or at a socket that is bound already. Shared: another socket of this user may be bound
-  // there too, and the kernel distributes what comes; else that is an error. Throws NetError.
+  // Takes over the socket `bound`; if it is null, binds a new one to `address`. `use`: a shared address may
+  // be bound by another socket of this user too, and the kernel distributes the datagrams between them;
+  // binding an exclusive one twice is an error. Throws NetError.
   Datagrams(const std::string& address, Owned<GSocket> bound, Arrived arrived,
             AddressUse use = AddressUse::exclusive);
   Datagrams(const Datagrams&) = delete;
   Datagrams& operator=(const Datagrams&) = delete;
 
-  // Off: what comes waits in the kernel, or is another process's.
-  void listen(bool on);
-  // False: it is lost.
+  // Reads datagrams from now on, as it does once constructed.
+  void resume_reading();
+  // Reads none from now on: they stay with the kernel, for this process or another one at the same address.
+  void pause_reading();
+  // Returns false if the datagram could not be sent; it is lost then.
   bool send(GSocketAddress* to, const std::string& bytes);
   GSocket* socket() const { return socket_.get(); }
   std::string address() const { return local_address_text(socket_.get()); }
--- a/src/net/descriptors.hpp
+++ b/src/net/descriptors.hpp
@@ -6,8 +6,8 @@
 namespace thornwick::net {
 
 struct Descriptors {
-  std::size_t limit = 1024;  // how many this process may hold
-  std::size_t held = 0;      // how many its streams, listeners and datagram sockets hold now
+  std::size_t limit = 1024;  // that this process may hold
+  std::size_t held = 0;      // that its streams, listeners and datagram sockets hold now
 };
 
 // The process's count.
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -15,7 +15,6 @@
 namespace {
 
 constexpr Time kWatchGap = milliseconds(50);  // after an answer without news; a watch goes on for 200 ms
-constexpr Time kMicrosecondsPerMillisecond = 1000;
 constexpr std::string_view kLogPart = "discovery";
 
 Owned<GSocketAddress> discovery_address(const std::string& text) {
@@ -50,8 +49,8 @@
   if (calls_out_.empty()) send_request(Scope::whole_list);
 }
 
-// Guards against a mixture of two sources: the old calls are dropped with whatever they may still answer, and
-// the old revision is not carried over, for the new address need not count as the old one did.
+// Answers of the two addresses must not be mixed: calls to the old address are dropped, and its revision is
+// forgotten, because the new address may count revisions differently.
 void DiscoveryClient::switch_to(const std::string& address) {
   address_ = discovery_address(address);
   options_.address = address;
@@ -68,7 +67,7 @@
   call_at(call.plan.next);
   limit_calls_out(core::DiscoverySchedule::kMaxCallsInFlight - 1);
   auto connection = take_connection();
-  if (!connection) return fail(call, {.kind = "no connection"});
+  if (!connection) return fail(call, {.kind = CallFailureKind::no_connection});
   connection->begin(call, request_text(scope, call.plan.wait));
   calls_out_.push_back(std::move(connection));
 }
@@ -76,39 +75,38 @@
 std::string DiscoveryClient::request_text(Scope scope, Time wait) const {
   std::string path = "/registry/instances";
   if (scope == Scope::changes) {
-    path += "?after=" + std::to_string(revision_) + "&wait_ms=" + std::to_string(wait / 1000);
+    path += "?after=" + std::to_string(revision_) + "&wait_ms=" + std::to_string(wait / milliseconds(1));
   }
   return http::write_head("GET " + path + " HTTP/1.1", {{"Host", options_.address}});
 }
 
 // ---------------------------------------------------------------- connections
 
-// Null: there is none to be had.
+// Returns null if no connection can be had.
 std::unique_ptr<DiscoveryConnection> DiscoveryClient::take_connection() {
   if (idle_ && idle_->open()) return std::move(idle_);
   drop(std::move(idle_));
   if (calls_out_.empty() || descriptors().held < descriptors().limit) return connect();
-  // Without a free descriptor the oldest call makes room: its connection may be a dead one. For any other
-  // reason a new connection fails, those that are up are worth more than before.
+  // Without a free descriptor the oldest call is dropped, because its connection may be dead.
   drop(std::move(calls_out_.front()));
   calls_out_.erase(calls_out_.begin());
   ++counters_.failures;
   return connect();
 }
 
-// Null: it failed at once.
+// Returns null if it failed at once.
 std::unique_ptr<DiscoveryConnection> DiscoveryClient::connect() {
   auto connection = std::make_unique<DiscoveryConnection>();
   DiscoveryConnection& made = *connection;
-  made.on({.answered = [this, &made](const std::string& body) { on_answer(made, body); },
-           .failed = [this, &made](const CallFailure& failure) { on_failure(made, failure); }});
+  made.set_callbacks({.answered = [this, &made](const std::string& body) { on_answer(made, body); },
+                      .failed = [this, &made](const CallFailure& failure) { on_failure(made, failure); }});
   if (!connection->connect(address_.get())) return nullptr;
   return connection;
 }
 
-// Gives the second oldest call up until no more than `most` are out (core/discovery_schedule.hpp).
-void DiscoveryClient::limit_calls_out(std::size_t most) {
-  while (calls_out_.size() > most) {
+// Drops the second oldest call until no more than `max_calls` are out (core/discovery_schedule.hpp).
+void DiscoveryClient::limit_calls_out(std::size_t max_calls) {
+  while (calls_out_.size() > max_calls) {
     const auto given_up = calls_out_.begin() + (calls_out_.size() > 1 ? 1 : 0);
     ++counters_.failures;
     logging::debug(kLogPart) << "call " << (*given_up)->call().number << " abandoned";
@@ -117,14 +115,14 @@
   }
 }
 
-// It may be one of the connection's own callbacks that wants this.
+// Deferred, because a callback of the connection itself may run now.
 void DiscoveryClient::drop(std::unique_ptr<DiscoveryConnection> connection) {
   if (!connection) return;
   connection->close();
   deferred_delete(std::move(connection));
 }
 
-// Null: its call was given up meanwhile.
+// Returns null if its call was dropped meanwhile.
 std::unique_ptr<DiscoveryConnection> DiscoveryClient::take_out(const DiscoveryConnection& connection) {
   const auto found = std::find_if(calls_out_.begin(), calls_out_.end(),
                                   [&](const auto& out) { return out.get() == &connection; });
@@ -140,9 +138,9 @@
   const DiscoveryCall call = connection.call();
   simdjson::dom::element list;
   if (parser_.parse(body).get(list) != simdjson::SUCCESS || !list.is_object()) {
-    return on_failure(connection, {.kind = "no JSON"});
+    return on_failure(connection, {.kind = CallFailureKind::no_json});
   }
-  if (is_too_old(list)) return on_failure(connection, {.kind = "an older version than the one in use"});
+  if (is_too_old(list)) return on_failure(connection, {.kind = CallFailureKind::older_revision});
   drop(std::exchange(idle_, take_out(connection)));
   limit_calls_out(0);
   const std::uint64_t revision_before = revision_;
@@ -153,7 +151,7 @@
   schedule_after_list(call, revision_before);
 }
 
-// The latest call alone decides when the next one begins: one of the earlier ones is nothing to wait for.
+// Only a failure of the latest call schedules the next one; failures of earlier calls do not.
 void DiscoveryClient::on_failure(DiscoveryConnection& connection, const CallFailure& failure) {
   const DiscoveryCall call = connection.call();
   drop(take_out(connection));
@@ -162,10 +160,10 @@
 
 void DiscoveryClient::fail(const DiscoveryCall& call, const CallFailure& failure) {
   ++counters_.failures;
-  const bool due = log_limiter_.due(now_us(), failure.kind);
+  const bool due = log_limiter_.due(now_us(), to_string(failure.kind));
   const auto level = due ? logging::Level::info : logging::Level::debug;
   logging::Line line(level, kLogPart);
-  line << "call failed: " << logging::field("reason", failure.kind);
+  line << "call failed: " << logging::field("reason", to_string(failure.kind));
   if (!failure.detail.empty()) line << " (" << logging::field("detail", failure.detail) << ")";
   describe_call(line, call);
   if (call.number == counters_.calls) call_at(schedule_.on_call_failed(now_us(), call.plan));
@@ -173,16 +171,16 @@
 }
 
 void DiscoveryClient::schedule_after_list(const DiscoveryCall& call, std::uint64_t revision_before) {
-  if (!calls_out_.empty()) return;  // whoever took the list over has asked for another one
-  // Guards against a discovery that gives no version to wait behind, and one that does not wait: the loop
-  // would spin.
+  if (!calls_out_.empty()) return;  // the callback has asked for another list
+  // Without these two pauses the loop would spin if discovery's list has no revision, or if discovery answers
+  // a watch at once.
   if (!has_revision_) return call_at(schedule_.on_call_failed(now_us(), call.plan));
   if (revision_ == revision_before) return call_at(now_us() + kWatchGap);
   // At once: a watch goes on only if the next call comes within 200 ms.
   this->call();
 }
 
-// An answer without news is a debug line: every watch ends in one.
+// An answer without a change has level debug: every watch ends in one.
 void DiscoveryClient::log_answer(const DiscoveryCall& call, simdjson::dom::element list,
                                  std::uint64_t revision_before) const {
   const auto level = revision_ == revision_before ? logging::Level::debug : logging::Level::info;
@@ -193,9 +191,9 @@
   describe_call(line, call);
 }
 
-// Which call a line is about: its number, where it went, and how long it took.
+// Adds the fields of the call: its number, its address and how long it took.
 void DiscoveryClient::describe_call(logging::Line& line, const DiscoveryCall& call) const {
-  const Time took_ms = (now_us() - call.plan.begun) / kMicrosecondsPerMillisecond;
+  const Time took_ms = (now_us() - call.plan.begun) / milliseconds(1);
   line << ", call " << logging::field("call", call.number) << " to "
        << logging::field("discovery", options_.address) << " took " << logging::field("took_ms", took_ms)
        << " ms";
@@ -211,8 +209,8 @@
   return has_revision_ ? std::optional(revision_) : std::nullopt;
 }
 
-// An agent that has started anew may hold what was long ago. The list in use stays, until it is clear that
-// the older one is all there is.
+// A discovery that has restarted may send a list of long ago. The list in use stays until discovery has sent
+// only older ones for `max_old_list_time`.
 bool DiscoveryClient::is_too_old(simdjson::dom::element list) {
   const auto revision = read_revision(list);
   const bool older = options_.calls.pushed && has_revision_ && revision && *revision < revision_;
@@ -222,7 +220,7 @@
   }
   ++counters_.old;
   if (old_since_ == 0) old_since_ = now_us();
-  return now_us() - old_since_ < options_.bear_old;
+  return now_us() - old_since_ < options_.max_old_list_time;
 }
 
 }  // namespace thornwick::net
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -1,6 +1,6 @@
-// The calls of discovery, planned by core::DiscoverySchedule so that a watch is always open or under way. A
-// call without an answer stays out while the next one begins beside it; the first whole answer ends all
-// others. Hands each new list to its owner.
+// The calls of discovery. core::DiscoverySchedule plans them so that a watch is always open or being opened.
+// A call without an answer stays out while the next one begins; the first whole answer ends all others. Each
+// new list is passed to a callback.
 #pragma once
 
 #include <simdjson.h>
@@ -21,13 +21,14 @@
 
 namespace thornwick::net {
 
-// What has happened with discovery and its lists since the start.
+// Events of discovery and its lists since the start.
 struct DiscoveryCounters {
   std::uint64_t calls = 0;
   std::uint64_t failures = 0;
-  std::uint64_t changes = 0;  // entries taken over
-  std::uint64_t old = 0;      // lists of an older version than the one in use, not taken over
-  std::uint64_t bad = 0;  // entries without a uid or a good address, or of a uid that the same list has had
+  std::uint64_t changes = 0;  // entries applied
+  std::uint64_t old = 0;      // lists of an older revision than the one in use, not applied
+  std::uint64_t bad =
+      0;  // entries without a uid or a usable address, or with a uid that the list has already had
 };
 
 class DiscoveryClient {
@@ -36,28 +37,29 @@
     std::string address;
     core::DiscoverySchedule::Options calls;  // when discovery is called
     std::uint64_t seed = 0;                  // of the schedule's jitter
-    Time bear_old = 0;  // an older list than the one in use is not taken over before there has been none but
-                        // such for so long
+    // A list that is older than the one in use is applied only after discovery has sent nothing newer for
+    // this time.
+    Time max_old_list_time = 0;
   };
   struct Callbacks {
-    std::function<void(simdjson::dom::element list)> list;  // an object; its revision is noted already
-    std::function<void()> failed;                           // only where discovery does not push
+    std::function<void(simdjson::dom::element list)> list;  // an object, whose revision is noted already
+    std::function<void()> failed;  // a call has failed; only called if discovery does not push
   };
 
-  // Calls for the first time when the schedule wants it. The counters are not owned. Throws NetError if the
-  // address is none.
+  // The schedule decides when the first call begins. The counters are not owned. Throws NetError if
+  // `options.address` is not an address.
   DiscoveryClient(Options options, Callbacks callbacks, DiscoveryCounters& counters);
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Asks for the whole list now, unless a call is out.
+  // Requests the whole list now, unless a call is out.
   void fetch();
-  // Calls another address from now on, for its whole list first. Throws NetError, and then nothing has
-  // changed.
+  // Calls another address from now on and requests its whole list first. Throws NetError if it is not an
+  // address, and then nothing has changed.
   void switch_to(const std::string& address);
-  // Notes the version of a list that is taken over; later calls ask for what is newer.
+  // Notes the revision of a list that is applied; later calls request only newer changes.
   void note_revision(simdjson::dom::element list);
-  // The version of the list in use, if it has one.
+  // The revision of the list in use, if it has one.
   std::optional<std::uint64_t> revision() const;
 
  private:
@@ -69,7 +71,7 @@
   std::string request_text(Scope scope, Time wait) const;
   std::unique_ptr<DiscoveryConnection> take_connection();
   std::unique_ptr<DiscoveryConnection> connect();
-  void limit_calls_out(std::size_t most);
+  void limit_calls_out(std::size_t max_calls);
   static void drop(std::unique_ptr<DiscoveryConnection> connection);
   std::unique_ptr<DiscoveryConnection> take_out(const DiscoveryConnection& connection);
   void on_answer(DiscoveryConnection& connection, const std::string& body);
@@ -88,12 +90,13 @@
   Owned<GSocketAddress> address_;
   logging::RateLimiter log_limiter_;
   std::vector<std::unique_ptr<DiscoveryConnection>> calls_out_;  // the oldest call first
-  std::unique_ptr<DiscoveryConnection> idle_;  // the one that answered last, until the next call; may be null
+  std::unique_ptr<DiscoveryConnection>
+      idle_;  // the connection that answered last, for the next call; may be null
   Timer next_call_;
   simdjson::dom::parser parser_;
-  std::uint64_t revision_ = 0;  // the latest one known, also of another address than now
-  bool has_revision_ = false;   // calls may ask for what is newer than `revision_`
-  Time old_since_ = 0;          // 0: the latest list was not too old
+  std::uint64_t revision_ = 0;  // of the latest list, which may be of an earlier address
+  bool has_revision_ = false;   // calls may request changes after `revision_`
+  Time old_since_ = 0;  // when the first of a series of too old lists came; 0: the latest was not too old
 };
 
 }  // namespace thornwick::net
--- a/src/net/discovery_connection.hpp
+++ b/src/net/discovery_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to discovery and the call that is out on it: a request goes out, a whole answer comes back.
-// Knows nothing of lists and plans; net/discovery_client.hpp does.
+// One connection to discovery, which carries one call at a time: a request and its whole answer. It does not
+// interpret endpoint lists and does not schedule calls; net/discovery_client.hpp does.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,24 @@
 
 namespace thornwick::net {
 
-// Why a call had no answer that can be used.
+// Why a call has no usable answer.
+enum class CallFailureKind {
+  no_connection,
+  connection_broken,
+  timed_out,
+  malformed_answer,
+  error_status,
+  list_too_long,
+  no_json,
+  older_revision,  // the list is older than the one in use
+};
+
+// The kind as log lines state it.
+std::string_view to_string(CallFailureKind kind);
+
 struct CallFailure {
-  std::string_view kind;    // a string literal
-  std::string detail = {};  // what else there is to say; may be empty
+  CallFailureKind kind = CallFailureKind::no_connection;
+  std::string detail = {};  // may be empty
 };
 
 // A call of discovery, for its plan and for the log.
@@ -28,29 +42,30 @@
   core::DiscoverySchedule::Call plan;
 };
 
-// Its owner may drop it in any callback, with deferred_delete().
+// Its owner may destroy it in any callback, with deferred_delete().
 class DiscoveryConnection : public DeferredDeletable {
  public:
   struct Callbacks {
-    std::function<void(const std::string& body)>
-        answered;  // with status 200; the connection may be used again
-    std::function<void(const CallFailure& failure)> failed;  // the connection is closed
+    // An answer with status 200 has come. The connection can carry another call if it is still open.
+    std::function<void(const std::string& body)> answered;
+    // The call has failed, and the connection is closed.
+    std::function<void(const CallFailure& failure)> failed;
   };
 
   DiscoveryConnection();
 
-  // Before the first call.
-  void on(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
+  // To be called before the first call.
+  void set_callbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
 
-  // False: it failed at once, or the process may hold no more descriptors.
-  bool connect(GSocketAddress* address) { return stream_.connect(address); }
-  // Sends a request, at the latest once the connection is up. Only one at a time.
+  // Returns false if it failed at once, or the process may hold no more descriptors.
+  [[nodiscard]] bool connect(GSocketAddress* address) { return stream_.connect(address); }
+  // Sends a request, now or once the connection is up. Only one call at a time.
   void begin(const DiscoveryCall& call, std::string request);
-  // Ends the call, if one is out, without a callback.
+  // Closes the connection. A call that is out ends without a callback.
   void close();
 
   const DiscoveryCall& call() const { return call_; }
-  // The connection can carry another call.
+  // Whether the connection can carry another call.
   bool open() const { return stream_.open(); }
 
  private:
@@ -65,9 +80,9 @@
   Stream stream_;
   http::MessageReader reader_;
   DiscoveryCall call_;
-  std::string request_;  // until the connection is up
+  std::string request_;  // waits until the connection is up
   std::string body_;
-  Timer limit_;
+  Timer timeout_;
   bool connected_ = false;
   bool calling_ = false;
 };
--- a/src/net/downstream_answers.cpp
+++ b/src/net/downstream_answers.cpp
@@ -10,7 +10,7 @@
 using fronts::Rejection;
 using http::Header;
 
-const char* connection_text(AfterAnswer after) {
+std::string_view connection_text(AfterAnswer after) {
   return after == AfterAnswer::keep_connection ? "keep-alive" : "close";
 }
 
@@ -59,7 +59,7 @@
                               const std::vector<Header>& extra_headers) {
   std::vector<Header> headers = {{"Content-Type", "application/json"},
                                  {"Content-Length", std::to_string(answer.body.size())},
-                                 {"Connection", connection_text(after)}};
+                                 {"Connection", std::string(connection_text(after))}};
   if (retry_after > 0) headers.push_back({"Retry-After", fronts::seconds_text(retry_after)});
   headers.insert(headers.end(), extra_headers.begin(), extra_headers.end());
   return http::write_head(http::status_line(answer.status), headers) + answer.body;
@@ -69,7 +69,7 @@
   std::vector<Header> headers = {{"Content-Type", "text/event-stream"},
                                  {"Cache-Control", "no-cache"},
                                  {"Transfer-Encoding", "chunked"},
-                                 {"Connection", connection_text(after)}};
+                                 {"Connection", std::string(connection_text(after))}};
   headers.insert(headers.end(), extra_headers.begin(), extra_headers.end());
   return http::write_head(http::status_line(kStatusOk), headers);
 }
--- a/src/net/downstream_answers.hpp
+++ b/src/net/downstream_answers.hpp
@@ -1,4 +1,4 @@
-// What the router itself answers clients, in their dialect, and the heads of its answers. Knows no sockets.
+// The answers that the router itself gives, in the client's dialect, and the heads of forwarded answers.
 #pragma once
 
 #include <string>
@@ -10,30 +10,30 @@
 
 namespace thornwick::net {
 
-// What becomes of a client's connection once the answer is whole.
+// What happens to the client's connection after the answer.
 enum class AfterAnswer { keep_connection, close_connection };
 
-// Whether this router takes requests now, for load balancers.
+// The answer to a health check of a load balancer. `ready`: whether this router accepts requests now.
 fronts::ErrorAnswer health_answer(bool ready);
 
-// There is no room for the request.
+// Rejects a request for overload.
 fronts::ErrorAnswer overload_answer(const fronts::Dialect& dialect);
 
-// The routing policy rejected the request for the reason that `allowance` holds.
+// Rejects a request for the reason that `allowance` states. `retry_after`: microseconds; 0: no advice.
 fronts::ErrorAnswer rejection_answer(const fronts::Dialect& dialect, const Allowance& allowance,
                                      Time retry_after);
 
-// The request may have run, and there is no answer.
+// The request has failed or timed out; it may have run.
 fronts::ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::Failure failure);
 
-// The request cannot be read, or not be used.
+// The request is malformed or cannot be used.
 fronts::ErrorAnswer bad_request_answer(const fronts::Dialect& dialect, const http::BadMessage& bad);
 
-// A whole answer with a JSON body. `retry_after`: microseconds, 0: no advice.
+// Returns a whole answer with a JSON body. `retry_after`: microseconds; 0: no advice.
 std::string write_json_answer(const fronts::ErrorAnswer& answer, AfterAnswer after, Time retry_after,
                               const std::vector<http::Header>& extra_headers);
 
-// The head of an answer that is an event stream, in chunks.
+// Returns the head of an event stream with chunked transfer encoding.
 std::string write_stream_head(AfterAnswer after, const std::vector<http::Header>& extra_headers);
 
 }  // namespace thornwick::net
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -22,7 +22,7 @@
       stream_({.connected = {},
                .arrived = [this](std::string_view bytes) { on_bytes(bytes); },
                .drained = [this] { on_drained(); },
-               .ended = [this] { leave("the client ended it"); }}) {
+               .ended = [this] { close("the client ended it"); }}) {
   stream_.adopt(std::move(socket));
   wait_in(&owner_.new_);
 }
@@ -31,25 +31,25 @@
   return state_ == State::idle && !closing_ && reader_.between_messages() && !stream_.readable_now();
 }
 
-void DownstreamServer::Connection::on_waited_out() {
+void DownstreamServer::Connection::on_waiting_timed_out() {
   if (state_ == State::reading) return reject_bad_request(request_too_slow());
-  if (stream_.readable_now()) return wait_in(queue_);  // it is just about to be read
+  if (stream_.readable_now()) return wait_in(queue_);  // the loop reads it next
   if (queue_ == &owner_.new_) ++owner_.counters_.silent;
-  leave("nothing came on it for long");
+  close("nothing came on it for long");
 }
 
-void DownstreamServer::Connection::leave(std::string_view reason) {
-  if (std::exchange(left_, true)) return;
+void DownstreamServer::Connection::close(std::string_view reason) {
+  if (std::exchange(closed_, true)) return;
   if (logging::writes_debug()) {
     const std::string request = state_ == State::busy ? request_id_ : "none";
     logging::debug("downstream") << "connection closed: " << logging::field("reason", reason)
                                  << ", request in flight: " << logging::field("request", request);
   }
   stream_.close();
-  limit_.stop();
+  timeout_.stop();
   next_step_.stop();
   wait_in(nullptr);
-  // Not in the destructor, which may run when the server is gone.
+  // Not in the destructor, which may run after that of the server.
   const bool busy = state_ == State::busy;
   end_request();
   if (busy) owner_.core_.client_gone(core_request_id_);
@@ -61,7 +61,7 @@
 void DownstreamServer::Connection::on_bytes(std::string_view bytes) {
   if (closing_) {
     discarded_ += bytes.size();
-    if (discarded_ > kMaxDiscarded) leave("it goes on sending after its last answer");
+    if (discarded_ > kMaxDiscarded) close("it goes on sending after its last answer");
     return;
   }
   reader_.feed(bytes);
@@ -76,7 +76,7 @@
   if (in_read_requests_) return;
   in_read_requests_ = true;
   try {
-    while (!left_ && !closing_ && state_ != State::busy && read_piece()) {
+    while (!closed_ && !closing_ && state_ != State::busy && read_piece()) {
     }
   } catch (const BadMessage& bad) {
     reject_bad_request(bad);
@@ -84,7 +84,7 @@
   in_read_requests_ = false;
 }
 
-// False: there is no further piece yet, or the request was turned away. Throws BadMessage.
+// Returns false if no further piece has come yet, or the request was rejected. Throws BadMessage.
 bool DownstreamServer::Connection::read_piece() {
   if (state_ == State::idle && !reader_.between_messages()) on_first_byte();
   switch (reader_.next()) {
@@ -98,12 +98,12 @@
 
 void DownstreamServer::Connection::on_first_byte() {
   state_ = State::reading;
-  keep_ = false;  // until all of it is read: what follows a broken request cannot be trusted
+  keep_ = false;  // until the whole request is read: bytes after a broken request cannot be trusted
   request_begun_ = now_us();
-  // The first one's time runs since the connection was accepted, whatever has come of it.
+  // The timeout of the first request began when the connection was accepted.
   if (queue_ == &owner_.new_) return;
   wait_in(nullptr);
-  limit_.start(kReadLimit, [this] { reject_bad_request(request_too_slow()); });
+  timeout_.start(kReadLimit, [this] { reject_bad_request(request_too_slow()); });
 }
 
 void DownstreamServer::Connection::on_head() {
@@ -113,18 +113,18 @@
   }
 }
 
-// False: the request was turned away.
+// Returns false if the request was rejected.
 bool DownstreamServer::Connection::on_body() {
   body_ += reader_.take_body();
   if (body_.size() > http::kMaxBody) throw BadMessage(kStatusTooLarge, "body too large");
   account_body_bytes(body_.size());
-  if (owner_.shared_admission_.held_bytes <= owner_.options_.most_body_bytes) return true;
-  turn_away();
+  if (owner_.shared_admission_.held_bytes <= owner_.options_.max_body_bytes) return true;
+  reject_for_overload();
   return false;
 }
 
 void DownstreamServer::Connection::on_whole_request() {
-  limit_.stop();
+  timeout_.stop();
   wait_in(nullptr);
   head_sent_ = false;
   congested_ = false;
@@ -137,7 +137,7 @@
   if (path != dialect().path()) throw BadMessage(kStatusNotFound, "no such path");
   if (head.method != "POST") throw BadMessage(kStatusMethodNotAllowed, "not a POST");
   core::Arrival arrival = read_arrival();
-  if (!has_room_for_request()) return turn_away();
+  if (!has_room_for_request()) return reject_for_overload();
   admit(std::move(arrival), *head.find("X-Request-ID"));
 }
 
@@ -158,12 +158,12 @@
 }
 
 bool DownstreamServer::Connection::has_room_for_request() const {
-  return owner_.busy_ < owner_.options_.most_connections &&
+  return owner_.busy_ < owner_.options_.max_busy_connections &&
          owner_.router_lifecycle().admits_requests(now_us());
 }
 
 void DownstreamServer::Connection::admit(core::Arrival arrival, const std::string& request_id) {
-  // Guards against a second run under the id of a request that is still in work, whoever sends it.
+  // A request with the id of one that is in flight must not run a second time, whoever sends it.
   if (!owner_.shared_admission_.open_ids.insert(request_id).second) {
     throw BadMessage(kStatusConflict, "this id has a request in work");
   }
@@ -172,7 +172,7 @@
   keep_ = reader_.head().keeps_alive();
   state_ = State::busy;
   ++owner_.busy_;
-  // The core may answer within this call; the connection is idle again then.
+  // The request manager may answer within this call, and then the connection is idle again.
   const RequestId core_request_id = owner_.core_.admit(std::move(arrival), *this);
   if (state_ == State::busy) core_request_id_ = core_request_id;
 }
@@ -187,7 +187,7 @@
 }
 
 void DownstreamServer::Connection::event(const core::StreamEvent& event) {
-  // An event of a replica that speaks the client's own dialect goes on byte for byte.
+  // An event from a replica of the client's own dialect is forwarded byte for byte.
   const bool same = event.dialect == dialect().name();
   if (!same && !writer_) writer_ = dialect().writer(request_id_);
   const std::string bytes = same ? event.raw : writer_->write(event);
@@ -209,7 +209,7 @@
 
 void DownstreamServer::Connection::break_off() {
   end_request();
-  close_soon();
+  close_after_sending();
 }
 
 void DownstreamServer::Connection::reject(Time retry_after) {
@@ -219,7 +219,7 @@
 
 void DownstreamServer::Connection::reject_for(const Allowance& allowance, Time retry_after) {
   if (allowance.rejected == Allowance::Rejection::over) add_limit_headers(allowance);
-  // Waiting does not make a request shorter.
+  // No Retry-After for a request that is too long: a retry would be too long as well.
   const bool too_long = allowance.rejected == Allowance::Rejection::too_long;
   answer(rejection_answer(dialect(), allowance, retry_after), too_long ? 0 : retry_after);
   on_answered();
@@ -232,7 +232,7 @@
 
 bool DownstreamServer::Connection::client_connected() {
   if (!stream_.ended_now()) return true;
-  next_step_.start(0, [this] { leave("the client ended it"); });  // not from within the core's call
+  next_step_.start(0, [this] { close("the client ended it"); });  // not within the request manager's call
   return false;
 }
 
@@ -252,22 +252,22 @@
   return keep_ ? AfterAnswer::keep_connection : AfterAnswer::close_connection;
 }
 
-// Guards the memory against clients that read slowly: their replica has to wait.
+// Bounds the memory for clients that read slowly: reading from their replica pauses.
 void DownstreamServer::Connection::watch_congestion() {
-  if (stream_.unsent() <= owner_.options_.congested || std::exchange(congested_, true)) return;
+  if (stream_.unsent() <= owner_.options_.congestion_bytes || std::exchange(congested_, true)) return;
   owner_.core_.client_congested(core_request_id_);
-  limit_.start(kWriteLimit, [this] { leave("the client does not read"); });
+  timeout_.start(kWriteLimit, [this] { close("the client does not read"); });
 }
 
-// There is no room for this request: nothing of it is kept, and its connection goes too.
-void DownstreamServer::Connection::turn_away() {
+// Rejects the request and closes its connection.
+void DownstreamServer::Connection::reject_for_overload() {
   ++owner_.counters_.crowded;
-  if (const auto* priority = reader_.head().find("X-Priority-Class")) owner_.options_.turned_away(*priority);
+  if (const auto* priority = reader_.head().find("X-Priority-Class")) owner_.options_.rejected(*priority);
   keep_ = false;
-  reject(owner_.options_.crowded_absence);
+  reject(owner_.options_.overload_retry_after);
 }
 
-// Whoever sends what cannot be read, or not be used, is sent away: its connection is not kept.
+// Answers a request that cannot be read or used, and closes its connection.
 void DownstreamServer::Connection::reject_bad_request(const BadMessage& bad) {
   ++owner_.counters_.bad;
   keep_ = false;
@@ -285,7 +285,7 @@
   end_request();
   writer_.reset();
   body_ = {};
-  if (!keep_) return close_soon();
+  if (!keep_) return close_after_sending();
   wait_in(&owner_.idle_);
   stream_.resume_reading();
   if (!reader_.between_messages()) next_step_.start(0, [this] { read_requests(); });
@@ -293,18 +293,18 @@
 
 // ---------------------------------------------------------------- closing
 
-void DownstreamServer::Connection::close_soon() {
+void DownstreamServer::Connection::close_after_sending() {
   closing_ = true;
   wait_in(nullptr);
-  limit_.start(kCloseLimit, [this] { leave("the client does not end it"); });
+  timeout_.start(kCloseLimit, [this] { close("the client does not end it"); });
   if (stream_.unsent() == 0) on_last_byte_sent();
 }
 
-// Guards the answer against a reset: closing a connection with unread input would send one, and the client
-// might lose what it has not read yet. So it is sent the end first, and what it still sends is dropped.
+// Closing a connection with unread input would send a reset, and the client might lose the part of the answer
+// that it has not read yet. Therefore the sending side is closed first, and further input is discarded.
 void DownstreamServer::Connection::on_last_byte_sent() {
   if (reader_.between_messages() && !stream_.readable_now()) {
-    next_step_.start(0, [this] { leave("its last answer is out"); });
+    next_step_.start(0, [this] { close("its last answer is out"); });
   } else if (!std::exchange(finished_sending_, true)) {
     stream_.finish_sending();
     stream_.resume_reading();
@@ -314,7 +314,7 @@
 void DownstreamServer::Connection::on_drained() {
   if (closing_) return on_last_byte_sent();
   if (!std::exchange(congested_, false)) return;
-  limit_.stop();
+  timeout_.stop();
   if (state_ == State::busy) owner_.core_.client_caught_up(core_request_id_);
 }
 
@@ -325,7 +325,7 @@
   body_bytes_ = size;
 }
 
-// Whatever was being read or in work is over.
+// Ends the request that is being read or in flight.
 void DownstreamServer::Connection::end_request() {
   account_body_bytes(0);
   if (std::exchange(state_, State::idle) != State::busy) return;
@@ -333,8 +333,8 @@
   owner_.shared_admission_.open_ids.erase(request_id_);
 }
 
-// A connection without a request in work waits in one of its server's queues (nullptr: in none), or has a
-// limit of its own.
+// Moves the connection to a queue of its server; null: out of its queue. A connection without a request in
+// flight waits in a queue, or has a timeout of its own.
 void DownstreamServer::Connection::wait_in(Waiting* queue) {
   if (queue_ != nullptr) queue_->erase(queue_position_);
   queue_ = queue;
--- a/src/net/downstream_connection.hpp
+++ b/src/net/downstream_connection.hpp
@@ -1,4 +1,4 @@
-// One connection of a client. For downstream_server.cpp alone.
+// One connection of a client. Only downstream_server.cpp and downstream_connection.cpp include this file.
 #pragma once
 
 #include <memory>
@@ -16,23 +16,23 @@
 
 namespace thornwick::net {
 
-// Reads requests one at a time, hands each to the core and writes the answer that comes back. It closes
-// itself when the client has gone or is sent away, and then removes itself from its server.
+// Reads one request at a time, admits it to the request manager and writes its answer. A connection whose
+// client has gone or was rejected closes itself and removes itself from its server.
 class DownstreamServer::Connection : public DeferredDeletable, public core::Reply {
  public:
   Connection(DownstreamServer& owner, Owned<GSocket> socket);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Between two requests (or before the first), with nothing of the next one here or in the kernel.
+  // Whether it is between two requests, or before the first one, and no byte of the next one has come.
   bool nothing_to_read() const;
-  // Since when it has been in one of its server's queues.
+  // When it entered the queue of its server in which it waits.
   Time waiting_since() const { return waiting_since_; }
-  // It has waited too long: for its first request, or for the next one.
-  void on_waited_out();
-  // Closes at once; a request in work is over.
-  // Ends the connection, and the request in work. `reason` is for the log.
-  void leave(std::string_view reason);
+  // To be called when it has waited too long for its first request, or for the next one.
+  void on_waiting_timed_out();
+  // Closes the connection at once and abandons its request in flight, if there is one. `reason` is for the
+  // log.
+  void close(std::string_view reason);
 
   // core::Reply
   void served_by(std::uint16_t model, const Allowance* allowance) override;
@@ -67,13 +67,13 @@
   void drop_keep_while_draining();
   AfterAnswer after_answer() const;
   void watch_congestion();
-  void turn_away();
+  void reject_for_overload();
   void reject_bad_request(const http::BadMessage& bad);
   void answer(const fronts::ErrorAnswer& text, Time retry_after);
   void on_answered();
 
   // Closing.
-  void close_soon();
+  void close_after_sending();
   void on_last_byte_sent();
   void on_drained();
 
@@ -85,8 +85,8 @@
   DownstreamServer& owner_;
   Stream stream_;
   http::MessageReader reader_{http::MessageReader::Kind::request};
-  Timer limit_;      // of whatever it waits for
-  Timer next_step_;  // what must not happen within the call at hand
+  Timer timeout_;    // of the current state: reading, writing or closing
+  Timer next_step_;  // defers a step that must not run within the current call
 
   State state_ = State::idle;
   std::string body_;
@@ -94,19 +94,19 @@
   std::vector<http::Header> extra_headers_;  // of the answer's head
   std::unique_ptr<fronts::EventWriter> writer_;
   RequestId core_request_id_ = 0;
-  Waiting* queue_ = nullptr;  // of the server, in which it waits
+  Waiting* queue_ = nullptr;  // of the server, in which it waits; null: in none
   Waiting::iterator queue_position_;
   Time request_begun_ = 0;
   Time waiting_since_ = 0;
   std::size_t body_bytes_ = 0;  // as accounted in the shared admission state
   std::size_t discarded_ = 0;   // bytes read and dropped while closing
 
-  bool keep_ = true;  // the connection outlives the request at hand
+  bool keep_ = true;  // the connection stays open after the current request
   bool head_sent_ = false;
-  bool congested_ = false;  // the core was notified that the client reads slowly
-  bool closing_ = false;    // once all is sent
+  bool congested_ = false;  // the request manager was notified that the client reads slowly
+  bool closing_ = false;    // it closes once all bytes are sent
   bool finished_sending_ = false;
-  bool left_ = false;
+  bool closed_ = false;
   bool in_read_requests_ = false;
 };
 
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -8,7 +8,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kSpareDescriptors = 2;  // not for clients: the connections to replicas need them
+constexpr std::size_t kSpareDescriptors = 2;  // kept free for connections to replicas
 
 }  // namespace
 
@@ -24,35 +24,35 @@
   const auto room = [this] { return has_room(); };
   const auto accepted = [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); };
   if (options_.listening) return std::make_unique<Listener>(std::move(options_.listening), room, accepted);
-  const AddressUse use = options_.shared ? AddressUse::shared : AddressUse::exclusive;
-  return std::make_unique<Listener>(options_.address, room, accepted, use);
+  return std::make_unique<Listener>(options_.address, room, accepted, options_.address_use);
 }
 
 // ---------------------------------------------------------------- room for connections
 
-// A new client is worth more than a connection without a request, which its client opens anew when it needs
-// it. Guards the usual clients against crowds that connect and send nothing: beyond the share of the clients
-// a new connection takes the place of one that had time to send a request, or else of one between two
-// requests; and what the replicas need is never given away.
+// A new connection takes precedence over one without a request, which its client can open again. Beyond the
+// clients' share of the descriptors, a new connection replaces one that has had time to send a request, or
+// else one between two requests: this protects ordinary clients against crowds that connect and send nothing.
+// The descriptors for replicas are never used for clients.
 void DownstreamServer::make_room() {
-  if (connections_.size() > options_.most_connections && !evict(new_, kNewConnectionGrace)) evict(idle_, 0);
-  if (connections_.size() >= options_.most_lines) evict(new_, 0);
+  if (connections_.size() > options_.max_busy_connections && !evict(new_, kNewConnectionGrace))
+    evict(idle_, 0);
+  if (connections_.size() >= options_.max_connections) evict(new_, 0);
 }
 
 bool DownstreamServer::has_room() const {
-  return connections_.size() < options_.most_lines &&
+  return connections_.size() < options_.max_connections &&
          descriptors().held + kSpareDescriptors < descriptors().limit;
 }
 
-// Closes the first of a queue that has waited this long and of which nothing is left to read. False: there is
-// none.
+// Closes the first connection of the queue that has waited for `min_waiting` and has no bytes left to read.
+// Returns false if there is none.
 bool DownstreamServer::evict(Waiting& queue, Time min_waiting) {
   const Time now = now_us();
   for (Connection* connection : queue) {
     if (now - connection->waiting_since() < min_waiting) return false;
     if (!connection->nothing_to_read()) continue;
     ++counters_.evicted;
-    connection->leave("its place is needed");
+    connection->close("its place is needed");
     return true;
   }
   return false;
@@ -76,20 +76,21 @@
 
 // ---------------------------------------------------------------- connections without a request
 
-// One timer for all: a crowd has no timers of its own.
+// All waiting connections share one timer, so that a crowd of them is cheap.
 void DownstreamServer::start_waiting_check() {
   waiting_check_timer_.start(kWaitingCheckInterval, [this] { check_waiting(); });
 }
 
 void DownstreamServer::check_waiting() {
-  close_waited_out(new_, kReadLimit);
-  close_waited_out(idle_, kIdleLimit);
+  close_timed_out(new_, kReadLimit);
+  close_timed_out(idle_, kIdleLimit);
   if (!new_.empty() || !idle_.empty()) start_waiting_check();
 }
 
-void DownstreamServer::close_waited_out(Waiting& queue, Time limit) {
+void DownstreamServer::close_timed_out(Waiting& queue, Time limit) {
   const Time now = now_us();
-  while (!queue.empty() && now - queue.front()->waiting_since() >= limit) queue.front()->on_waited_out();
+  while (!queue.empty() && now - queue.front()->waiting_since() >= limit)
+    queue.front()->on_waiting_timed_out();
 }
 
 // ---------------------------------------------------------------- the router's lifecycle
@@ -103,7 +104,7 @@
   close_unused();
 }
 
-// Closes what has no request while the phase wants it, and looks again as long as no connection is kept.
+// Closes connections without a request if the phase wants it, and repeats that while no connection is kept.
 void DownstreamServer::close_unused() {
   const Time now = now_us();
   if (router_lifecycle().closes_idle_connections(now)) {
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -15,8 +15,6 @@
 constexpr ReplicaId kHashStart = 0x811c9dc5u;
 constexpr ReplicaId kHashPrime = 0x01000193u;
 
-constexpr Time kMicrosecondsPerMillisecond = 1000;
-
 std::uint16_t index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? 0 : static_cast<std::uint16_t>(found - names.begin());
@@ -51,7 +49,7 @@
   }
   std::uint64_t boot_ms = 0;
   if (entry.at_key("boot_ms").get(boot_ms) == simdjson::SUCCESS) {
-    listing.started = static_cast<Time>(boot_ms) * kMicrosecondsPerMillisecond;
+    listing.started = milliseconds(static_cast<Time>(boot_ms));
   }
   double weight = 1;
   if (entry.at_key("capacity_hint").get(weight) == simdjson::SUCCESS) {
@@ -81,7 +79,7 @@
   text += R"(,"state":")";
   text += listing.state == EndpointState::ready ? "SERVING" : "DRAINING";
   text += R"(","capacity_hint":)" + std::to_string(listing.weight);
-  text += R"(,"boot_ms":)" + std::to_string(listing.started / kMicrosecondsPerMillisecond) + "}";
+  text += R"(,"boot_ms":)" + std::to_string(listing.started / milliseconds(1)) + "}";
   return text;
 }
 
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -1,8 +1,8 @@
-// Discovery's list of replicas as JSON: reading it and writing it. Knows no sockets.
+// Reads and writes discovery's endpoint list as JSON:
 //
-//   {"rev": 7, "all": true, "targets": [{"uid": ..., "endpoint": ..., "az": ..., "model": ..., "pod_group":
-//   ...,
-//     "state": "SERVING" or "DRAINING", "capacity_hint": ..., "boot_ms": ...}]}
+//   {"rev": 7, "all": true, "targets": [
+//     {"uid": ..., "endpoint": ..., "az": ..., "model": ..., "pod_group": ...,
+//      "state": "SERVING" or "DRAINING", "capacity_hint": ..., "boot_ms": ...}]}
 #pragma once
 
 #include <simdjson.h>
@@ -16,39 +16,40 @@
 
 namespace thornwick::net {
 
-// One entry of a list, as discovery has it.
+// One entry of a list.
 struct ListedEndpoint {
-  Endpoint listing;      // what the routing policy learns of it
+  Endpoint listing;      // the part that the routing policy needs
   std::string uid;       // empty: the entry has none and cannot be used
   std::string endpoint;  // "127.0.0.1:9000"
   std::string model;     // as discovery names it
   std::int64_t group = 0;
 };
 
-// The zones and the kinds of replica that the settings name; an Endpoint holds their positions here. What is
-// not named counts as the first.
+// The zones and kinds of replica that the settings name. An Endpoint holds positions in these lists; a name
+// that is not listed has position 0.
 struct EndpointNames {
   std::vector<std::string> zones;
   std::vector<std::string> kinds;
 };
 
-// Reads an entry, whatever is wrong with it. `listing.id` is not set: it depends on the other entries.
+// Reads an entry; fields that are missing or malformed get default values. `listing.id` is not set, because
+// it depends on the other entries.
 ListedEndpoint read_endpoint(simdjson::dom::element entry, const EndpointNames& names);
 
-// The list's version; none if it gives none.
+// The list's revision, if it has one.
 std::optional<std::uint64_t> read_revision(simdjson::dom::element list);
 
-// A whole list drops what it omits; others change only the entries they hold.
+// Whether replicas that the list omits are gone. Any other list only changes the entries that it has.
 bool is_whole_list(simdjson::dom::element list);
 
-// An entry that is not gone, in discovery's form.
+// Writes an entry in discovery's format. Its state must not be `gone`.
 std::string write_endpoint(const ListedEndpoint& endpoint, const EndpointNames& names);
 
-// A whole list; `entries` are those of write_endpoint(), with commas between.
+// Writes a whole list. `entries`: results of write_endpoint(), separated by commas.
 std::string write_endpoint_list(std::optional<std::uint64_t> revision, const std::string& entries);
 
-// The number that a uid ends in, in hexadecimal, or else a hash of the uid. The routing policy sorts by it,
-// and all routers must sort alike: both are equal everywhere.
+// Returns the hexadecimal number at the end of the uid, or else a hash of the uid. The routing policy sorts
+// replicas by it, and all routers must sort them in the same order.
 ReplicaId preferred_id(const std::string& uid);
 
 }  // namespace thornwick::net
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -8,9 +8,10 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kMaxRemembered = 64;  // replicas that are gone, for the records of their last requests
+constexpr std::size_t kMaxRemembered =
+    64;  // replicas that are gone, kept for the records of their last requests
 
-const char* name_of(EndpointState state) {
+std::string_view to_string(EndpointState state) {
   switch (state) {
     case EndpointState::ready: return "ready";
     case EndpointState::draining: return "draining";
@@ -19,6 +20,16 @@
   return "gone";
 }
 
+// The fault as log lines state it.
+std::string_view to_string(EntryFault fault) {
+  switch (fault) {
+    case EntryFault::no_uid: return "an entry has no uid";
+    case EntryFault::duplicate_uid: return "a list has it twice";
+    case EntryFault::no_address: break;
+  }
+  return "it has no good address";
+}
+
 }  // namespace
 
 EndpointTable::EndpointTable(Options options, OnUpdate on_update)
@@ -27,7 +38,7 @@
       client_({.address = std::move(options.address),
                .calls = options.calls,
                .seed = options.seed,
-               .bear_old = options.bear_old},
+               .max_old_list_time = options.max_old_list_time},
               {.list = [this](simdjson::dom::element list) { apply_list(list, Source::discovery); },
                .failed = [this] { on_update_(EndpointUpdate::failed, {}); }},
               counters_) {}
@@ -99,11 +110,11 @@
 
 bool EndpointTable::is_usable(const ListedEndpoint& listed, std::set<std::string>& seen) {
   if (listed.uid.empty()) {
-    reject_entry("an entry has no uid", listed.uid);
+    reject_entry(EntryFault::no_uid, listed.uid);
     return false;
   }
   if (!seen.insert(listed.uid).second) {
-    reject_entry("a list has it twice", listed.uid);
+    reject_entry(EntryFault::duplicate_uid, listed.uid);
     return false;
   }
   return true;
@@ -119,15 +130,16 @@
     entry.endpoint = std::move(listed.endpoint);
     entry.address = parse_address(entry.endpoint);
   }
-  // Guards against a choice that nothing can be sent to.
+  // A replica without an address must not be chosen, so it counts as draining.
   if (!entry.address && entry.listing.state == EndpointState::ready) {
-    reject_entry("it has no good address", entry.uid);
+    reject_entry(EntryFault::no_address, entry.uid);
     entry.listing.state = EndpointState::draining;
   }
   return entry.listing;
 }
 
-// One that is gone gives its number up, or routers that never knew it would sort differently.
+// A replica that is gone gives up its number. Otherwise routers that never knew it would number the replicas
+// differently.
 ReplicaId EndpointTable::assign_id(const std::string& uid) const {
   ReplicaId id = preferred_id(uid);
   for (const EndpointEntry* other = find(id);
@@ -139,29 +151,30 @@
   return id;
 }
 
-void EndpointTable::reject_entry(std::string_view reason, const std::string& uid) {
+void EndpointTable::reject_entry(EntryFault fault, const std::string& uid) {
   ++counters_.bad;
+  const std::string_view reason = to_string(fault);
   if (!log_limiter_.due(now_us(), reason)) return;
   logging::warning("endpoints") << "invalid entry: " << logging::field("replica", uid) << ": " << reason;
 }
 
-// One line for each replica whose state is another than the log has. What the router knew at its start is no
-// change.
+// Logs one line for each replica whose state has changed since its latest line. States from the list at the
+// start are no changes and have level debug.
 void EndpointTable::log_state_changes(Source source) {
   const auto level = source == Source::cache ? logging::Level::debug : logging::Level::info;
   for (auto& [id, entry] : endpoints_) {
     const EndpointState state = entry.listing.state;
     if (entry.logged_state == state) continue;
-    const char* const before = entry.logged_state ? name_of(*entry.logged_state) : "unknown";
+    const std::string_view before = entry.logged_state ? to_string(*entry.logged_state) : "unknown";
     logging::Line(level, "endpoints")
         << "replica " << logging::field("replica", entry.uid) << ": " << logging::field("before", before)
-        << " -> " << logging::field("state", name_of(state)) << ", revision "
+        << " -> " << logging::field("state", to_string(state)) << ", revision "
         << logging::field("revision", client_.revision().value_or(0));
     entry.logged_state = state;
   }
 }
 
-// Guards the memory where replicas are replaced all day.
+// Bounds the memory where replicas are replaced all day.
 void EndpointTable::forget_gone() {
   for (auto& [id, entry] : endpoints_) {
     const bool gone = entry.listing.state == EndpointState::gone;
--- a/src/net/endpoint_table.hpp
+++ b/src/net/endpoint_table.hpp
@@ -1,5 +1,6 @@
-// The replicas that discovery lists: where each listens, whether it takes new work, and its number for the
-// routing policy. Lists come from a DiscoveryClient, or once from what an earlier process knew.
+// The replicas that discovery lists: the address of each, whether it accepts new requests, and its number for
+// the routing policy. Lists come from a DiscoveryClient, and at the start from an earlier process or the
+// configuration.
 #pragma once
 
 #include <simdjson.h>
@@ -25,10 +26,14 @@
 
 namespace thornwick::net {
 
+// Why an entry of a list cannot be used.
+enum class EntryFault { no_uid, duplicate_uid, no_address };
+
+// A replica in the table.
 struct EndpointEntry : ListedEndpoint {
-  Owned<GSocketAddress> address;              // nullptr: there is no good one
-  bool remembered = false;                    // gone, and waiting to be forgotten
-  std::optional<EndpointState> logged_state;  // the one that the log has; none: the entry is new
+  Owned<GSocketAddress> address;              // null: the entry has no usable address
+  bool remembered = false;                    // it is gone and in the queue of entries to forget
+  std::optional<EndpointState> logged_state;  // the state in the latest log line; none: the entry is new
 };
 
 class EndpointTable : public core::Discovery {
@@ -37,44 +42,46 @@
     std::string address;
     std::vector<std::string> zones;  // as the settings name them
     std::vector<std::string> kinds;
-    // When discovery is called; the routing policy's own pauses decide nothing here.
+    // When discovery is called. The routing policy's own intervals have no effect here.
     core::DiscoverySchedule::Options calls;
-    std::uint64_t seed = 0;  // of the chance in it
-    // An agent's older list is not taken over before it has given none but such for so long.
-    Time bear_old = seconds(10);
+    std::uint64_t seed = 0;  // of the schedule's jitter
+    // A list that is older than the one in use is applied only after discovery has sent nothing newer for
+    // this time.
+    Time max_old_list_time = seconds(10);
   };
-  // The table has changed (or a call has failed, without entries): what the routing policy has to learn.
+  // Called after the table has changed, with the changed entries; and after a call has failed, without
+  // entries.
   using OnUpdate = std::function<void(EndpointUpdate, std::span<const Endpoint>)>;
 
-  // Throws NetError if the address is none.
+  // Throws NetError if `options.address` is not an address.
   EndpointTable(Options options, OnUpdate on_update);
 
-  // Asks this from now on, before anything is sent to a replica that the list has as ready: whether peers
-  // report that it drains or is gone. It is called until the table is destroyed.
+  // Sets the function that tells whether peers report a replica as draining or gone. Such a replica gets no
+  // new attempt even if the list has it as ready. The function is called until the table is destroyed.
   void consult_peers(std::function<bool(ReplicaId)> reported) { reported_by_peers_ = std::move(reported); }
 
-  // The list as this router last held it.
+  // Applies a list that is known at the start, before discovery has answered.
   void start_from(simdjson::dom::element known);
-  // The list of now, in discovery's form, for a process that takes over. Replicas that peers report are in it
-  // as draining. It has no version then, so that the other process asks for the whole list: should a report
-  // be untrue, no later change of the list would say so.
+  // The current list in discovery's format, for a successor. Replicas that peers report are listed as
+  // draining; the list then has no revision, so that the successor requests the whole list. If such a report
+  // is wrong, no later change of the list would correct it.
   std::string list() const;
 
-  // The schedule calls by itself, so that a watch is always open or under way; this only says that one is
-  // wanted.
+  // Does nothing: the schedule keeps a watch open by itself.
   void watch() override {}
   void fetch() override { client_.fetch(); }
 
-  // Discovery has moved. What is known of the replicas stays until the new address has sent its whole list.
-  // Throws NetError, and then nothing has changed.
+  // Calls discovery at another address from now on. The table stays until the new address has sent its whole
+  // list. Throws NetError if it is not an address, and then nothing has changed.
   void switch_to(const std::string& address) { client_.switch_to(address); }
 
-  // Also of a replica that has gone, for a while; nullptr if it is not known. Valid until the next list.
+  // Returns null if the replica is not known. Replicas that are gone stay known for a while. Valid until the
+  // next list is applied.
   const EndpointEntry* find(ReplicaId replica) const;
-  // Whether the newest list allows new work for this replica, and no peer's report speaks against it.
+  // Whether the replica may get new attempts: the list has it as ready, and no peer reports it.
   bool may_send(ReplicaId replica) const;
   std::size_t size() const { return endpoints_.size(); }
-  // Without those that are gone.
+  // The number of replicas that are not gone.
   std::size_t listed() const;
   const DiscoveryCounters& counters() const { return counters_; }
 
@@ -88,14 +95,14 @@
   Endpoint apply_entry(ListedEndpoint listed);
   void log_state_changes(Source source);
   ReplicaId assign_id(const std::string& uid) const;
-  void reject_entry(std::string_view reason, const std::string& uid);
+  void reject_entry(EntryFault fault, const std::string& uid);
   void forget_gone();
 
   EndpointNames names_;
   OnUpdate on_update_;
   std::function<bool(ReplicaId)> reported_by_peers_;  // empty: there are no peers
   std::map<ReplicaId, EndpointEntry> endpoints_;
-  std::deque<ReplicaId> gone_;  // the one that went first comes first
+  std::deque<ReplicaId> gone_;  // in the order in which they went
   DiscoveryCounters counters_;
   logging::RateLimiter log_limiter_;
   DiscoveryClient client_;
--- a/src/net/flow_exporter.cpp
+++ b/src/net/flow_exporter.cpp
@@ -5,7 +5,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kDelay = seconds(1);              // a record waits this long for others
+constexpr Time kDelay = seconds(1);              // for which a record waits for others
 constexpr Time kTemplateInterval = seconds(30);  // over UDP a template may be lost (RFC 7011, section 8.1)
 
 Owned<GSocketAddress> collector_address(const std::string& text) {
@@ -29,7 +29,7 @@
     : writer_(domain), collector_(collector_address(collector)), socket_(new_socket(collector_.get())) {}
 
 FlowExporter::~FlowExporter() {
-  if (writer_.waiting() > 0) flush();
+  if (writer_.pending() > 0) flush();
 }
 
 void FlowExporter::add(const core::RequestSummary& summary, std::string_view replica) {
@@ -43,8 +43,9 @@
   const Time now = now_us();
   const bool with_template = template_sent_at_ == 0 || now - template_sent_at_ >= kTemplateInterval;
   if (with_template) template_sent_at_ = now;
-  sent_ += writer_.waiting();
-  const std::string message = writer_.take(now, with_template);
+  sent_ += writer_.pending();
+  const std::string message =
+      writer_.take(now, with_template ? FlowWriter::Template::included : FlowWriter::Template::omitted);
   GLibError error;
   const gssize sent =
       g_socket_send_to(socket_.get(), collector_.get(), message.data(), message.size(), nullptr, error.out());
--- a/src/net/flow_exporter.hpp
+++ b/src/net/flow_exporter.hpp
@@ -16,12 +16,12 @@
   FlowExporter(const std::string& collector, std::uint32_t domain);
   FlowExporter(const FlowExporter&) = delete;
   FlowExporter& operator=(const FlowExporter&) = delete;
-  // Sends what waits.
+  // Sends the pending records.
   ~FlowExporter();
 
-  // The record goes out with others, a second later at the most.
+  // Sends the record together with others, after one second at most.
   void add(const core::RequestSummary& summary, std::string_view replica);
-  // Records that went out, lost ones included.
+  // The number of records that were sent, including lost ones.
   std::uint64_t sent() const { return sent_; }
 
  private:
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -11,14 +11,12 @@
 constexpr std::uint16_t kTemplateSet = 2;
 constexpr std::uint16_t kVariableLength = 65535;
 constexpr std::uint16_t kEnterpriseBit = 0x8000;
-constexpr std::uint32_t kEnterprise = 32473;  // the number kept for examples (RFC 5612)
+constexpr std::uint32_t kEnterprise = 32473;  // reserved for examples (RFC 5612)
 constexpr std::size_t kMessageHeadBytes = 16;
 constexpr std::size_t kSetHeadBytes = 4;
 constexpr std::size_t kTemplateHeadBytes = 4;
-constexpr std::size_t kMaxRecordBytes = 1200;  // of records in a message: no fragments on the way
+constexpr std::size_t kMaxRecordBytes = 1200;  // of records in a message, so that it is not fragmented
 constexpr std::size_t kMaxNameBytes = 200;     // of a replica's name; one byte holds its length
-constexpr Time kMicrosecondsPerMillisecond = 1000;
-constexpr Time kMicrosecondsPerSecond = 1'000'000;
 constexpr std::uint64_t kMax32 = std::numeric_limits<std::uint32_t>::max();
 constexpr std::uint64_t kMax64 = std::numeric_limits<std::uint64_t>::max();
 
@@ -30,7 +28,7 @@
   Origin origin = Origin::iana;
 };
 
-// IANA's elements, then those of our enterprise number, in the order of FlowWriter::add.
+// The elements of IANA, then those of the enterprise number, in the order of FlowWriter::add.
 constexpr Field kFields[] = {
     {152, 8},                                  // flowStartMilliseconds
     {153, 8},                                  // flowEndMilliseconds
@@ -47,7 +45,7 @@
     {9, kVariableLength, Origin::enterprise},  // the last replica
 };
 
-// In network order.
+// Appends the lowest `bytes` bytes of the value in network order.
 void append_number(std::string& out, std::uint64_t value, std::size_t bytes) {
   for (std::size_t i = bytes; i > 0; --i) out += static_cast<char>(value >> (8 * (i - 1)));
 }
@@ -55,10 +53,10 @@
 std::string template_set() {
   std::string fields;
   for (const Field& field : kFields) {
-    const bool is_own = field.origin == Origin::enterprise;
-    append_number(fields, field.id | (is_own ? kEnterpriseBit : 0u), 2);
+    const bool is_enterprise = field.origin == Origin::enterprise;
+    append_number(fields, field.id | (is_enterprise ? kEnterpriseBit : 0u), 2);
     append_number(fields, field.length, 2);
-    if (is_own) append_number(fields, kEnterprise, 4);
+    if (is_enterprise) append_number(fields, kEnterprise, 4);
   }
   std::string set;
   append_number(set, kTemplateSet, 2);
@@ -72,7 +70,7 @@
   return std::min<std::uint64_t>(static_cast<std::uint64_t>(std::max<Time>(0, value)), most);
 }
 
-std::uint64_t to_milliseconds(Time value) { return clamped(value / kMicrosecondsPerMillisecond, kMax64); }
+std::uint64_t to_milliseconds(Time value) { return clamped(value / milliseconds(1), kMax64); }
 
 }  // namespace
 
@@ -98,8 +96,8 @@
 
 bool FlowWriter::full() const { return records_.size() >= kMaxRecordBytes; }
 
-std::string FlowWriter::take(Time now, bool with_template) {
-  std::string sets = with_template ? template_set() : std::string();
+std::string FlowWriter::take(Time now, Template include) {
+  std::string sets = include == Template::included ? template_set() : std::string();
   if (record_count_ > 0) {
     append_number(sets, kFlowTemplate, 2);
     append_number(sets, records_.size() + kSetHeadBytes, 2);
@@ -108,7 +106,7 @@
   std::string message;
   append_number(message, kVersion, 2);
   append_number(message, sets.size() + kMessageHeadBytes, 2);
-  append_number(message, clamped(now / kMicrosecondsPerSecond, kMax32), 4);
+  append_number(message, clamped(now / seconds(1), kMax32), 4);
   append_number(message, sequence_, 4);
   append_number(message, domain_, 4);
   sequence_ += static_cast<std::uint32_t>(record_count_);
--- a/src/net/flow_record.hpp
+++ b/src/net/flow_record.hpp
@@ -1,4 +1,4 @@
-// Flow records as bytes: one IPFIX record (RFC 7011) for each request that ended. Knows no sockets.
+// Encodes flow records: one IPFIX record (RFC 7011) for each completed request.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,20 @@
 // Collects records until they are taken as one message.
 class FlowWriter {
  public:
-  // `domain`: the observation domain, which tells this router's records from others'.
+  // Whether a message contains the template.
+  enum class Template { included, omitted };
+
+  // `domain`: the observation domain, which identifies the records of this router.
   explicit FlowWriter(std::uint32_t domain) : domain_(domain) {}
-  // `replica`: the name of the last one that had the request.
+  // `replica`: the uid of the replica of the last attempt.
   void add(const core::RequestSummary& summary, std::string_view replica);
-  // No further record should go into the same message.
+  // Whether the message has reached its size: no further record should be added before take().
   bool full() const;
-  // How many records wait.
-  std::size_t waiting() const { return record_count_; }
-  // Returns a message with the records that wait, and empties the writer. `now`: microseconds since 1970.
-  // `with_template`: collectors must have it before the records mean anything.
-  std::string take(Time now, bool with_template);
+  // The number of records that were added since the last take().
+  std::size_t pending() const { return record_count_; }
+  // Returns a message with the pending records and removes them. `now`: microseconds since 1970. Collectors
+  // need the template to decode the records.
+  std::string take(Time now, Template include);
 
  private:
   std::uint32_t domain_;
--- a/src/net/handover_client.cpp
+++ b/src/net/handover_client.cpp
@@ -19,8 +19,8 @@
   return socket;
 }
 
-// nullptr: a file that a killed process left over; nobody is there, and that is nothing to log. Throws
-// HandoverError.
+// Returns null if no process listens there, because a killed process has left the file; that is not worth a
+// log line. Throws HandoverError if it cannot connect for another reason.
 Owned<GSocket> connect_to_old_process(const std::string& path) {
   auto socket = new_unix_socket();
   g_socket_set_timeout(socket.get(), kAnswerSeconds);
--- a/src/net/handover_client.hpp
+++ b/src/net/handover_client.hpp
@@ -1,4 +1,4 @@
-// The new process's end of a handover.
+// The new process's side of a handover.
 #pragma once
 
 #include <functional>
@@ -11,23 +11,25 @@
 
 namespace thornwick::net {
 
-// Asks the process that waits for a successor at this path. None if there is none, or if it offers nothing
-// whole in a second: then the start is an ordinary one, and a line in the log says why. Blocks; for the time
-// before the loop runs.
+// Requests the state of the process that waits for a successor at this path. Returns none if there is no such
+// process, or if it sends no whole offer within a second; then the start is an ordinary one, and a log line
+// states why. Blocks, so it is to be called before the loop runs.
 std::optional<HandoverState> inherit(const std::string& path);
 
-// Notifies the old process that this one serves, and is notified when the old one has yielded, or has gone.
+// Notifies the old process that this one serves, and is notified when the old one has yielded or has ended.
 class HandoverClient {
  public:
   struct Callbacks {
-    std::function<void(bool drained)> yielded;  // the path is free, and it accepts no more
-    std::function<void()> gone;
+    std::function<void(bool drained)> yielded;  // the path is free, and the old process accepts nothing more
+    std::function<void()> gone;                 // the old process has ended
   };
 
-  // `line`: of the state that was inherited.
+  // `line`: the connection to the old process, from the state that was inherited.
   HandoverClient(Owned<GSocket> line, Callbacks callbacks);
+  // Notifies the old process that this one serves.
   void serving();
-  // To a successor in its turn: that this process ends is no failure.
+  // Notifies the old process that this one has handed over to a successor of its own, so that its end is no
+  // failure.
   void passed_on();
 
  private:
--- a/src/net/handover_server.cpp
+++ b/src/net/handover_server.cpp
@@ -11,7 +11,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kServingLimit = seconds(30);  // a successor that does not serve for longer is let go
+constexpr Time kServingTimeout = seconds(30);  // a successor that does not serve in this time is disconnected
 
 }  // namespace
 
@@ -20,7 +20,7 @@
   open();
 }
 
-// The file goes only while it is this process's own.
+// Removes the file only if it is still this process's own.
 HandoverServer::~HandoverServer() {
   if (listener_) unlink(path_.c_str());
 }
@@ -38,7 +38,7 @@
 }
 
 void HandoverServer::on_accepted(Owned<GSocket> socket) {
-  if (successor_) return;  // one at a time; the other starts afresh
+  if (successor_) return;  // one at a time; the other process starts without a handover
   if (same_user(socket.get())) start_offer(std::move(socket));
 }
 
@@ -56,7 +56,7 @@
   if (!offer.head_sent) return on_lost();
   const std::size_t bytes = offer.rest.size();
   successor_->write(std::move(offer.rest));
-  serving_limit_.start(kServingLimit, [this] { on_lost(); });
+  serving_timeout_.start(kServingTimeout, [this] { on_lost(); });
   logging::info("handover") << "successor connected: handing over " << offer.sockets << " sockets and "
                             << bytes << " bytes";
 }
@@ -78,7 +78,7 @@
 }
 
 void HandoverServer::on_serving() {
-  serving_limit_.stop();
+  serving_timeout_.stop();
   served_ = true;
   listener_.reset();  // the path is the successor's from the answer on
   const bool drained = callbacks_.serving();
@@ -87,7 +87,7 @@
 }
 
 void HandoverServer::on_lost() {
-  serving_limit_.stop();
+  serving_timeout_.stop();
   successor_->close();
   deferred_delete(std::exchange(successor_, nullptr));
   if (passed_on_) return;
--- a/src/net/handover_server.hpp
+++ b/src/net/handover_server.hpp
@@ -1,4 +1,4 @@
-// The old process's end of a handover.
+// The old process's side of a handover.
 #pragma once
 
 #include <functional>
@@ -13,17 +13,20 @@
 
 namespace thornwick::net {
 
-// Waits for a successor at a Unix socket, one at a time; offers it this process's state and yields when it
+// Waits for a successor at a Unix socket, one at a time. Offers it this process's state and yields once it
 // serves. If the successor is lost, it waits for another one.
 class HandoverServer {
  public:
   struct Callbacks {
-    std::function<HandoverState()> offer;  // sockets are lent, not given: they stay open here. Without `line`
-    std::function<bool()> serving;         // the successor serves; returns whether this router is drained
-    std::function<void()> lost;            // it has gone, before or after it served
+    // Returns the state for the successor, without `line`. The sockets stay open here.
+    std::function<HandoverState()> offer;
+    // The successor serves. Returns whether this router is drained.
+    std::function<bool()> serving;
+    // The successor has ended, before or after it served.
+    std::function<void()> lost;
   };
 
-  // Throws NetError if it cannot listen there. A file that is left over is removed.
+  // Removes a file that an earlier process left at the path. Throws NetError if it cannot listen there.
   HandoverServer(std::string path, Callbacks callbacks);
   HandoverServer(const HandoverServer&) = delete;
   HandoverServer& operator=(const HandoverServer&) = delete;
@@ -40,10 +43,10 @@
 
   std::string path_;
   Callbacks callbacks_;
-  std::unique_ptr<Listener> listener_;  // none once the successor serves
-  std::unique_ptr<Stream> successor_;   // one at a time
+  std::unique_ptr<Listener> listener_;  // null once the successor serves
+  std::unique_ptr<Stream> successor_;   // at most one
   std::string received_;
-  Timer serving_limit_;
+  Timer serving_timeout_;
   bool served_ = false;
   bool passed_on_ = false;
 };
--- a/src/net/io_watcher.cpp
+++ b/src/net/io_watcher.cpp
@@ -46,8 +46,8 @@
   }
 
  private:
-  // `generation` tells the socket that is watched from an earlier one with the same descriptor, whose event
-  // may still stand in the batch at hand.
+  // `generation` distinguishes the watched socket from an earlier one with the same descriptor, whose event
+  // may still be in the current batch.
   struct Slot {
     IoWatcher* reader = nullptr;
     IoWatcher* writer = nullptr;
@@ -106,8 +106,8 @@
   }
 
   // The callbacks before this one may have stopped the watcher, or closed its socket.
-  void run(std::size_t index, std::uint32_t generation, IoWatcher* Slot::*which) {
-    IoWatcher* watcher = slots_[index].*which;
+  void run(std::size_t index, std::uint32_t generation, IoWatcher* Slot::*direction) {
+    IoWatcher* watcher = slots_[index].*direction;
     if (watcher == nullptr || slots_[index].generation != generation) return;
     const auto callback = watcher->callback_;
     (*callback)();
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -7,8 +7,9 @@
 namespace thornwick::net {
 namespace {
 
-constexpr int kBeatsOfSilence = 4;
-constexpr int kBeatsToGreet = 2;
+// Timeouts as counts of heartbeat intervals.
+constexpr int kSilenceHeartbeats = 4;   // without a byte, then the link ends
+constexpr int kGreetingHeartbeats = 2;  // for the other side's greeting
 
 }  // namespace
 
@@ -22,20 +23,20 @@
                .ended = [this] { owner_.on_ended(*this); }}) {}
 
 bool Links::Link::dial(GSocketAddress* address) {
-  expect_bytes_within(kBeatsToGreet);
+  expect_bytes_within(kGreetingHeartbeats);
   return stream_.connect(address);
 }
 
 void Links::Link::adopt(Owned<GSocket> socket) {
   stream_.adopt(std::move(socket));
-  expect_bytes_within(kBeatsToGreet);
+  expect_bytes_within(kGreetingHeartbeats);
 }
 
 void Links::Link::greet() {
   write(write_greeting({kLinkVersion, owner_.options_.group, owner_.options_.self, member_}));
 }
 
-void Links::Link::come_up() {
+void Links::Link::mark_up() {
   up_ = true;
   up_since_ = now_us();
   start_heartbeat();
@@ -56,8 +57,8 @@
 
 // ---------------------------------------------------------------- heartbeats
 
-void Links::Link::expect_bytes_within(int beats) {
-  silence_.start(beats * owner_.options_.beat, [this] { on_silence(); });
+void Links::Link::expect_bytes_within(int heartbeats) {
+  silence_.start(heartbeats * owner_.options_.heartbeat, [this] { on_silence(); });
 }
 
 void Links::Link::on_silence() {
@@ -65,9 +66,9 @@
   owner_.on_ended(*this);
 }
 
-// Guards against a connection that nobody holds any more at the other end.
+// Heartbeats detect a connection whose other end has vanished without closing it.
 void Links::Link::start_heartbeat() {
-  heartbeat_.start(owner_.options_.beat, [this] { on_heartbeat(); });
+  heartbeat_.start(owner_.options_.heartbeat, [this] { on_heartbeat(); });
 }
 
 void Links::Link::on_heartbeat() {
@@ -80,28 +81,28 @@
 
 void Links::Link::on_bytes(std::string_view bytes) {
   owner_.counters_.bytes_in += bytes.size();
-  if (up_) expect_bytes_within(kBeatsOfSilence);
+  if (up_) expect_bytes_within(kSilenceHeartbeats);
   reader_.feed(bytes);
   while (stream_.open() && read_frame()) {
   }
-  reader_.drop_read();
+  reader_.discard_consumed();
 }
 
-// False: there is no further frame yet, or the link has ended.
+// Returns false if no further whole frame has come yet, or the link has ended.
 bool Links::Link::read_frame() {
   try {
     const auto frame = reader_.next();
     return frame && on_frame(*frame);
   } catch (const FrameError& error) {
-    fail(error.what());
+    fail(error.fault());
   } catch (const std::exception&) {
-    // What a frame holds, for this module or another one, cannot be read.
-    fail("a frame that cannot be read");
+    // The frame is whole, but the greeting or the message of another module in it is malformed.
+    fail(FrameFault::unreadable);
   }
   return false;
 }
 
-// False: the link has ended.
+// Returns false if the link has ended.
 bool Links::Link::on_frame(const LinkFrame& frame) {
   ++owner_.counters_.frames_in;
   if (frame.channel == kControlChannel) {
@@ -109,7 +110,7 @@
     return is_heartbeat || on_greeting(read_greeting(frame.bytes));
   }
   if (!up_) {
-    fail("a frame before the greeting");
+    fail(FrameFault::before_greeting);
     return false;
   }
   owner_.callbacks_.received(member_, frame.channel, frame.bytes);
@@ -117,14 +118,14 @@
 }
 
 bool Links::Link::is_acceptable(const LinkGreeting& greeting) const {
-  const Options& own = owner_.options_;
+  const Options& options = owner_.options_;
   const bool for_this_router =
-      greeting.version == kLinkVersion && greeting.group == own.group && greeting.to == own.self;
-  const bool from_a_member = greeting.from < own.addresses.size() && greeting.from != own.self;
+      greeting.version == kLinkVersion && greeting.group == options.group && greeting.to == options.self;
+  const bool from_a_member = greeting.from < options.addresses.size() && greeting.from != options.self;
   return for_this_router && from_a_member && (!dialed() || greeting.from == member_);
 }
 
-// False: the link has ended.
+// Returns false if the link has ended.
 bool Links::Link::on_greeting(const LinkGreeting& greeting) {
   if (is_acceptable(greeting) && !up_) return owner_.on_greeted(*this, greeting.from);
   ++owner_.counters_.rejected;
@@ -136,9 +137,9 @@
   return false;
 }
 
-void Links::Link::fail(const char* reason) {
+void Links::Link::fail(FrameFault fault) {
   ++owner_.counters_.spoilt;
-  logging::warning("links") << "link closed: " << reason;
+  logging::warning("links") << "link closed: " << to_string(fault);
   owner_.on_ended(*this);
 }
 
--- a/src/net/link.hpp
+++ b/src/net/link.hpp
@@ -1,4 +1,4 @@
-// One link with another router. For links.cpp alone.
+// One link with another router. Only links.cpp and link.cpp include this file.
 #pragma once
 
 #include <string>
@@ -11,27 +11,30 @@
 
 namespace thornwick::net {
 
-// Reads and writes frames over one connection: greetings first, then heartbeats and those of other channels.
-// Ends by Links::on_ended(), which may run within any of its functions.
+// Reads and writes frames over one connection: first the greetings, then heartbeats and the frames of other
+// channels. A link that ends calls Links::on_ended(), which may happen within any of its functions; it stays
+// allocated until the loop's next round.
 class Links::Link : public DeferredDeletable {
  public:
   enum class Origin { dialed, accepted };
 
-  // `member`: the group's size for one that was accepted, until it greets.
+  // `member`: the other end; for an accepted link the group's size, which is no member's number, until its
+  // greeting has come.
   Link(Links& owner, std::size_t member, Origin origin);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  // False: it failed at once.
-  bool dial(GSocketAddress* address);
+  // Connects. Returns false if that failed at once.
+  [[nodiscard]] bool dial(GSocketAddress* address);
+  // Takes over an accepted connection.
   void adopt(Owned<GSocket> socket);
   void greet();
-  // Both sides have greeted: heartbeats go out from now on.
-  void come_up();
+  // Call this once both sides have greeted: heartbeats are sent from then on.
+  void mark_up();
   void write(std::string frame);
   // Bytes that the kernel has not taken yet.
-  std::size_t waiting() const { return stream_.unsent(); }
-  // Nothing comes of it any more.
+  std::size_t queued_bytes() const { return stream_.unsent(); }
+  // Closes the connection at once; no callback follows.
   void close();
 
   std::size_t member() const { return member_; }
@@ -41,7 +44,7 @@
   Time up_since() const { return up_since_; }
 
  private:
-  void expect_bytes_within(int beats);
+  void expect_bytes_within(int heartbeats);
   void on_silence();
   void start_heartbeat();
   void on_heartbeat();
@@ -50,7 +53,7 @@
   bool on_frame(const LinkFrame& frame);
   bool on_greeting(const LinkGreeting& greeting);
   bool is_acceptable(const LinkGreeting& greeting) const;
-  void fail(const char* reason);
+  void fail(FrameFault fault);
 
   Links& owner_;
   std::size_t member_;
--- a/src/net/link_frame.cpp
+++ b/src/net/link_frame.cpp
@@ -5,10 +5,10 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kSumPosition = 4;  // in the head, behind the length
+constexpr std::size_t kChecksumOffset = 4;  // in the head, after the length
 constexpr std::size_t kNumberBytes = 4;
 constexpr std::size_t kBitsPerByte = 8;
-constexpr XXH32_hash_t kSumSeed = 0;
+constexpr XXH32_hash_t kChecksumSeed = 0;
 constexpr std::uint32_t kFrameParts = 2;  // channel and bytes
 
 std::uint32_t read_number(std::string_view bytes) {
@@ -38,12 +38,22 @@
     frame.bytes = {parts.ptr[1].via.bin.ptr, parts.ptr[1].via.bin.size};
     return frame;
   } catch (const std::exception&) {
-    throw FrameError("a frame that cannot be read");
+    throw FrameError(FrameFault::unreadable);
   }
 }
 
 }  // namespace
 
+std::string_view to_string(FrameFault fault) {
+  switch (fault) {
+    case FrameFault::unreadable: return "a frame that cannot be read";
+    case FrameFault::too_long: return "a frame that is too long";
+    case FrameFault::wrong_checksum: return "a frame whose sum does not fit";
+    case FrameFault::before_greeting: break;
+  }
+  return "a frame before the greeting";
+}
+
 std::string write_frame(std::uint8_t channel, std::string_view bytes) {
   const auto size = static_cast<std::uint32_t>(bytes.size());
   msgpack::sbuffer packed;
@@ -54,7 +64,7 @@
   packer.pack_bin_body(bytes.data(), size);
   std::string out;
   append_number(out, static_cast<std::uint32_t>(packed.size()));
-  append_number(out, XXH32(packed.data(), packed.size(), kSumSeed));
+  append_number(out, XXH32(packed.data(), packed.size(), kChecksumSeed));
   return out.append(packed.data(), packed.size());
 }
 
@@ -73,17 +83,17 @@
   rest.remove_prefix(position_);
   if (rest.size() < kFrameHeadBytes) return std::nullopt;
   const std::size_t size = read_number(rest);
-  if (size > kMaxFrameBytes) throw FrameError("a frame that is too long");
+  if (size > kMaxFrameBytes) throw FrameError(FrameFault::too_long);
   if (rest.size() < kFrameHeadBytes + size) return std::nullopt;
   const std::string_view content = rest.substr(kFrameHeadBytes, size);
-  if (read_number(rest.substr(kSumPosition)) != XXH32(content.data(), content.size(), kSumSeed)) {
-    throw FrameError("a frame whose sum does not fit");
+  if (read_number(rest.substr(kChecksumOffset)) != XXH32(content.data(), content.size(), kChecksumSeed)) {
+    throw FrameError(FrameFault::wrong_checksum);
   }
   position_ += kFrameHeadBytes + size;
   return unpack_frame(content);
 }
 
-void FrameReader::drop_read() {
+void FrameReader::discard_consumed() {
   buffer_.erase(0, position_);
   position_ = 0;
 }
--- a/src/net/link_frame.hpp
+++ b/src/net/link_frame.hpp
@@ -1,14 +1,15 @@
 // The frames of the links between routers, as bytes. Knows no sockets.
 //
-// A frame: length and XXH32 of what follows (32 bits each, little-endian), then MessagePack [channel, bytes].
-// Channel 0 is the links' own: greetings, and empty heartbeats.
+// A frame is a head of 8 bytes (length and XXH32 checksum of the content, 32 bits each, little-endian) and
+// its content: the MessagePack array [channel, bytes]. Channel 0 belongs to the links themselves: it carries
+// greetings and heartbeats, and a heartbeat has no bytes.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
+#include <exception>
 #include <msgpack.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
@@ -16,49 +17,68 @@
 
 inline constexpr std::uint32_t kLinkVersion = 1;
 inline constexpr std::size_t kFrameHeadBytes = 8;
-inline constexpr std::size_t kMaxFrameBytes = 64UL * 1024;  // of a frame's MessagePack
-inline constexpr std::uint8_t kControlChannel = 0;          // the links' own
+inline constexpr std::size_t kMaxFrameBytes = 64UL * 1024;  // of a frame's content
+inline constexpr std::uint8_t kControlChannel = 0;          // greetings and heartbeats
 
-// Bytes that are no frame; the text says what is wrong with them.
-struct FrameError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+// Why a link's bytes cannot be used. Each of them ends the link.
+enum class FrameFault {
+  unreadable,       // the MessagePack of a frame, or of a message in it, is malformed
+  too_long,         // longer than kMaxFrameBytes
+  wrong_checksum,   // the checksum in the head is not that of the content
+  before_greeting,  // a frame of another channel came before both sides had greeted
+};
+
+// The fault as log lines state it.
+std::string_view to_string(FrameFault fault);
+
+// Bytes that are no frame.
+class FrameError : public std::exception {
+ public:
+  explicit FrameError(FrameFault fault) : fault_(fault) {}
+
+  FrameFault fault() const { return fault_; }
+  const char* what() const noexcept override { return to_string(fault_).data(); }
+
+ private:
+  FrameFault fault_;
 };
 
 // The first frame in each direction of a link.
 struct LinkGreeting {
   std::uint32_t version = kLinkVersion;
   std::uint32_t group = 0;
-  std::uint64_t from = 0;  // members, by number
-  std::uint64_t to = 0;
+  std::uint64_t from = 0;  // number of the member that greets
+  std::uint64_t to = 0;    // number of the member that is greeted
   MSGPACK_DEFINE(version, group, from, to)
 };
 
-// A frame that was read.
+// A received frame.
 struct LinkFrame {
   std::uint8_t channel = 0;
   std::string_view bytes;  // valid as long as `storage`
   msgpack::object_handle storage;
 };
 
+// The whole frame, head included. `bytes` must leave its content within kMaxFrameBytes.
 std::string write_frame(std::uint8_t channel, std::string_view bytes);
 std::string write_greeting(const LinkGreeting& greeting);
 
-// Throws if these bytes are no greeting.
+// Throws an exception of MessagePack if these bytes are no greeting.
 LinkGreeting read_greeting(std::string_view bytes);
 
 // Cuts a byte stream into frames.
 class FrameReader {
  public:
   void feed(std::string_view bytes) { buffer_ += bytes; }
-  // The next whole frame; none if more bytes are needed. Throws FrameError; the stream is of no further use
-  // then.
+  // Returns the next whole frame, or none if more bytes are needed. Throws FrameError, after which the reader
+  // must not be used any more.
   std::optional<LinkFrame> next();
-  // Frees the memory of the frames that were read. To be called after the last next() of a round.
-  void drop_read();
+  // Frees the memory of the frames that next() has returned. Call it once next() has returned none.
+  void discard_consumed();
 
  private:
   std::string buffer_;
-  std::size_t position_ = 0;  // where what is not read yet begins
+  std::size_t position_ = 0;  // of the first byte in the buffer that no frame has consumed yet
 };
 
 }  // namespace thornwick::net
--- a/src/net/links.cpp
+++ b/src/net/links.cpp
@@ -9,11 +9,11 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kMaxStrangers = 16;
+constexpr std::size_t kMaxUngreeted = 16;  // accepted links without a greeting
 constexpr Time kMinRetryPause = milliseconds(100);
 constexpr Time kMaxRetryPause = seconds(30);
-constexpr double kMinJitter = 0.5;                            // of the pause; the most is 1 above it
-constexpr Time kLastingBeats = 5;                             // a link that was up for longer has worked
+constexpr double kMinJitter = 0.5;     // part of the pause; the jitter is below kMinJitter + 1
+constexpr int kLastingHeartbeats = 5;  // a link that was up for longer resets the backoff
 constexpr std::uint64_t kRandomStep = 0x9e3779b97f4a7c15ull;  // of SplitMix64
 
 }  // namespace
@@ -29,7 +29,7 @@
 Links::~Links() = default;
 
 bool Links::has_room() const {
-  return strangers_.size() < kMaxStrangers && descriptors().held < descriptors().limit;
+  return ungreeted_.size() < kMaxUngreeted && descriptors().held < descriptors().limit;
 }
 
 std::uint64_t Links::next_random() {
@@ -37,19 +37,18 @@
   return mix(options_.seed);
 }
 
-// ---------------------------------------------------------------- wanted links
+// ---------------------------------------------------------------- kept links
 
-void Links::want(std::size_t member, bool on) {
+void Links::keep_link(std::size_t member) {
   Peer& peer = peers_.at(member);
-  if (member == options_.self || std::exchange(peer.wanted, on) == on) return;
-  if (!on) return peer.retry.stop();
+  if (member == options_.self || std::exchange(peer.kept, true)) return;
   peer.retry_pause = kMinRetryPause;
   if (!peer.link) dial(member);
 }
 
 void Links::dial(std::size_t member) {
   Peer& peer = peers_[member];
-  if (!peer.wanted || peer.link) return;
+  if (!peer.kept || peer.link) return;
   const auto address = parse_address(options_.addresses[member]);
   ++counters_.dialed;
   peer.link = std::make_unique<Link>(*this, member, Link::Origin::dialed);
@@ -57,10 +56,11 @@
   on_ended(*peer.link);
 }
 
-// The pause doubles, with jitter, so that routers that lost each other together do not retry together.
-void Links::dial_later(std::size_t member) {
+// Exponential backoff with jitter, so that routers that lost their links at the same time do not retry at the
+// same time.
+void Links::schedule_retry(std::size_t member) {
   Peer& peer = peers_[member];
-  if (!peer.wanted) return;
+  if (!peer.kept) return;
   const double jitter = kMinJitter + unit(next_random());
   peer.retry.start(static_cast<Time>(jitter * static_cast<double>(peer.retry_pause)),
                    [this, member] { dial(member); });
@@ -71,45 +71,45 @@
 
 void Links::on_accepted(Owned<GSocket> socket) {
   ++counters_.accepted;
-  strangers_.push_back(std::make_unique<Link>(*this, peers_.size(), Link::Origin::accepted));
-  strangers_.back()->adopt(std::move(socket));
+  ungreeted_.push_back(std::make_unique<Link>(*this, peers_.size(), Link::Origin::accepted));
+  ungreeted_.back()->adopt(std::move(socket));
 }
 
-Links::LinkList::iterator Links::find_stranger(const Link& link) {
-  return std::find_if(strangers_.begin(), strangers_.end(),
-                      [&](const auto& stranger) { return stranger.get() == &link; });
+Links::LinkList::iterator Links::find_ungreeted(const Link& link) {
+  return std::find_if(ungreeted_.begin(), ungreeted_.end(),
+                      [&](const auto& ungreeted) { return ungreeted.get() == &link; });
 }
 
-std::unique_ptr<Links::Link> Links::remove_stranger(LinkList::iterator stranger) {
-  auto link = std::move(*stranger);
-  strangers_.erase(stranger);
-  return link;
+std::unique_ptr<Links::Link> Links::remove_ungreeted(LinkList::iterator link) {
+  auto removed = std::move(*link);
+  ungreeted_.erase(link);
+  return removed;
 }
 
-// Where both dialed, the one that the router with the lower number dialed stays, at both ends alike. False:
-// this link has ended.
+// If both routers have dialed each other, both keep the link that the router with the lower number dialed.
+// Returns false if this link has ended.
 bool Links::on_greeted(Link& link, std::size_t member) {
   Peer& peer = peers_[member];
   if (!link.dialed()) {
-    const bool own_stays = peer.link && peer.link->dialed() && options_.self < member;
-    if (own_stays) {
+    const bool keeps_dialed_link = peer.link && peer.link->dialed() && options_.self < member;
+    if (keeps_dialed_link) {
       on_ended(link);
       return false;
     }
     replace_link(link, member);
   }
-  peer.send_refused = false;
-  link.come_up();
+  peer.send_rejected = false;
+  link.mark_up();
   ++counters_.up;
-  callbacks_.changed(member, true);
+  callbacks_.changed(member, LinkState::up);
   return peer.link.get() == &link;
 }
 
-// One that comes anew from the same side takes the place of the old one, which the other side knows to be
-// dead.
-void Links::replace_link(Link& stranger, std::size_t member) {
+// An accepted link replaces an earlier one with the same member: the member would not have dialed again
+// unless it knew that the earlier one is dead.
+void Links::replace_link(Link& accepted, std::size_t member) {
   Peer& peer = peers_[member];
-  auto replacement = remove_stranger(find_stranger(stranger));
+  auto replacement = remove_ungreeted(find_ungreeted(accepted));
   if (listener_) listener_->resume();
   if (peer.link) {
     const bool was_up = peer.link->up();
@@ -119,14 +119,14 @@
   }
   peer.retry.stop();
   peer.link = std::move(replacement);
-  stranger.set_member(member);
-  stranger.greet();
+  accepted.set_member(member);
+  accepted.greet();
 }
 
 void Links::on_ended(Link& link) {
   link.close();
-  if (const auto stranger = find_stranger(link); stranger != strangers_.end()) {
-    deferred_delete(remove_stranger(stranger));
+  if (const auto ungreeted = find_ungreeted(link); ungreeted != ungreeted_.end()) {
+    deferred_delete(remove_ungreeted(ungreeted));
     if (listener_) listener_->resume();
     return;
   }
@@ -134,34 +134,35 @@
   if (member >= peers_.size() || peers_[member].link.get() != &link) return;
   Peer& peer = peers_[member];
   const bool was_up = link.up();
-  // One that ends as soon as it is up is as good as none.
-  if (was_up && now_us() - link.up_since() > kLastingBeats * options_.beat) peer.retry_pause = kMinRetryPause;
+  // A link that ends soon after it came up does not reset the backoff.
+  if (was_up && now_us() - link.up_since() > kLastingHeartbeats * options_.heartbeat)
+    peer.retry_pause = kMinRetryPause;
   deferred_delete(std::move(peer.link));
   if (was_up) on_lost(member);
-  dial_later(member);
+  schedule_retry(member);
 }
 
 void Links::on_lost(std::size_t member) {
   ++counters_.lost;
-  callbacks_.changed(member, false);
+  callbacks_.changed(member, LinkState::lost);
 }
 
 // ---------------------------------------------------------------- frames
 
 bool Links::up(std::size_t member) const { return peers_.at(member).link && peers_[member].link->up(); }
 
-std::size_t Links::waiting(std::size_t member) const {
-  return peers_.at(member).link ? peers_[member].link->waiting() : 0;
+std::size_t Links::queued_bytes(std::size_t member) const {
+  return peers_.at(member).link ? peers_[member].link->queued_bytes() : 0;
 }
 
 bool Links::send(std::size_t member, std::uint8_t channel, std::string_view bytes) {
   if (!up(member) || channel == kControlChannel) return false;
   Peer& peer = peers_[member];
-  // The head, and as much again for the MessagePack around the bytes.
+  // An upper bound: the head, and as much again for the MessagePack around the bytes.
   const std::size_t size = bytes.size() + 2 * kFrameHeadBytes;
-  if (size > kMostFrame || peer.link->waiting() + size > options_.most_waiting) {
+  if (size > kMaxFrameBytes || peer.link->queued_bytes() + size > options_.max_queued_bytes) {
     ++counters_.held_back;
-    peer.send_refused = size <= kMostFrame;
+    peer.send_rejected = size <= kMaxFrameBytes;
     return false;
   }
   peer.link->write(write_frame(channel, bytes));
@@ -170,8 +171,8 @@
 
 void Links::on_drained(const Link& link) {
   const std::size_t member = link.member();
-  if (member >= peers_.size() || !std::exchange(peers_[member].send_refused, false)) return;
-  callbacks_.room(member);
+  if (member >= peers_.size() || !std::exchange(peers_[member].send_rejected, false)) return;
+  callbacks_.writable(member);
 }
 
 }  // namespace thornwick::net
--- a/src/net/links.hpp
+++ b/src/net/links.hpp
@@ -1,6 +1,6 @@
-// Links between routers of a group: one kept TCP connection for each pair that needs one, with frames over
-// it (link_frame.hpp). Addresses must be private to the group: there is no sign-in, only a greeting with
-// version, group and numbers.
+// Links between the routers of a group: one persistent TCP connection for each pair of routers that needs
+// one. It carries frames (link_frame.hpp). There is no authentication, only a greeting with the protocol's
+// version, the group and the members' numbers, so the addresses must be reachable for the group alone.
 #pragma once
 
 #include <cstdint>
@@ -16,39 +16,43 @@
 
 namespace thornwick::net {
 
-// What has happened with links since the start.
+// Events of all links since the start.
 struct LinkCounters {
   std::uint64_t dialed = 0;
-  std::uint64_t accepted = 0;  // connections, whoever made them
+  std::uint64_t accepted = 0;  // connections from other routers
   std::uint64_t up = 0;
-  std::uint64_t lost = 0;      // that were up
+  std::uint64_t lost = 0;      // links that were up and ended
   std::uint64_t rejected = 0;  // greetings of another version, group or number
-  std::uint64_t spoilt = 0;    // ended for a frame that cannot be read
-  std::uint64_t silent = 0;    // ended because nothing came
+  std::uint64_t spoilt = 0;    // links that ended for a frame that cannot be read
+  std::uint64_t silent = 0;    // links that ended because no byte came in time
   std::uint64_t frames_out = 0;
   std::uint64_t frames_in = 0;
   std::uint64_t bytes_out = 0;
   std::uint64_t bytes_in = 0;
-  std::uint64_t held_back = 0;  // frames that send() refused for want of room
+  std::uint64_t held_back = 0;  // frames that send() rejected because the queue was full
 };
 
+// A link as its users see it.
+enum class LinkState { up, lost };
+
+// All links of this router. Each link sends heartbeats while it carries nothing else; a lost one is dialed
+// again with backoff. Everything runs on the loop's thread, and the callbacks are called from the loop.
 class Links {
  public:
-  static constexpr std::size_t kMostFrame = kMaxFrameBytes;
-
   struct Options {
-    std::string listen;                  // empty: accepts none
-    std::uint32_t group = 0;             // those of another one are rejected
-    std::size_t self = 0;                // members are numbered alike at all routers
+    std::string listen;                  // empty: no connection is accepted
+    std::uint32_t group = 0;             // greetings of another group are rejected
+    std::size_t self = 0;                // this router's number; all routers number the members alike
     std::vector<std::string> addresses;  // by member
-    Time beat = seconds(2);  // heartbeat of a link on which nothing else goes; four without a byte end it
-    std::size_t most_waiting = 256UL * 1024;  // bytes on the way to one member
-    std::uint64_t seed = 1;                   // of the retry pauses' jitter
+    Time heartbeat = seconds(2);         // interval; four of them without a byte end a link
+    std::size_t max_queued_bytes = 256UL * 1024;  // to one member
+    std::uint64_t seed = 1;                       // of the backoff's jitter
   };
   struct Callbacks {
     std::function<void(std::size_t member, std::uint8_t channel, std::string_view bytes)> received;
-    std::function<void(std::size_t member, bool up)> changed = [](auto, auto) {};
-    std::function<void(std::size_t member)> room = [](auto) {};  // send() refused, and would not now
+    std::function<void(std::size_t member, LinkState state)> changed = [](auto, auto) {};
+    // send() has rejected a frame because the queue was full, and the queue is empty now.
+    std::function<void(std::size_t member)> writable = [](auto) {};
   };
 
   // Throws NetError if it cannot listen.
@@ -57,16 +61,17 @@
   Links& operator=(const Links&) = delete;
   ~Links();
 
-  // Keep a link with this member, or no longer. A member may keep one with this router all the same.
-  void want(std::size_t member, bool on);
+  // Dials this member, now and whenever the link is lost. The member may keep a link with this router whether
+  // or not this is called.
+  void keep_link(std::size_t member);
   bool up(std::size_t member) const;
-  // Channel 1 to 255. False: there is no link, its queue is full, or the frame is too long; nothing of it was
-  // sent.
+  // Sends a frame on a channel from 1 to 255. Returns false, and sends nothing, if there is no link, its
+  // queue is full, or the frame is too long.
   bool send(std::size_t member, std::uint8_t channel, std::string_view bytes);
-  // Bytes that are on their way to this member.
-  std::size_t waiting(std::size_t member) const;
+  // Bytes to this member that the kernel has not taken yet.
+  std::size_t queued_bytes(std::size_t member) const;
   const LinkCounters& counters() const { return counters_; }
-  // Where it listens; empty if it does not.
+  // The address at which it listens; empty if it accepts no connections.
   std::string address() const { return listener_ ? listener_->address() : std::string(); }
 
  private:
@@ -74,21 +79,21 @@
   using LinkList = std::list<std::unique_ptr<Link>>;
 
   struct Peer {
-    bool wanted = false;
-    bool send_refused = false;   // to be notified of room
-    std::unique_ptr<Link> link;  // up, or on its way
+    bool kept = false;           // a lost link is dialed again
+    bool send_rejected = false;  // notify `writable` once the queue is empty
+    std::unique_ptr<Link> link;  // up or being opened; may be null
     Time retry_pause = 0;
     Timer retry;
   };
 
   bool has_room() const;
   void dial(std::size_t member);
-  void dial_later(std::size_t member);
+  void schedule_retry(std::size_t member);
   void on_accepted(Owned<GSocket> socket);
-  LinkList::iterator find_stranger(const Link& link);
-  std::unique_ptr<Link> remove_stranger(LinkList::iterator stranger);
+  LinkList::iterator find_ungreeted(const Link& link);
+  std::unique_ptr<Link> remove_ungreeted(LinkList::iterator link);
   bool on_greeted(Link& link, std::size_t member);
-  void replace_link(Link& stranger, std::size_t member);
+  void replace_link(Link& accepted, std::size_t member);
   void on_ended(Link& link);
   void on_lost(std::size_t member);
   void on_drained(const Link& link);
@@ -97,7 +102,7 @@
   Options options_;
   Callbacks callbacks_;
   std::vector<Peer> peers_;
-  LinkList strangers_;  // accepted, and not greeted yet
+  LinkList ungreeted_;  // accepted links whose greeting has not come yet
   std::unique_ptr<Listener> listener_;
   LinkCounters counters_;
 };
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kAcceptPause = milliseconds(50);
 constexpr int kBacklog = 512;
-constexpr int kAcceptsAtOnce = 64;  // guards the loop's other work against a crowd
+constexpr int kAcceptsAtOnce = 64;  // bounds the time that a crowd takes from the loop's other work
 
 Owned<GSocket> listen_at(const std::string& address, AddressUse use) {
   const auto parsed = parse_address(address);
@@ -67,7 +67,7 @@
     Owned<GSocket> socket(g_socket_accept(socket_.get(), nullptr, error.out()));
     if (!socket) {
       if (error.would_block()) return;
-      // Guards against EMFILE: the loop would spin on a listener that stays readable.
+      // For instance EMFILE. Without a pause the loop would spin, as the listener stays readable.
       logging::warning("net") << "accepting connections paused: " << error.message();
       return pause();
     }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,4 +1,4 @@
-// Accepting connections.
+// Accepts TCP and Unix connections.
 #pragma once
 
 #include <functional>
@@ -12,23 +12,23 @@
 
 namespace thornwick::net {
 
-// Accepts connections; pauses while there is no descriptor for another one, and never gives up.
+// Accepts connections. Pauses and tries again while the process has no room or no descriptor for another one.
 class Listener {
  public:
   using Accepted = std::function<void(Owned<GSocket>)>;
 
-  // `has_room` says whether another connection can be accepted now. `shared`: another process of this user
-  // may listen at the same address. Throws NetError if it cannot listen.
+  // Listens at `address`. `has_room` returns whether another connection can be accepted now. Throws NetError
+  // if it cannot listen.
   Listener(const std::string& address, std::function<bool()> has_room, Accepted accepted,
            AddressUse use = AddressUse::exclusive);
-  // At a socket that listens already.
+  // Uses a socket that listens already.
   Listener(Owned<GSocket> listening, std::function<bool()> has_room, Accepted accepted);
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Accepts again at once, for instance because a connection has gone.
+  // Accepts again at once, for instance because a connection was closed.
   void resume();
-  // Until resume(); connections that come meanwhile wait in the kernel.
+  // Accepts nothing until resume(). New connections wait in the kernel.
   void stop();
   std::string address() const { return local_address_text(socket_.get()); }
   GSocket* socket() const { return socket_.get(); }
--- a/src/net/load_report.cpp
+++ b/src/net/load_report.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kSeparators = ", \r\n";
 
-// A field's name in the settings, and what replicas call it.
+// A field's name in the settings and in load reports.
 struct FieldName {
   std::string_view setting;
   std::string_view reported;
@@ -42,13 +42,13 @@
   std::vector<float> values(names.size());
   std::vector<bool> seen(names.size());
   while (!text.empty()) {
-    const auto part = text.substr(0, text.find_first_of(kSeparators));
-    text.remove_prefix(std::min(text.size(), part.size() + 1));
-    const auto equals = part.find('=');
+    const auto field = text.substr(0, text.find_first_of(kSeparators));
+    text.remove_prefix(std::min(text.size(), field.size() + 1));
+    const auto equals = field.find('=');
     if (equals == std::string_view::npos) continue;
     for (std::size_t i = 0; i < names.size(); ++i) {
-      if (!same_field(names[i], part.substr(0, equals))) continue;
-      const auto amount = read_amount(part.substr(equals + 1));
+      if (!same_field(names[i], field.substr(0, equals))) continue;
+      const auto amount = read_amount(field.substr(equals + 1));
       if (!amount || seen[i]) return {};
       values[i] = *amount;
       seen[i] = true;
--- a/src/net/message_fragmenter.hpp
+++ b/src/net/message_fragmenter.hpp
@@ -1,7 +1,8 @@
-// Messages of any length over links: cut into frames, sent as the link has room, put together at the other
-// end. What waits is bounded; a link that is lost loses what was on its way.
+// Carries messages of any length over links: they are cut into fragments, sent as the link has room, and
+// reassembled at the other end. The queue to each member is bounded. A lost link loses the messages that were
+// on their way.
 //
-// A frame: one byte that says whether more of the message follows, then a piece of it.
+// A frame is one byte that states whether more fragments of the message follow, then the fragment.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +17,31 @@
 namespace thornwick::net {
 
 struct FragmentCounters {
-  std::uint64_t lost = 0;    // messages not sent: no link or no room
-  std::uint64_t spoilt = 0;  // pieces that do not fit together
+  std::uint64_t lost = 0;    // messages not sent because there was no link or no room
+  std::uint64_t spoilt = 0;  // fragments that cannot be reassembled
 };
 
 class MessageFragmenter {
  public:
   using OnMessage = std::function<void(std::string_view)>;
 
-  static constexpr std::size_t kPiece = 48UL * 1024;     // bytes of a message in one frame
-  static constexpr std::size_t kMostWaiting = 16 << 20;  // bytes to one member
-  static constexpr std::size_t kMostParcel = 32 << 20;   // bytes of a message that comes
+  static constexpr std::size_t kFragmentBytes = 48UL * 1024;  // of a message, in one frame
+  static constexpr std::size_t kMaxQueuedBytes = 16 << 20;    // to one member
+  static constexpr std::size_t kMaxMessageBytes = 32 << 20;   // of a received message
 
-  // Nothing may be sent before serve().
+  // attach() has to be called before anything is sent.
   explicit MessageFragmenter(std::uint8_t channel) : channel_(channel) {}
-  // The links are not owned.
-  void serve(Links& links) { links_ = &links; }
+  // The links are not owned and have to outlive the fragmenter.
+  void attach(Links& links) { links_ = &links; }
 
-  // False: it is lost, as on a network.
+  // Returns false if the message is lost because there is no link or no room.
   bool send(std::size_t member, std::string_view bytes);
-  // The link with this member has room again.
-  void room(std::size_t member);
-  // The link with this member is lost.
-  void lost(std::size_t member);
-  // A frame of the channel has come; calls back with the message that is whole by it, if any.
-  void frame(std::size_t member, std::string_view bytes, const OnMessage& on_message);
+  // To be called when the link with this member can take frames again.
+  void on_writable(std::size_t member);
+  // To be called when the link with this member is lost.
+  void on_link_lost(std::size_t member);
+  // To be called for each frame of the channel. Calls `on_message` if the frame completes a message.
+  void on_frame(std::size_t member, std::string_view bytes, const OnMessage& on_message);
   const FragmentCounters& metrics() const { return metrics_; }
 
  private:
@@ -52,7 +53,7 @@
   std::uint8_t channel_;
   Links* links_ = nullptr;
   std::map<std::size_t, Queue> queues_;         // by member
-  std::map<std::size_t, std::string> partial_;  // by member: the message that comes
+  std::map<std::size_t, std::string> partial_;  // by member: the fragments of a message that have come so far
   FragmentCounters metrics_;
 };
 
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -11,7 +11,7 @@
     : on_message_(std::move(on_message)), names_(std::move(options.peers)) {
   if (options.listen.empty()) return;
   for (const auto& name : names_) addresses_.push_back(parse_address(name));
-  all_ = parse_address(options.all);
+  broadcast_ = parse_address(options.broadcast);
   try {
     socket_ = std::make_unique<Datagrams>(
         options.listen, std::move(options.bound),
@@ -21,20 +21,24 @@
   }
 }
 
-void PeerSocket::listen(bool on) {
-  if (socket_) socket_->listen(on);
+void PeerSocket::resume_reading() {
+  if (socket_) socket_->resume_reading();
+}
+
+void PeerSocket::pause_reading() {
+  if (socket_) socket_->pause_reading();
 }
 
 void PeerSocket::send(std::uint32_t rank, const std::string& message) {
-  GSocketAddress* to = rank < addresses_.size() ? addresses_[rank].get() : all_.get();
+  GSocketAddress* to = rank < addresses_.size() ? addresses_[rank].get() : broadcast_.get();
   if (!socket_ || to == nullptr || message.size() > kMaxDatagram) {
     logging::warning("gossip") << "message of " << message.size() << " bytes not sent";
     return;
   }
-  socket_->send(to, message);  // it may be lost on the way as well: nobody waits for it
+  socket_->send(to, message);  // best effort: no answer is awaited
 }
 
-// What does not come from a router of this tier is dropped.
+// A message from an address that is no peer's is dropped.
 void PeerSocket::on_datagram(GSocketAddress* from, std::span<const std::uint8_t> bytes) {
   const auto sender = std::find(names_.begin(), names_.end(), address_text(from));
   if (sender == names_.end()) return;
--- a/src/net/peer_socket.hpp
+++ b/src/net/peer_socket.hpp
@@ -1,4 +1,4 @@
-// The other routers of the tier: datagrams out and in.
+// Messages to and from the other routers of the tier (the peers), as datagrams. A message may be lost.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +19,22 @@
 class PeerSocket : public core::PeerTransport {
  public:
   struct Options {
-    std::string listen;              // empty: there are no peers
-    std::string all;                 // where a message to all peers goes
+    std::string listen;              // address; empty: there are no peers
+    std::string broadcast;           // address for a message to all peers
     std::vector<std::string> peers;  // by rank, this router's own included
-    Owned<GSocket> bound = {};       // that listens already; none: one is bound
+    Owned<GSocket> bound = {};       // a socket that is bound already; null: a new one is bound
   };
   using OnMessage = std::function<void(std::uint32_t rank, std::span<const std::uint8_t>)>;
 
   // Throws NetError if it cannot listen.
   PeerSocket(Options options, OnMessage on_message);
-  // To the peer of this rank, or to all where no peer has it.
+  // Sends to the peer of this rank, or to all peers if no peer has it.
   void send(std::uint32_t rank, const std::string& message) override;
-  // Off: what comes is another process's.
-  void listen(bool on);
-  // nullptr: there are no peers.
+  // Receives messages from now on, as it does once constructed.
+  void resume_reading();
+  // Receives none from now on: they are another process's.
+  void pause_reading();
+  // Null if there are no peers.
   GSocket* socket() const { return socket_ ? socket_->socket() : nullptr; }
 
  private:
@@ -41,7 +43,7 @@
   OnMessage on_message_;
   std::vector<std::string> names_;                // addresses as text, by rank
   std::vector<Owned<GSocketAddress>> addresses_;  // by rank
-  Owned<GSocketAddress> all_;
+  Owned<GSocketAddress> broadcast_;
   std::unique_ptr<Datagrams> socket_;
 };
 
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -11,7 +11,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr int kReadsAtOnce = 4;  // guards the other streams against one that never runs dry
+constexpr int kReadsAtOnce = 4;  // bounds the time that one busy stream takes from the others
 constexpr std::size_t kReadSize = 32768;
 
 // Each write goes out at once: events are small, and clients wait for them.
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// TCP and Unix byte streams that never block.
+// Non-blocking byte streams over TCP and Unix sockets.
 #pragma once
 
 #include <deque>
@@ -17,13 +17,13 @@
 
 namespace thornwick::net {
 
-// A connection without blocking. Its owner may close it in any callback, and drops it with deferred_delete().
+// One connection. Its owner may close it in any callback, and destroys it with deferred_delete().
 class Stream : public DeferredDeletable {
  public:
   struct Callbacks {
     std::function<void()> connected;                // only for connect()
-    std::function<void(std::string_view)> arrived;  // bytes that came
-    std::function<void()> drained;                  // all that was written is with the kernel
+    std::function<void(std::string_view)> arrived;  // bytes were received
+    std::function<void()> drained;                  // the kernel has taken all that was written
     std::function<void()> ended;  // the other side ended its sending, or the connection broke
   };
 
@@ -34,9 +34,11 @@
 
   // Takes over a connected socket.
   void adopt(Owned<GSocket> socket);
-  // False: failed at once, or the process may hold no more descriptors. Else `connected` or `ended` follows.
+  // Returns false if it failed at once, or the process may hold no more descriptors. Otherwise `connected` or
+  // `ended` is called later.
   bool connect(GSocketAddress* address);
-  // In order, as the kernel takes it; ignored once closed. What is written before the connection is up waits.
+  // Queues the bytes, which are sent in order as the kernel takes them and once the connection is up. Ignored
+  // after close().
   void write(std::shared_ptr<const std::string> bytes);
   void write(std::string bytes) { write(std::make_shared<const std::string>(std::move(bytes))); }
   // Bytes that the kernel has not taken yet.
@@ -47,14 +49,15 @@
   void resume_reading();
   // Half-close: the other side reads the end, and may still send.
   void finish_sending();
-  // At once; no callback follows.
+  // Closes the connection at once; no callback follows.
   void close();
   bool open() const { return socket_ != nullptr; }
-  // The other side ended its sending or the connection broke, and `ended` was or will be called.
+  // Whether the other side has ended its sending or the connection broke; `ended` was or will be called.
   bool broken() const { return ended_; }
-  // There are bytes, or the end, to read.
+  // Whether there are bytes, or the end of the stream, to read.
   bool readable_now() const;
-  // The other side has ended its sending, or the connection is broken, whatever is still unread before that.
+  // Whether the other side has ended its sending or the connection is broken, even if bytes before that are
+  // still unread.
   bool ended_now() const;
 
  private:
--- a/src/net/unix_socket.hpp
+++ b/src/net/unix_socket.hpp
@@ -1,4 +1,4 @@
-// Unix sockets of this user: for whoever is on the same machine and may open the file.
+// Unix sockets that only processes of the same user can open.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
 // Whether a path fits into a Unix socket's address.
 bool fits_unix_socket(const std::string& path);
 
-// Bound and listening, with rights for its user alone. A file that is left over there is removed. Throws
-// NetError.
+// Returns a listening socket whose file only this user can open. Removes a file that an earlier process left
+// at the path. Throws NetError.
 Owned<GSocket> listen_unix(const std::string& path);
 
-// The process at the other end is this user's.
+// Whether the process at the other end belongs to the same user.
 bool same_user(GSocket* socket);
 
-// Sends one line to whoever listens there and returns all that comes back within the time (microseconds).
-// Blocks. Throws NetError.
-std::string call_unix_socket(const std::string& path, const std::string& line, Time within);
+// Sends one line to the process that listens at the path and returns its whole answer. Blocks for `timeout`
+// (microseconds) at most. Throws NetError if no process listens there or the answer does not end in time.
+std::string call_unix_socket(const std::string& path, const std::string& line, Time timeout);
 
 }  // namespace thornwick::net
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -12,9 +12,9 @@
 using http::Head;
 using http::MessageReader;
 
-constexpr double kIdlePart = 0.7;  // of the keep-alive time, after which we close an idle connection
-constexpr Time kProbeLimit = milliseconds(250);
-constexpr Time kHeadLimit = milliseconds(250);        // for the rest of a head, once its first byte has come
+constexpr double kIdleFraction = 0.7;  // of the keep-alive time, after which an idle connection is closed
+constexpr Time kProbeTimeout = milliseconds(250);
+constexpr Time kHeadTimeout = milliseconds(250);      // for the rest of a head, once its first byte has come
 constexpr std::size_t kMaxAnswerBytes = 64UL * 1024;  // of an answer that is no stream
 constexpr std::string_view kReportHeader = "X-Server-Load";
 constexpr std::string_view kReportComment = "X-Server-Load:";
@@ -43,19 +43,19 @@
                                                  << " closed: " << logging::field("reason", reason);
   }
   job_ = Job::none;
-  limit_.stop();
+  timeout_.stop();
   stream_.close();
   owner_.remove(*this);
 }
 
 void UpstreamPool::Connection::pause_reading() {
-  held_ = true;
+  reading_paused_ = true;
   stream_.pause_reading();
   if (streaming_) watch_silence();
 }
 
 void UpstreamPool::Connection::resume_reading() {
-  held_ = false;
+  reading_paused_ = false;
   stream_.resume_reading();
   if (streaming_) watch_silence();
 }
@@ -75,12 +75,12 @@
 
 void UpstreamPool::Connection::carry_probe() {
   job_ = Job::probe;
-  deadline_ = now_us() + kProbeLimit;
+  deadline_ = now_us() + kProbeTimeout;
   begin();
 }
 
 void UpstreamPool::Connection::begin() {
-  limit_.stop();  // the one of its idle time: it would close the connection under the attempt
+  timeout_.stop();  // the idle timeout would close the connection during the attempt
   reader_ = MessageReader(MessageReader::Kind::answer);
   frames_ = {};
   events_ = owner_.core_ == nullptr ? nullptr : dialect_.reader();
@@ -90,14 +90,14 @@
   sent_ = false;
   head_received_ = false;
   streaming_ = false;
-  held_ = false;
+  reading_paused_ = false;
   if (!new_connection_) return write_request();
-  limit_.start(owner_.options_.dial_limit,
-               [this] { finish(Outcome::connect_failed, Reuse::close, "it did not come up in time"); });
+  timeout_.start(owner_.options_.connect_timeout,
+                 [this] { finish(Outcome::connect_failed, Reuse::close, "it did not come up in time"); });
 }
 
 void UpstreamPool::Connection::on_connected() {
-  limit_.stop();
+  timeout_.stop();
   write_request();
 }
 
@@ -110,19 +110,18 @@
 }
 
 void UpstreamPool::Connection::write_probe() {
-  limit_.start(deadline_ - now_us(),
-               [this] { finish(Outcome::timed_out, Reuse::close, "a probe without an answer"); });
+  timeout_.start(deadline_ - now_us(),
+                 [this] { finish(Outcome::timed_out, Reuse::close, "a probe without an answer"); });
   stream_.write("GET /stats HTTP/1.1\r\nHost: backend.local\r\n\r\n");
 }
 
 void UpstreamPool::Connection::write_attempt() {
   if (!owner_.core_->still_wanted(attempt_)) return;
-  // Guards against an attempt that begins when its time is over: its connection came up in the very round
-  // in which its timer fires. The connection is good.
+  // The connection may come up in the loop's round in which the attempt's deadline passes. The connection
+  // itself can be reused.
   if (now_us() >= deadline_)
     return finish(Outcome::not_sent, Reuse::keep, "its time was over when the connection came up");
-  // Guards the rule that a draining replica gets no new work: the list may have changed while the connection
-  // came up.
+  // A draining replica gets no new attempt: the endpoint list may have changed while the connection came up.
   if (!owner_.endpoints_.may_send(replica_)) {
     ++owner_.counters_.drained_meanwhile;
     return finish(Outcome::not_sent, Reuse::keep, "the replica drains since the connection was begun");
@@ -163,7 +162,7 @@
   if (job_ == Job::attempt && !head_received_) watch_head();
 }
 
-// False: there is no further piece yet. Throws BadMessage.
+// Returns false if no further piece has come yet. Throws BadMessage.
 bool UpstreamPool::Connection::read_piece() {
   switch (reader_.next()) {
     case MessageReader::Piece::none: return false;
@@ -201,7 +200,7 @@
     watch_silence();
     pass_event(std::move(*frame));
   }
-  if (frames_.held() > owner_.options_.most_frame) throw BadMessage(kStatusBadGateway, "event too long");
+  if (frames_.held() > owner_.options_.max_event_bytes) throw BadMessage(kStatusBadGateway, "event too long");
 }
 
 void UpstreamPool::Connection::pass_event(std::string frame) {
@@ -247,9 +246,9 @@
   }
 }
 
-// The replica has spoilt its answer, but it may well have run the request: a failed attempt like one whose
-// connection broke. The connection is of no further use.
-void UpstreamPool::Connection::on_broken_answer(const char* reason) {
+// The answer violates the protocol, but the replica may have run the request: the attempt has failed as if
+// its connection had broken. The connection cannot be reused.
+void UpstreamPool::Connection::on_broken_answer(std::string_view reason) {
   ++owner_.counters_.spoilt;
   describe_attempt(logging::warning("upstream"))
       << "invalid response from the replica: " << logging::field("reason", reason);
@@ -258,18 +257,18 @@
 
 // ---------------------------------------------------------------- limits
 
-// Guards against a head that begins and does not end. Between an interim answer and the real one there may
-// be any time.
+// Limits the time from the first byte of a head to its end. The time between an interim answer and the final
+// one is not limited.
 void UpstreamPool::Connection::watch_head() {
-  if (reader_.between_messages()) return limit_.stop();
-  if (limit_.running()) return;
-  limit_.start(kHeadLimit, [this] { on_broken_answer("its head does not end"); });
+  if (reader_.between_messages()) return timeout_.stop();
+  if (timeout_.running()) return;
+  timeout_.start(kHeadTimeout, [this] { on_broken_answer("its head does not end"); });
 }
 
-// A replica that vanished in mid-stream sends nothing: without this the client would wait for ever.
+// Detects a replica that has vanished in mid-stream; without this timeout the client would wait for ever.
 void UpstreamPool::Connection::watch_silence() {
-  if (held_) return limit_.stop();  // the client is slow, not the replica
-  limit_.start(owner_.options_.silence_limit, [this] {
+  if (reading_paused_) return timeout_.stop();  // the client is slow, not the replica
+  timeout_.start(owner_.options_.silence_timeout, [this] {
     ++owner_.counters_.silent;
     finish(Outcome::reset, Reuse::close, "the answer fell silent");
   });
@@ -277,15 +276,15 @@
 
 // ---------------------------------------------------------------- the end
 
-// The connection is idle (or closed) before the core learns of the end: it may launch the next attempt at
-// once.
+// The connection becomes idle, or is closed, before the request manager is notified of the end, because that
+// may launch the next attempt at once.
 void UpstreamPool::Connection::finish(Outcome outcome, Reuse reuse, std::string_view reason) {
   const Job job = std::exchange(job_, Job::none);
   if (job == Job::none) return;
   if (job == Job::attempt && logging::writes_debug()) {
     describe_attempt(logging::debug("upstream")) << "attempt ended: " << logging::field("reason", reason);
   }
-  limit_.stop();
+  timeout_.stop();
   payload_.reset();
   owner_.attempts_.erase(attempt_);
   const std::vector<float> report = std::exchange(report_, {});
@@ -298,19 +297,19 @@
   owner_.core_->attempt_ended(attempt_, outcome, report);
 }
 
-// Idle connections are closed clearly before the replica would do it: what is written to one that the
-// replica has closed counts as a reset, and is never sent again silently.
+// Idle connections are closed well before the replica would close them: a request that is written to a closed
+// connection counts as reset, and is not sent again silently.
 void UpstreamPool::Connection::become_idle() {
   new_connection_ = false;
   idle_since_ = now_us();
-  held_ = false;
+  reading_paused_ = false;
   stream_.resume_reading();
   owner_.add_to_idle(*this);
-  const double time = kIdlePart * static_cast<double>(owner_.options_.keepalive);
-  limit_.start(static_cast<Time>(time), [this] { close("idle for long"); });
+  const double idle_time = kIdleFraction * static_cast<double>(owner_.options_.keepalive);
+  timeout_.start(static_cast<Time>(idle_time), [this] { close("idle for long"); });
 }
 
-// In JSON a line says which attempt to which replica it is about; its text is the same for all of them.
+// Adds the fields that name the attempt and its replica; the line's text is the same for all attempts.
 logging::Line& UpstreamPool::Connection::describe_attempt(logging::Line&& line) const {
   const EndpointEntry* entry = owner_.endpoints_.find(replica_);
   return line.with("request_number", attempt_.request_id)
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to a replica. For upstream_pool.cpp alone.
+// One connection to a replica. Only upstream_pool.cpp and upstream_connection.cpp include this file.
 #pragma once
 
 #include <memory>
@@ -15,33 +15,33 @@
 
 namespace thornwick::net {
 
-// Carries one attempt (or probe) at a time, reads its answer and notifies the core of events and of the end.
-// It closes itself when it is of no further use, and then removes itself from its pool.
+// Sends one attempt or probe at a time, reads its answer, and notifies the request manager of events and of
+// the end. A connection that cannot be reused closes itself and removes itself from its pool.
 class UpstreamPool::Connection : public DeferredDeletable {
  public:
   Connection(UpstreamPool& owner, const EndpointEntry& entry);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // False: it failed at once.
-  bool connect(GSocketAddress* address);
+  // Returns false if that failed at once.
+  [[nodiscard]] bool connect(GSocketAddress* address);
 
   ReplicaId replica() const { return replica_; }
   const std::string& endpoint() const { return endpoint_; }
   Time idle_since() const { return idle_since_; }
-  // The whole request is with the kernel.
+  // Whether the kernel has taken the whole request.
   bool sent() const { return sent_; }
-  // Guards the next attempt against an answer that is none of its own: what a replica sends unasked, behind
-  // an answer or instead of its end, makes a connection useless.
+  // Whether no unexpected bytes have come. If a replica sends bytes after an answer, the next attempt must
+  // not take them for its own answer.
   bool clean() const { return !stream_.readable_now(); }
 
-  // `deadline`: when the attempt's time is over. `model`: its number in the catalogue, 0: as asked.
+  // `deadline`: of the attempt. `model`: its number in the catalogue; 0: the model that the client named.
   void carry_attempt(core::AttemptId attempt, std::shared_ptr<const core::Payload> payload, Time deadline,
                      std::uint16_t model);
   void carry_probe();
 
-  // Closes at once: the replica must not go on with an attempt whose router starts another. `reason` is for
-  // the log.
+  // Closes the connection at once, so that the replica does not go on with an attempt that the router has
+  // given up. `reason` is for the log.
   void close(std::string_view reason);
   // Stops reading the answer until resume_reading(); meanwhile its silence is not held against the replica.
   void pause_reading();
@@ -66,7 +66,7 @@
   void pass_event(std::string frame);
   void on_whole_answer();
   void on_ended();
-  void on_broken_answer(const char* reason);
+  void on_broken_answer(std::string_view reason);
 
   void watch_head();
   void watch_silence();
@@ -83,7 +83,7 @@
   http::MessageReader reader_{http::MessageReader::Kind::answer};
   fronts::FrameSplitter frames_;
   std::unique_ptr<fronts::EventReader> events_;
-  Timer limit_;  // of whatever it waits for
+  Timer timeout_;  // of the current state: connecting, head, silence or idle time
 
   Job job_ = Job::none;
   core::AttemptId attempt_;
@@ -91,15 +91,15 @@
   Time deadline_ = 0;
   Time idle_since_ = 0;
   std::uint16_t model_ = 0;
-  std::string body_;           // of an answer that is no stream
+  std::string body_;           // of an answer that is not an event stream
   std::vector<float> report_;  // the latest one of the answer; empty: none
 
-  bool new_connection_ = false;  // it has not carried anything yet
+  bool new_connection_ = false;  // nothing was sent over it yet
   bool written_ = false;         // the whole request was given to the stream
   bool sent_ = false;
   bool head_received_ = false;
-  bool streaming_ = false;  // the answer is an event stream
-  bool held_ = false;
+  bool streaming_ = false;       // the answer is an event stream
+  bool reading_paused_ = false;  // the client is slow
   bool closed_ = false;
 };
 
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -11,8 +11,8 @@
 UpstreamPool::~UpstreamPool() = default;
 
 const fronts::Dialect& UpstreamPool::dialect_of(const EndpointEntry& entry) const {
-  const auto found = options_.by_name.find(entry.uid);
-  return found == options_.by_name.end() ? *options_.dialect : *found->second;
+  const auto found = options_.dialects_by_uid.find(entry.uid);
+  return found == options_.dialects_by_uid.end() ? *options_.dialect : *found->second;
 }
 
 // ---------------------------------------------------------------- attempts
@@ -62,7 +62,7 @@
   if (Connection* idle = reuse_idle(entry.listing.id)) return {.connection = idle};
   if (!make_room()) {
     ++counters_.no_descriptor;
-    // Guards against the ejection of a replica for what this router lacks.
+    // It is the router that has no descriptor left: the replica must not be ejected for that.
     return {.failure = Outcome::not_sent};
   }
   auto connection = std::make_unique<Connection>(*this, entry);
@@ -98,10 +98,11 @@
 }
 
 bool UpstreamPool::is_full() const {
-  return connections_.size() >= options_.most_connections || descriptors().held + 1 >= descriptors().limit;
+  return connections_.size() >= options_.max_connections || descriptors().held + 1 >= descriptors().limit;
 }
 
-// Closes the connection that was idle longest if that is needed. False: there is no room all the same.
+// Closes the connection that has been idle for longest if there is no room for a new one. Returns false if
+// there is no room even so.
 bool UpstreamPool::make_room() {
   if (!is_full()) return true;
   if (Connection* oldest = oldest_idle()) oldest->close("its descriptor is needed");
@@ -110,7 +111,7 @@
 
 void UpstreamPool::add_to_idle(Connection& connection) { idle_[connection.replica()].push_back(&connection); }
 
-// Nothing is kept for replicas without an idle connection: they come and go all day.
+// Replicas without an idle connection have no entry, as replicas are replaced all day.
 void UpstreamPool::remove_from_idle(Connection& connection) {
   const auto idle = idle_.find(connection.replica());
   if (idle == idle_.end()) return;
@@ -118,8 +119,8 @@
   if (idle->second.empty()) idle_.erase(idle);
 }
 
-// Guards against a connection that waits for a replica which has gone, or led to where it was before: another
-// one may answer at that address by now.
+// Whether the connection's replica is still listed, at the connection's address. If it has gone or moved,
+// another replica may answer at that address by now.
 bool UpstreamPool::leads_to_listed(const Connection& connection) const {
   const EndpointEntry* entry = endpoints_.find(connection.replica());
   return entry != nullptr && endpoints_.may_send(connection.replica()) &&
@@ -127,13 +128,13 @@
 }
 
 void UpstreamPool::on_endpoints_changed() {
-  std::vector<Connection*> useless;
+  std::vector<Connection*> outdated;
   for (const auto& [replica, connections] : idle_) {
     for (Connection* connection : connections) {
-      if (!leads_to_listed(*connection)) useless.push_back(connection);
+      if (!leads_to_listed(*connection)) outdated.push_back(connection);
     }
   }
-  for (Connection* connection : useless) connection->close("the replica takes nothing new there");
+  for (Connection* connection : outdated) connection->close("the replica takes nothing new there");
 }
 
 void UpstreamPool::remove(Connection& connection) {
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -1,4 +1,5 @@
-// The connections to replicas: a pool for each replica, and the attempts and probes that go over them.
+// The connections to replicas: one pool for each replica, and the attempts and probes that are sent over
+// them.
 #pragma once
 
 #include <cstdint>
@@ -15,32 +16,32 @@
 
 namespace thornwick::net {
 
-// What has happened with connections to replicas since the start.
+// Events of the connections to replicas since the start.
 struct UpstreamCounters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  std::uint64_t drained_meanwhile = 0;  // attempts not sent: the replica was to get no more by then
-  std::uint64_t no_descriptor = 0;      // connections not opened for want of one
+  std::uint64_t drained_meanwhile = 0;  // attempts not sent because the replica was draining once connected
+  std::uint64_t no_descriptor = 0;      // connections not opened because no descriptor was left
   std::uint64_t silent = 0;             // answers that stopped in mid-stream
   std::uint64_t probes = 0;
-  std::uint64_t spoilt = 0;   // answers that broke the rules
-  std::uint64_t unclean = 0;  // idle connections closed because bytes had come over them
+  std::uint64_t spoilt = 0;   // answers that violate the protocol
+  std::uint64_t unclean = 0;  // idle connections closed because of unexpected bytes
 };
 
-// Runs each attempt over a connection of its own, one at a time on a connection. Connections are kept between
-// attempts while the replica is listed as ready at the same address.
+// A connection carries one attempt at a time. Between attempts it is kept for reuse while its replica is
+// listed as ready at the same address.
 class UpstreamPool : public core::UpstreamTransport {
  public:
   struct Options {
-    Time keepalive = seconds(5);  // of the replicas: they close a connection that was idle for so long
-    Time dial_limit = milliseconds(120);
-    Time silence_limit = seconds(3);        // of a stream that has begun
+    Time keepalive = seconds(5);  // the replicas close a connection that was idle for this time
+    Time connect_timeout = milliseconds(120);
+    Time silence_timeout = seconds(3);      // between two pieces of an event stream
     std::vector<std::string> report_names;  // the fields of a load report, in the order the policy wants
-    std::size_t most_connections = 400;
-    std::size_t most_frame = 256UL * 1024;                  // bytes of one event
-    const fronts::Dialect* dialect = nullptr;               // of replicas that are not named below
-    std::map<std::string, const fronts::Dialect*> by_name;  // uid -> dialect
-    // By its number in the catalogue; empty: as asked.
+    std::size_t max_connections = 400;
+    std::size_t max_event_bytes = 256UL * 1024;
+    const fronts::Dialect* dialect = nullptr;  // of replicas that `dialects_by_uid` does not name
+    std::map<std::string, const fronts::Dialect*> dialects_by_uid;
+    // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
     std::function<void()> sent = [] {};  // the last byte of an attempt was written
   };
@@ -48,11 +49,12 @@
   // The table is not owned.
   UpstreamPool(Options options, const EndpointTable& endpoints);
   ~UpstreamPool() override;
-  // Where ends and events of attempts go; not owned. Set before anything is launched.
-  void serve(core::RequestManager& core) { core_ = &core; }
+  // Sets the request manager that is notified of ends and events of attempts. It is not owned. Call this
+  // before anything is launched.
+  void attach(core::RequestManager& core) { core_ = &core; }
 
-  // The list has changed: idle connections to replicas that are no longer ready, or listen elsewhere, are
-  // closed.
+  // To be called after each change of the endpoint list: closes idle connections to replicas that are no
+  // longer ready, or listen at another address.
   void on_endpoints_changed();
 
   void launch(core::AttemptId attempt, ReplicaId replica, std::shared_ptr<const core::Payload> payload,
--- a/src/node/admin_commands.cpp
+++ b/src/node/admin_commands.cpp
@@ -13,15 +13,15 @@
 }
 
 std::string AdminCommands::leave() {
-  const bool done = lifecycle_.begin_drain(net::now_us());
-  if (done) callbacks_.phase_changed("LEAVE was called");
-  return phase_answer(done);
+  const bool success = lifecycle_.begin_drain(net::now_us());
+  if (success) callbacks_.phase_changed(PhaseChange::leave_command);
+  return phase_answer(success);
 }
 
 std::string AdminCommands::join() {
-  const bool done = lifecycle_.end_drain();
-  if (done) callbacks_.phase_changed("JOIN was called");
-  return phase_answer(done);
+  const bool success = lifecycle_.end_drain();
+  if (success) callbacks_.phase_changed(PhaseChange::join_command);
+  return phase_answer(success);
 }
 
 std::string AdminCommands::phase_answer(bool success) const {
--- a/src/node/admin_commands.hpp
+++ b/src/node/admin_commands.hpp
@@ -6,20 +6,21 @@
 #include <string_view>
 
 #include "lifecycle/lifecycle.hpp"
+#include "node/phase_change.hpp"
 
 namespace thornwick::node {
 
 class AdminCommands {
  public:
   struct Callbacks {
-    std::function<std::string()> metrics;                   // in the form that DUMP answers with
-    std::function<void(const char* reason)> phase_changed;  // after LEAVE or JOIN took effect
+    std::function<std::string()> metrics;            // returns the text of DUMP, without its last line
+    std::function<void(PhaseChange)> phase_changed;  // called after LEAVE or JOIN took effect
   };
-  // `router_lifecycle` has to outlive the commands.
+  // `router_lifecycle` is not owned and has to outlive the commands.
   AdminCommands(lifecycle::Lifecycle& router_lifecycle, Callbacks callbacks)
       : lifecycle_(router_lifecycle), callbacks_(std::move(callbacks)) {}
 
-  // The answer to one line; empty if it is no command.
+  // Runs the command in `line` and returns its answer, or an empty string if the line is no command.
   std::string answer(std::string_view line);
 
  private:
--- a/src/node/affinity_report.cpp
+++ b/src/node/affinity_report.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <cmath>
 #include <sstream>
-#include <utility>
 #include <vector>
 
 #include "logging/log.hpp"
@@ -28,7 +27,8 @@
 }
 
 bool lost_more_trust(const affinity::Replica* left, const affinity::Replica* right) {
-  return std::pair(left->trust_state, left->losses) > std::pair(right->trust_state, right->losses);
+  if (left->trust_state != right->trust_state) return left->trust_state > right->trust_state;
+  return left->losses > right->losses;
 }
 
 }  // namespace
--- a/src/node/affinity_report.hpp
+++ b/src/node/affinity_report.hpp
@@ -1,5 +1,5 @@
-// What operators are told about the affinity table: a line for each replica, and warnings as replicas lose
-// and regain trust.
+// Log lines about the affinity table: one line for each replica on request, and a warning whenever a replica
+// loses or regains trust.
 #pragma once
 
 #include <functional>
@@ -11,11 +11,11 @@
 
 using ReplicaUid = std::function<std::string(ReplicaId)>;
 
-// Calls `line` with a line about each replica: those that lost trust first, 64 at the most.
+// Calls `line` with one line for each replica, 64 lines at most. Replicas that have lost trust come first.
 void report_replicas(const affinity::AffinityTable& table, const ReplicaUid& uid_of,
                      const std::function<void(const std::string&)>& line);
 
-// Logs each loss and return of trust in what replicas have cached.
+// Logs each loss and recovery of trust in what replicas have cached.
 class AffinityLog final : public affinity::Observer {
  public:
   explicit AffinityLog(ReplicaUid uid_of) : uid_of_(std::move(uid_of)) {}
--- a/src/node/charge_log.hpp
+++ b/src/node/charge_log.hpp
@@ -1,4 +1,4 @@
-// The log line of each charge on a budget, which operators may ask for (`charges` in the operator's file).
+// Logs each charge on a budget, if the operator's file enables it (`charges`).
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace thornwick::node {
 
-// `config` names members, classes and models; `replica_uid` is of the replica that served.
+// `config` has the names of members, classes and models. `replica_uid`: the replica that served the request.
 void log_charge(const budgets::Charge& charge, const config::Config& config, const std::string& replica_uid);
 
 }  // namespace thornwick::node
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint8_t kReplicationChannel = 2;
 
 constexpr std::size_t kNeighbours = 2;  // members that this router itself keeps links with
-constexpr Time kViewPeriods = 10;       // probe periods between two whole views
+constexpr int kViewPeriods = 10;        // probe periods between two whole views
 constexpr Time kMinLinkHeartbeat = milliseconds(500);
 
 }  // namespace
@@ -75,23 +75,23 @@
   options.listen = file_.links ? listen_address() : "";
   options.group = roster.hash();
   options.self = membership_.self;
-  options.beat = std::max(period_, kMinLinkHeartbeat);
+  options.heartbeat = std::max(period_, kMinLinkHeartbeat);
   options.seed = random_number();
   net::Links::Callbacks callbacks;
   callbacks.received = [this](std::size_t member, std::uint8_t channel, std::string_view bytes) {
     on_link_message(member, channel, bytes);
   };
-  callbacks.changed = [this](std::size_t member, bool up) { on_link_changed(member, up); };
-  callbacks.room = [this](std::size_t member) {
+  callbacks.changed = [this](std::size_t member, net::LinkState state) { on_link_changed(member, state); };
+  callbacks.writable = [this](std::size_t member) {
     if (replication_) replication_->on_link_writable(member);
   };
   links_ = std::make_unique<net::Links>(std::move(options), std::move(callbacks));
   if (!file_.links) return;
   for (std::size_t k = 1; k <= kNeighbours && k < roster.size(); ++k)
-    links_->want((membership_.self + k) % roster.size(), true);
+    links_->keep_link((membership_.self + k) % roster.size());
 }
 
-// A file of ledgers that cannot be opened leaves the router in its group, without budgets.
+// If the file of the ledgers cannot be opened, the router stays in its group without replicated budgets.
 void Cluster::open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy,
                                std::uint32_t run) {
   try {
@@ -143,7 +143,8 @@
   apply_swim_output();
 }
 
-void Cluster::on_link_changed(std::size_t member, bool up) {
+void Cluster::on_link_changed(std::size_t member, net::LinkState state) {
+  const bool up = state == net::LinkState::up;
   logging::info("links") << "link to " << membership_.roster->at(member).name << (up ? " is up" : " is down");
   if (replication_ && !up) replication_->on_link_lost(member);
   if (up) view_timer_.start(0, [this] { send_view(); });
@@ -171,7 +172,8 @@
       << member.name << ": " << change.text;
 }
 
-// A whole view repairs what lost datagrams and an absence of this router left out.
+// Gossip carries changes only. A whole view, sent now and then, repairs what lost datagrams or an absence of
+// a router have left out.
 void Cluster::send_view() {
   view_timer_.start(kViewPeriods * period_, [this] { send_view(); });
   const std::string view = membership::write_view(swim_->claims());
--- a/src/node/cluster.hpp
+++ b/src/node/cluster.hpp
@@ -1,5 +1,5 @@
-// This router's part in its group: failure detection over datagrams, links to neighbours, replicated budgets,
-// and the local socket at which operators ask about them (docs/membership.md, docs/replication.md).
+// This router as a member of its group: failure detection over datagrams, links to neighbours, replicated
+// budgets, and the local socket for the operators' commands (docs/membership.md, docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -21,17 +21,17 @@
 
 class Cluster {
  public:
-  // Takes part from then on. `quota_proxy`: of this router's budgets; null: it has none; otherwise it has to
-  // outlive the cluster. Throws BadConfig or NetError.
+  // Joins the group. `quota_proxy`: the proxy of this router's budgets, which is not owned and has to outlive
+  // the cluster; null if there are no budgets. Throws BadConfig or NetError.
   Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Tells the others that this router ends.
+  // Notifies the other members that this router shuts down.
   void leave();
-  // Returns what this router holds of budgets to the others before the process ends. Blocks for `timeout`
-  // microseconds at the most.
+  // Returns the quota that this router has leased, to be called before the process ends. Blocks for `timeout`
+  // (microseconds) at most.
   void flush_before_exit(Time timeout);
 
  private:
@@ -46,9 +46,9 @@
   void on_datagram(std::span<const std::uint8_t> bytes);
   void on_link_message(std::size_t member, std::uint8_t channel, std::string_view bytes);
   void on_view(std::size_t member, std::string_view bytes);
-  void on_link_changed(std::size_t member, bool up);
+  void on_link_changed(std::size_t member, net::LinkState state);
   void on_tick();
-  // After each event: logs changes of the view, sends what is due and sets the timer.
+  // To be called after each event: logs changes of the view, sends due messages and sets the timer.
   void apply_swim_output();
   void log_change(const membership::Change& change) const;
   void send_view();
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -15,13 +15,14 @@
 namespace {
 
 constexpr Time kMaxTickInterval = milliseconds(50);
-// Of the memory: one in so many bytes for records on their way to the disk.
+// The part of the memory for records that are not on the disk yet is one divided by this.
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kMinStoreMemory = std::size_t{4} << 20;
-constexpr Time kElectionHeartbeats = 5;  // missed, until another leader is elected
-constexpr Time kHelloHeartbeats = 2;
-constexpr Time kPatienceHeartbeats = 4;           // that an answer of a holder may take
-constexpr Time kMinInterval = milliseconds(200);  // of hellos, and of patience
+// Timeouts and intervals as counts of heartbeats.
+constexpr int kElectionHeartbeats = 5;            // missed before another leader is elected
+constexpr int kHelloHeartbeats = 2;               // between two hellos
+constexpr int kAnswerTimeoutHeartbeats = 4;       // within which a ledger replica has to answer
+constexpr Time kMinInterval = milliseconds(200);  // lower bound of the hello interval and the answer timeout
 
 constexpr std::string_view kLogPart = "replication";
 constexpr const char* kPending = "+OK pending\n";
@@ -46,7 +47,7 @@
   options.quota_client.ledgers = replication::ledgers_for(membership.roster->size());
   options.quota_client.run = run;
   options.quota_client.block = config.operator_file.budgets.block;
-  options.quota_client.response_timeout = std::max(kMinInterval, kPatienceHeartbeats * heartbeat);
+  options.quota_client.response_timeout = std::max(kMinInterval, kAnswerTimeoutHeartbeats * heartbeat);
   options.quota_client.overdraft = file.without_majority == "lenient" ? file.overdraft : 0;
   return options;
 }
@@ -56,7 +57,7 @@
   logging::Line(is_warning ? logging::Level::warning : logging::Level::info, kLogPart) << text;
 }
 
-// The answer to later questions about a command.
+// The answer to a later CORRECTION call about a command.
 std::string outcome_answer(const replication::OperatorOutcome& outcome) {
   using Status = replication::OperatorOutcome::Status;
   switch (outcome.status) {
@@ -81,7 +82,7 @@
       quota_proxy_(quota_proxy),
       fragmenter_(channel),
       store_notifier_([this] { on_tick(); }) {
-  fragmenter_.serve(links_);
+  fragmenter_.attach(links_);
   open_store(config);
   start_replication(replication_options(config, membership, run));
   log_start();
@@ -132,12 +133,12 @@
 
 // ---------------------------------------------------------------- events
 
-// Links with all holders of all ledgers, those included that have taken another's place: who leads changes,
-// and a question should not wait for a connection.
-void ClusterReplication::keep_links() {
+// Keeps links with all replicas of all ledgers, including routers that have replaced others: the leader may
+// change, and a request to it should not wait for a connection.
+void ClusterReplication::keep_replica_links() {
   const auto keep = [this](const std::vector<std::size_t>& members) {
     for (const std::size_t member : members) {
-      if (member != self_) links_.want(member, true);
+      if (member != self_) links_.keep_link(member);
     }
   };
   const auto& quota_client = replication_->quota_client();
@@ -153,7 +154,7 @@
   replication_->durable(now, store_->durable());
   replication_->tick(now);
   store_->hand_over();
-  keep_links();
+  keep_replica_links();
   log_store_state();
   processing_ = false;
   next_tick_ = 0;
@@ -184,7 +185,7 @@
 }
 
 void ClusterReplication::on_frame(std::size_t member, std::string_view bytes) {
-  fragmenter_.frame(member, bytes, [this, member](std::string_view message) {
+  fragmenter_.on_frame(member, bytes, [this, member](std::string_view message) {
     processing_ = true;
     replication_->on_message(net::now_us(), member, message);
     processing_ = false;
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -1,5 +1,5 @@
-// This router's part in the replicated budgets of its group: replicas of ledgers and the quota lease client,
-// joined to links, disk and main loop (docs/replication.md).
+// The replicated budgets of a group at this router: its ledger replicas and its quota lease client, connected
+// to links, disk and main loop (docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -20,8 +20,9 @@
 
 class ClusterReplication {
  public:
-  // Takes part from then on, and grants what `quota_proxy` asks for. `channel`: of the links, for this alone.
-  // `run`: a number of this process alone. Links and proxy have to outlive it. Throws store::StoreError.
+  // Takes part in the replication from then on, and serves the calls of `quota_proxy`. `channel`: the channel
+  // of the links that only this object uses. `run`: a random number of this process. `links` and
+  // `quota_proxy` are not owned and have to outlive this object. Throws store::StoreError.
   ClusterReplication(const config::Config& config, const Membership& membership, net::Links& links,
                      LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t run);
   ~ClusterReplication();
@@ -30,14 +31,15 @@
 
   // Events of the links.
   void on_frame(std::size_t member, std::string_view bytes);
-  void on_link_writable(std::size_t member) { fragmenter_.room(member); }
-  void on_link_lost(std::size_t member) { fragmenter_.lost(member); }
+  void on_link_writable(std::size_t member) { fragmenter_.on_writable(member); }
+  void on_link_lost(std::size_t member) { fragmenter_.on_link_lost(member); }
 
-  // A planned end: reports what was used and gives the rest back. Runs the main loop until the holders have
-  // answered, for `timeout` microseconds at the most.
+  // To be called before a planned end: reports the used quota and returns the rest. Runs the main loop until
+  // the ledger replicas have answered, for `timeout` (microseconds) at most.
   void flush_before_exit(Time timeout);
 
-  // The answer to a line at the local socket; empty: it is none of the commands of replication_commands.hpp.
+  // Runs the command in `line` and returns its answer, or an empty string if the line is none of the commands
+  // of replication_commands.hpp.
   std::string answer(std::string_view line);
 
  private:
@@ -47,7 +49,7 @@
 
   void on_tick();
   void schedule_tick();
-  void keep_links();
+  void keep_replica_links();
   void log_store_state();
 
   ReplicationStatus status() const;
@@ -70,9 +72,9 @@
   std::unique_ptr<replication::ReplicationNode> replication_;
   CommandOutcomes outcomes_;
   net::Timer tick_timer_;
-  Time next_tick_ = 0;          // 0: none is set
-  bool processing_ = false;     // what is asked for meanwhile is scheduled at the end
-  bool store_failing_ = false;  // writes fail now
+  Time next_tick_ = 0;          // 0: no tick is scheduled
+  bool processing_ = false;     // within on_tick(), which schedules the next tick itself
+  bool store_failing_ = false;  // the latest write has failed
   bool store_full_ = false;     // a write found no room
 };
 
--- a/src/node/cluster_status.cpp
+++ b/src/node/cluster_status.cpp
@@ -13,8 +13,8 @@
 
 // To the millisecond, rounded towards zero.
 double in_seconds(Time time) {
-  const Time milliseconds = time / 1000;
-  return static_cast<double>(milliseconds) / 1000;
+  const Time whole_milliseconds = time / milliseconds(1);
+  return static_cast<double>(whole_milliseconds) / 1000;
 }
 
 // ---------------------------------------------------------------- JSON
@@ -56,7 +56,7 @@
           {"tellers", reporters},         {"least_seen", least_seen},          {"most_seen", most_seen}};
 }
 
-const char* link_name(const GroupStatus& status, std::size_t member) {
+std::string_view link_name(const GroupStatus& status, std::size_t member) {
   if (member == status.swim.self()) return "self";
   return status.links.up(member) ? "up" : "none";
 }
@@ -86,9 +86,9 @@
           {"stops", view.stops},
           {"stopped_s", view.stopped_s},
           {"name_used_twice", view.name_conflict},
-          {"round_trip_ms", view.round_trip / 1000},
+          {"round_trip_ms", view.round_trip / milliseconds(1)},
           {"link", link_name(status, member)},
-          {"queue_bytes", status.links.waiting(member)}};
+          {"queue_bytes", status.links.queued_bytes(member)}};
 }
 
 Json datagrams_json(const membership::Metrics& metrics) {
--- a/src/node/cluster_status.hpp
+++ b/src/node/cluster_status.hpp
@@ -1,4 +1,4 @@
-// The status of this router's view of its group: one JSON object, or the same as text for people.
+// The status of this router's view of its group, as one JSON object or as text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,13 +9,14 @@
 
 namespace thornwick::node {
 
-// What a status is made from; refers to the parts for the length of one call.
+// The sources of a status. Holds references, and is to be used within one call.
 struct GroupStatus {
   const std::string& group;
   const membership::Swim& swim;
   const net::Links& links;
-  Time now, started;
-  bool empty_start;  // this process found nothing of an earlier one on its disk
+  Time now;
+  Time started;      // when this process started
+  bool empty_start;  // this process found no state of an earlier one on its disk
 };
 
 nlohmann::ordered_json status_json(const GroupStatus& status);
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -14,10 +14,10 @@
 namespace thornwick::node {
 namespace {
 
-// Of the memory: one in so many bytes for the affinity table, unless the operator says how many.
+// The affinity table's part of the memory is one divided by this, unless the operator's file has its size.
 constexpr std::size_t kAffinityMemoryDivisor = 16;
 
-// Errors of the operator's file, a line each: "FILE:LINE: KEY: what is wrong".
+// Collects errors of the operator's file, one line each: "FILE:LINE: KEY: what is wrong".
 class ErrorLines {
  public:
   explicit ErrorLines(const std::string& path) : path_(path) {}
@@ -35,8 +35,8 @@
   std::string lines_;
 };
 
-// The number of a budget's member or class by its name, "each" or "all". For a name that the settings do not
-// have an error is added, and the result means nothing.
+// Returns the number of a budget's member or class; `name` may also be "each" or "all". If the settings do
+// not have the name, an error is added and the result must not be used.
 std::uint16_t subject_number(const config::BudgetEntry& entry, const std::string& key,
                              const std::string& name, const std::vector<std::string>& names,
                              ErrorLines& errors) {
@@ -81,7 +81,7 @@
   return budget;
 }
 
-// `key`: of the configuration. Throws BadConfig.
+// Throws BadConfig if the value of the configuration's `key` is not an address.
 void check_address(const std::string& key, const std::string& address) {
   if (net::parse_address(address)) return;
   throw config::BadConfig("configuration: " + key + " is not an address: " + address);
--- a/src/node/config_validation.hpp
+++ b/src/node/config_validation.hpp
@@ -1,6 +1,6 @@
-// From a configuration to the options of a router's parts, and whether the configuration makes sense as a
-// whole. What a file says by itself is checked as it is read (config/); here come names and addresses that
-// have to fit other parts.
+// Converts a configuration to the options of a router's modules, and validates the configuration as a whole.
+// Each file by itself is validated as it is read (config/); here names and addresses are checked that refer
+// to other files.
 #pragma once
 
 #include <memory>
@@ -14,31 +14,31 @@
 
 namespace thornwick::node {
 
-// The dialect of that name; throws BadConfig.
+// Returns the dialect of that name. Throws BadConfig if there is none.
 const fronts::Dialect& dialect_named(const std::string& name);
 
 // The affinity table's size, eviction and lifetimes.
 affinity::Options affinity_options(const config::Config& config);
 
-// Budgets with the numbers of the settings' names in place of the names. Throws BadConfig, a line for each
-// name that the settings do not have.
+// The budgets, with names of members, classes and models replaced by their numbers in the settings. Throws
+// BadConfig with one line for each name that the settings do not have.
 budgets::Options budget_options(const config::Config& config);
 
-// The group's routers, and this router's place among them.
+// The routers of the group, and the number of this router.
 struct Membership {
   std::shared_ptr<const membership::Roster> roster;
   std::size_t self = 0;
 };
-// Throws BadConfig, a line for each thing that is wrong: this router's own name is absent, an address is
-// none, a path is too long.
+// Throws BadConfig with one line for each error: this router's own name is missing, an address is invalid, a
+// path is too long.
 Membership membership_of(const config::Config& config);
 
-// The Unix socket at which this router's processes replace each other; empty where there is no admin
-// endpoint, or no folder ($TMPDIR) for it.
+// The path of the Unix socket for handovers between this router's processes. Empty if there is no admin
+// endpoint or no folder for it ($TMPDIR).
 std::string handover_path(const config::Config& config);
 
-// All checks above, addresses, dialects, and those of the routing policy's settings. Throws BadConfig, or
-// what the routing policy throws.
+// Runs all checks above, and those of addresses, dialects and the routing policy's settings. Throws
+// BadConfig, or the exception of the routing policy.
 void check_config(const config::Config& config);
 
 }  // namespace thornwick::node
--- a/src/node/connection_options.hpp
+++ b/src/node/connection_options.hpp
@@ -1,5 +1,5 @@
-// How the process's descriptors and memory are divided between clients and replicas, and the socket options
-// that follow from it. Reads net::descriptors(), so its limit has to be set before.
+// Divides the process's descriptors and memory between clients and replicas. Reads net::descriptors(), whose
+// limit has to be set before.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,12 +8,12 @@
 
 namespace thornwick::node {
 
-// Options of the connection pool to replicas. `config` is referred to afterwards and has to outlive the pool;
-// the `sent` callback is left to the caller. Throws BadConfig for an unknown dialect.
+// Returns the options of the connection pool to replicas, without the callback `sent`. They refer to
+// `config`, which has to outlive the pool. Throws BadConfig for an unknown dialect.
 net::UpstreamPool::Options upstream_options(const config::Config& config);
 
-// Options that all client listeners share. `config` is referred to afterwards and has to outlive the servers;
-// address, dialect, lifecycle and callbacks into other parts are left to the caller.
+// Returns the options that all servers for clients share, without address, dialect, lifecycle and callbacks.
+// They refer to `config`, which has to outlive the servers.
 net::DownstreamServer::Options downstream_options(const config::Config& config);
 
 }  // namespace thornwick::node
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -1,13 +1,21 @@
 #include "node/counters_report.hpp"
 
-#include <utility>
+#include <string_view>
 
 namespace thornwick::node {
+namespace {
+
+struct FallbackName {
+  models::When reason;
+  std::string_view name;
+};
+
+}  // namespace
 
 void print_request_counters(const core::RequestManager& core, std::ostream& out) {
   // In the order of AttemptOutcome.
-  static constexpr const char* outcome_names[] = {"served",         "error", "full",      "timed_out",
-                                                  "connect_failed", "reset", "cancelled", "not_sent"};
+  static constexpr std::string_view outcome_names[] = {"served",         "error", "full",      "timed_out",
+                                                       "connect_failed", "reset", "cancelled", "not_sent"};
   const auto& counters = core.counters();
   out << "taken=" << counters.admitted << " open=" << core.open() << " attempts=" << counters.attempts
       << " served=" << counters.served << " shed=" << counters.rejected << " failed=" << counters.failed
@@ -18,7 +26,7 @@
 }
 
 void print_downstream_counters(const DownstreamFronts& fronts, std::ostream& out) {
-  for (const auto& front : fronts.all()) {
+  for (const auto& front : fronts.servers()) {
     const auto& counters = front->counters();
     out << " accepted=" << counters.accepted << " bad=" << counters.bad << " health=" << counters.health
         << " crowded=" << counters.crowded << " mute=" << counters.silent << " evicted=" << counters.evicted
@@ -41,11 +49,10 @@
 }
 
 void print_model_counters(const models::Pools& pools, std::ostream& out) {
-  static constexpr std::pair<models::When, const char*> reasons[] = {
-      {models::When::missing, "missing"},
-      {models::When::overloaded, "overloaded"},
-      {models::When::over_budget, "over_budget"},
-      {models::When::too_long, "too_long"}};
+  static constexpr FallbackName reasons[] = {{models::When::missing, "missing"},
+                                             {models::When::overloaded, "overloaded"},
+                                             {models::When::over_budget, "over_budget"},
+                                             {models::When::too_long, "too_long"}};
   const auto& metrics = pools.metrics();
   for (const auto& [reason, name] : reasons) {
     const auto found = metrics.fallbacks.find(reason);
--- a/src/node/counters_report.hpp
+++ b/src/node/counters_report.hpp
@@ -11,7 +11,7 @@
 
 namespace thornwick::node {
 
-// Each writes its part of the line, without an end of line.
+// Each function writes its part of the line, without a newline.
 void print_request_counters(const core::RequestManager& core, std::ostream& out);
 void print_downstream_counters(const DownstreamFronts& fronts, std::ostream& out);
 void print_upstream_counters(const net::UpstreamPool& upstream, std::ostream& out);
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -17,7 +17,7 @@
   auto policy = core::make_routing_policy(settings, now);
   if (durable_state.quota_service() == nullptr) return policy;
   return std::make_unique<budgets::AdmissionController>(std::move(policy), *durable_state.quota_service(),
-                                                        durable_state.fair());
+                                                        durable_state.fair_share());
 }
 
 std::unique_ptr<models::Pools> build_pools(const config::Config& config, Time now,
@@ -33,13 +33,13 @@
   return std::make_unique<models::Pools>(std::move(options), now);
 }
 
-// With a pushed list every router learns of a drain from it; elsewhere a router may learn late, and its peers
-// tell it.
+// If discovery pushes its list, every router learns of a drain from it. If routers poll, a router may learn
+// of a drain late, and its peers' reports are used too.
 bool learns_drains_from_peers(const Settings& settings) {
   return settings.may_message_peers && settings.discovery_by_polling && settings.group_size > 1;
 }
 
-const char* description_of(core::DrainTracker::ReportFate fate) {
+std::string_view description_of(core::DrainTracker::ReportFate fate) {
   using Fate = core::DrainTracker::ReportFate;
   switch (fate) {
     case Fate::sent: return "draining or gone: reported to peers";
@@ -52,7 +52,7 @@
   return "a peer's report expired: ready according to the endpoint list";
 }
 
-// Writes what became of a report about a replica.
+// Logs the fate of each report about a replica.
 core::DrainTracker::Observer report_logger(const net::EndpointTable& endpoints) {
   return [&endpoints](core::DrainTracker::ReportFate fate, ReplicaId replica) {
     using Fate = core::DrainTracker::ReportFate;
--- a/src/node/decider_chain.hpp
+++ b/src/node/decider_chain.hpp
@@ -1,4 +1,5 @@
-// The chain of deciders that the request manager asks: routing policy, budgets, models, slow start, drains.
+// Builds the chain of deciders that the request manager consults: routing policy, budgets, models, slow
+// start, drains.
 #pragma once
 
 #include <memory>
@@ -14,14 +15,15 @@
 
 struct DeciderChain {
   std::unique_ptr<core::Decider> decider;  // the outermost one
-  // Both within the chain; null where there is no catalogue of models, or no peer that reports drains.
+  // Parts of the chain. Null if there is no catalogue of models, or no peer that reports drains.
   models::Pools* pools = nullptr;
   const core::DrainTracker* drain_tracker = nullptr;
 };
 
-// Built from the inside out: routing policy, AdmissionController (where there are budgets or fair shares),
-// models::Pools (where there is a catalogue; one policy for each pool), SlowStartBudget, DrainTracker (where
-// drains are learned from peers), traces. The arguments are referred to and have to outlive the chain.
+// The chain from the innermost decider to the outermost one: routing policy, AdmissionController (if there
+// are budgets or fair shares), models::Pools (if there is a catalogue; with one policy for each pool),
+// SlowStartBudget, DrainTracker (if peers report drains), traces. The chain refers to the arguments, which
+// have to outlive it.
 DeciderChain build_decider_chain(const config::Config& config, const net::EndpointTable& endpoints,
                                  const DurableState& durable_state);
 
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -10,16 +10,16 @@
 
 void DownstreamFronts::open(core::RequestManager& core, net::HandoverState& handover_state) {
   const config::Config& config = dependencies_.config;
-  open_one(config.listeners.requests, fronts::platform(), core, handover_state);
+  open_server(config.listeners.requests, fronts::platform(), core, handover_state);
   if (!config.operator_file.messages_listen.empty())
-    open_one(config.operator_file.messages_listen, fronts::messages(), core, handover_state);
+    open_server(config.operator_file.messages_listen, fronts::messages(), core, handover_state);
 }
 
-void DownstreamFronts::open_one(const std::string& address, const fronts::Dialect& dialect,
-                                core::RequestManager& core, net::HandoverState& handover_state) {
+void DownstreamFronts::open_server(const std::string& address, const fronts::Dialect& dialect,
+                                   core::RequestManager& core, net::HandoverState& handover_state) {
   auto options = downstream_options(dependencies_.config);
   options.router_lifecycle = &dependencies_.router_lifecycle;
-  options.turned_away = [&metrics = dependencies_.metrics](std::string_view cls) {
+  options.rejected = [&metrics = dependencies_.metrics](std::string_view cls) {
     metrics.count_request(cls, metrics::RequestState::deferred);
   };
   options.listening = std::move(handover_state.sockets[address]);
--- a/src/node/drain_watcher.cpp
+++ b/src/node/drain_watcher.cpp
@@ -3,7 +3,7 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kIdleTime = seconds(3);  // without clients for this long, a process that is to end ends
+constexpr Time kIdleTime = seconds(3);  // a process that is to end does so after this time without clients
 constexpr Time kCheckInterval = kIdleTime / 10;
 
 }  // namespace
@@ -20,7 +20,7 @@
 void DrainWatcher::on_timer() {
   const bool busy = busy_();
   if (busy) restart_idle_time();
-  // Once a successor listens at the address, no new client can come here.
+  // Once a successor listens at the address, no new client can connect here.
   const Time required = lifecycle_.phase() == lifecycle::Phase::handed_over ? 0 : kIdleTime;
   if (!busy && net::now_us() - idle_since_ >= required) return drained_();
   schedule();
--- a/src/node/drain_watcher.hpp
+++ b/src/node/drain_watcher.hpp
@@ -1,4 +1,4 @@
-// Watches a process that is to end until no request and no client is left.
+// Watches a process that is to end, until no request is in flight and no client is connected.
 #pragma once
 
 #include <functional>
@@ -10,16 +10,18 @@
 
 class DrainWatcher {
  public:
-  // `busy`: whether requests are open or clients connected. `router_lifecycle` has to outlive the watcher.
+  // `busy` returns whether requests are in flight or clients are connected. `router_lifecycle` is not owned
+  // and has to outlive the watcher.
   DrainWatcher(const lifecycle::Lifecycle& router_lifecycle, std::function<bool()> busy)
       : lifecycle_(router_lifecycle), busy_(std::move(busy)) {}
 
-  // Called on the loop each time that a watch ends because the process has been idle for long enough.
+  // Sets the callback for the end of a watch, when the process has been idle for long enough. It is called on
+  // the loop.
   void on_drained(std::function<void()> drained) { drained_ = std::move(drained); }
 
-  // Begins a watch, or begins the running one anew.
+  // Starts a watch, or restarts the running one.
   void start();
-  // The idle time counts from now on; a watch that runs goes on.
+  // The idle time begins now; a running watch goes on.
   void restart_idle_time() { idle_since_ = net::now_us(); }
   void stop() { timer_.stop(); }
 
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -11,8 +11,8 @@
 namespace thornwick::node {
 namespace {
 
-// Of the memory: one in so many bytes for changes on their way to the store, which holds up to three batches
-// of them.
+// The part of the memory for changes that are not durable yet is one divided by this. The store holds up to
+// three batches of them.
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kStoreBatches = 3;
 constexpr Time kMinFlushInterval = milliseconds(1);
@@ -68,8 +68,8 @@
                          << " dropped for lack of room";
 }
 
-// Twice within the time in which changes are to be durable: a change waits for one flush to be gathered, and
-// is written by the next.
+// Flushes twice within the time in which changes have to be durable: one flush gathers a change, and the next
+// one has written it.
 void DurableState::schedule_store_flush() {
   const auto half = static_cast<Time>(config_.operator_file.store.sync_s * 1e6 / 2);
   flush_timer_.start(std::max(half, kMinFlushInterval), [this] { flush_store(); });
@@ -89,7 +89,7 @@
 
 bool DurableState::save(Time timeout) {
   if (quota_state_store_) quota_service_->accounts.persist_all(net::now_us());
-  return !state_store_ || state_store_->writer().drain(std::chrono::milliseconds(timeout / 1000));
+  return !state_store_ || state_store_->writer().drain(std::chrono::milliseconds(timeout / milliseconds(1)));
 }
 
 // ---------------------------------------------------------------- budgets
@@ -110,7 +110,7 @@
   if (quota_state_store_) load_accounts();
 }
 
-// Accounts are the group's, or this router's own in its store, or lost with the process.
+// Accounts are replicated in the group, or kept in this router's store, or lost with the process.
 void DurableState::open_quota_backend() {
   if (config_.operator_file.replication.enabled) {
     quota_proxy_ = std::make_unique<LocalQuotaProxy>();
@@ -145,7 +145,7 @@
   update_prices();
 }
 
-// ---------------------------------------------------------------- what operators are told
+// ---------------------------------------------------------------- reports
 
 void DurableState::print_counters(std::ostream& out) const {
   if (!quota_service_) return;
--- a/src/node/durable_state.hpp
+++ b/src/node/durable_state.hpp
@@ -1,5 +1,5 @@
-// What a router remembers and may keep on disk: the affinity table, the accounts of budgets, and the store in
-// which both outlive the process.
+// The state of a router that may outlive its process: the affinity table, the accounts of budgets, and the
+// store on disk for both.
 #pragma once
 
 #include <functional>
@@ -21,30 +21,30 @@
 
 class DurableState {
  public:
-  // With all that the store has; a store that cannot be opened is logged, and the router serves without it.
-  // `config` is the router's own, has to outlive this and may change. Throws BadConfig.
+  // Loads the contents of the store. If the store cannot be opened, an error is logged and the router serves
+  // without it. `config` is not owned, has to outlive this object, and may change. Throws BadConfig.
   DurableState(const config::Config& config, ReplicaUid uid_of);
 
-  // Makes all durable, for a planned stop. Blocks for `timeout` microseconds at the most; false: the time was
-  // too short.
+  // Makes all state durable, at the end of a graceful shutdown. Blocks for `timeout` (microseconds) at most;
+  // returns false if that was too short.
   [[nodiscard]] bool save(Time timeout);
-  // The configuration's budgets and prices were read again. What was used stays used. Only where there is a
-  // quota service.
+  // To be called after the configuration's budgets or prices have changed. Usage that was charged stays
+  // charged. There must be a quota service.
   void budgets_changed(Time now);
 
   // The counters of budgets, in the form " name=value".
   void print_counters(std::ostream& out) const;
-  // Calls `line` with a line about each replica in the affinity table: those that lost trust first, 64 at the
-  // most.
+  // Calls `line` with one line for each replica in the affinity table, 64 lines at most. Replicas that have
+  // lost trust come first.
   void log_replicas(const std::function<void(const std::string&)>& line) const;
 
-  // Each is null where the configuration asks for none; the store also where it could not be opened, and the
-  // proxy where budgets are this router's alone.
+  // Each is null if the configuration does not enable it. The store is also null if it could not be opened,
+  // and the proxy if budgets are not replicated.
   const persistence::StateStore* state_store() const { return state_store_.get(); }
   affinity::AffinityTable* affinity_table() const { return affinity_table_.get(); }
   budgets::QuotaService* quota_service() const { return quota_service_.get(); }
   LocalQuotaProxy* quota_proxy() const { return quota_proxy_.get(); }
-  budgets::FairShare* fair() const { return fair_share_.get(); }
+  budgets::FairShare* fair_share() const { return fair_share_.get(); }
 
  private:
   void open_store();
@@ -62,7 +62,8 @@
   const config::Config& config_;
   ReplicaUid uid_of_;
   AffinityLog affinity_log_;
-  // Destroyed in the reverse order: what refers to the store goes before it.
+  // Members are destroyed in the reverse order, so that those that refer to the store are destroyed before
+  // it.
   std::unique_ptr<persistence::StateStore> state_store_;
   std::unique_ptr<affinity::AffinityTable> affinity_table_;
   std::unique_ptr<persistence::QuotaStateStore> quota_state_store_;  // of accounts in the state store
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -10,13 +10,15 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kReadinessInterval = milliseconds(20);  // between two checks whether a new process can serve
-constexpr std::size_t kSpareDescriptorsDivisor = 8;    // of the descriptors, spare while a successor starts
+constexpr Time kReadinessInterval = milliseconds(20);  // between two checks whether this process can serve
+constexpr std::size_t kSpareDescriptorsDivisor = 8;    // one in eight descriptors is spare during a handover
 
 }  // namespace
 
-HandoverCoordinator::HandoverCoordinator(Parts parts, Callbacks callbacks)
-    : parts_(parts), callbacks_(std::move(callbacks)), descriptor_limit_(net::descriptors().limit) {}
+HandoverCoordinator::HandoverCoordinator(Dependencies dependencies, Callbacks callbacks)
+    : dependencies_(dependencies),
+      callbacks_(std::move(callbacks)),
+      descriptor_limit_(net::descriptors().limit) {}
 
 // ---------------------------------------------------------------- as the successor
 
@@ -28,17 +30,17 @@
   callbacks.yielded = [this](bool drained) { on_predecessor_yielded(drained); };
   callbacks.gone = [this] {
     logging::info("handover") << "the predecessor has exited";
-    // Not at once: this destroys the client, whose callback this is.
+    // Deferred: on_predecessor_gone destroys the client, whose callback this is.
     timer_.start(0, [this] { on_predecessor_gone(); });
   };
   client_ = std::make_unique<net::HandoverClient>(std::move(connection), std::move(callbacks));
   timer_.start(0, [this] { report_serving(); });
 }
 
-// The path is free: this process hosts in its turn.
+// The predecessor has freed its path, so this process can wait for a successor of its own there.
 void HandoverCoordinator::on_predecessor_yielded(bool drained) {
-  if (drained && parts_.router_lifecycle.begin_drain(net::now_us()))
-    callbacks_.phase_changed("the predecessor was drained");
+  if (drained && dependencies_.router_lifecycle.begin_drain(net::now_us()))
+    callbacks_.phase_changed(PhaseChange::predecessor_drained);
   callbacks_.open_cluster();
   if (!server_) host();
 }
@@ -52,7 +54,7 @@
 
 void HandoverCoordinator::report_serving() {
   if (!client_) return;
-  if (!parts_.router_lifecycle.can_serve(net::now_us())) {
+  if (!dependencies_.router_lifecycle.can_serve(net::now_us())) {
     timer_.start(kReadinessInterval, [this] { report_serving(); });
     return;
   }
@@ -63,7 +65,7 @@
 // ---------------------------------------------------------------- as the predecessor
 
 void HandoverCoordinator::host() {
-  const std::string path = handover_path(parts_.config);
+  const std::string path = handover_path(dependencies_.config);
   if (path.empty()) return;
   net::HandoverServer::Callbacks callbacks;
   callbacks.offer = [this] { return offer(); };
@@ -76,43 +78,44 @@
   }
 }
 
-// Both processes together may hold as many descriptors as one alone: this one keeps those that it holds, and
-// a few spare ones for the requests that it finishes.
+// Together both processes may hold as many descriptors as one alone. This one keeps those that it holds, and
+// a few spare ones for the requests in flight that it completes.
 net::HandoverState HandoverCoordinator::offer() {
   net::HandoverState state;
-  parts_.fronts.lend_sockets(state);
-  lend_socket(state, parts_.config.listeners.peers, parts_.peers.socket());
-  state.drained = parts_.router_lifecycle.drained();
+  dependencies_.fronts.lend_sockets(state);
+  lend_socket(state, dependencies_.config.listeners.peers, dependencies_.peers.socket());
+  state.drained = dependencies_.router_lifecycle.drained();
   const std::size_t spare = descriptor_limit_ / kSpareDescriptorsDivisor;
   state.held = std::min(descriptor_limit_, net::descriptors().held + spare);
-  state.list = parts_.endpoints.list();
-  state.learned_state =
-      persistence::encode_handover_state(parts_.core.decider().learned_state(), parts_.affinity_table);
+  state.list = dependencies_.endpoints.list();
+  state.learned_state = persistence::encode_handover_state(dependencies_.core.decider().learned_state(),
+                                                           dependencies_.affinity_table);
   net::descriptors().limit = state.held;
   return state;
 }
 
-// Returns whether this router is drained, for the successor to be so too.
+// Returns whether this router is drained; the successor then starts drained too.
 bool HandoverCoordinator::on_successor_serving() {
-  parts_.router_lifecycle.hand_over(net::now_us());
+  dependencies_.router_lifecycle.hand_over(net::now_us());
   if (client_) client_->passed_on();
-  callbacks_.close_cluster();  // its addresses are the successor's from now on
-  parts_.peers.listen(false);
-  callbacks_.phase_changed("a successor serves");
-  parts_.drain_watcher.start();
-  return parts_.router_lifecycle.drained();
+  callbacks_.close_cluster();  // the successor uses its addresses from now on
+  dependencies_.peers.pause_reading();
+  callbacks_.phase_changed(PhaseChange::successor_serving);
+  dependencies_.drain_watcher.start();
+  return dependencies_.router_lifecycle.drained();
 }
 
 void HandoverCoordinator::on_successor_lost() {
-  const bool handed_over = parts_.router_lifecycle.phase() == lifecycle::Phase::handed_over;
+  const bool handed_over = dependencies_.router_lifecycle.phase() == lifecycle::Phase::handed_over;
   net::descriptors().limit = descriptor_limit_;
   if (!handed_over) return;
-  parts_.router_lifecycle.cancel_handover();
-  parts_.peers.listen(true);
+  dependencies_.router_lifecycle.cancel_handover();
+  dependencies_.peers.resume_reading();
   callbacks_.open_cluster();
-  parts_.drain_watcher.restart_idle_time();
-  if (parts_.router_lifecycle.phase() != lifecycle::Phase::shutting_down) parts_.drain_watcher.stop();
-  callbacks_.phase_changed("the successor is gone");
+  dependencies_.drain_watcher.restart_idle_time();
+  if (dependencies_.router_lifecycle.phase() != lifecycle::Phase::shutting_down)
+    dependencies_.drain_watcher.stop();
+  callbacks_.phase_changed(PhaseChange::successor_lost);
 }
 
 }  // namespace thornwick::node
