--- a/src/node/handover_coordinator.hpp
+++ b/src/node/handover_coordinator.hpp
@@ -1,6 +1,6 @@
-// Replacing the process under load: what this process lends to its successor, takes over from its
-// predecessor, and does as either of them comes or goes (docs/lifecycle.md). net::HandoverServer and
-// net::HandoverClient carry the messages.
+// Replaces the process under load: lends sockets and state to a successor, takes over those of a predecessor,
+// and reacts when either of them serves or ends (docs/lifecycle.md). net::HandoverServer and
+// net::HandoverClient exchange the messages.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,14 @@
 #include "net/peer_socket.hpp"
 #include "node/downstream_fronts.hpp"
 #include "node/drain_watcher.hpp"
+#include "node/phase_change.hpp"
 
 namespace thornwick::node {
 
 class HandoverCoordinator {
  public:
-  // The parts that a handover reads or changes. All have to outlive the coordinator.
-  struct Parts {
+  // None is owned; all have to outlive the coordinator.
+  struct Dependencies {
     const config::Config& config;
     lifecycle::Lifecycle& router_lifecycle;
     const net::EndpointTable& endpoints;
@@ -32,20 +33,22 @@
     DrainWatcher& drain_watcher;
   };
   struct Callbacks {
-    std::function<void()>
-        open_cluster;  // this process speaks for the router in its group; may be called again
-    std::function<void()> close_cluster;  // another process does
-    std::function<void(const char* reason)> phase_changed;
+    // This process takes part in the group for the router from now on. May be called more than once.
+    std::function<void()> open_cluster;
+    // Another process takes part in the group for the router from now on.
+    std::function<void()> close_cluster;
+    // Called after the lifecycle has entered another phase.
+    std::function<void(PhaseChange)> phase_changed;
   };
-  HandoverCoordinator(Parts parts, Callbacks callbacks);
+  HandoverCoordinator(Dependencies dependencies, Callbacks callbacks);
 
-  // Takes part as the successor of the process at the other end of `connection`. `predecessor_descriptors`:
-  // what that process keeps; this one does with the rest until it has gone.
+  // Becomes the successor of the process at the other end of `connection`. `predecessor_descriptors`: how
+  // many descriptors that process keeps; this one has only the others until that process has ended.
   void join_predecessor(net::Owned<GSocket> connection, std::size_t predecessor_descriptors);
-  // Waits for a successor. Where nothing can be hosted, a warning is logged and the router serves on.
+  // Waits for a successor. If it cannot listen for one, it logs a warning, and the router serves on.
   void host();
 
-  // There is a predecessor, or a successor may come: the start is over.
+  // Whether join_predecessor() or host() was called: the start is over.
   bool active() const { return client_ != nullptr || server_ != nullptr; }
 
  private:
@@ -56,9 +59,9 @@
   bool on_successor_serving();
   void on_successor_lost();
 
-  Parts parts_;
+  Dependencies dependencies_;
   Callbacks callbacks_;
-  std::size_t descriptor_limit_;  // of this process alone
+  std::size_t descriptor_limit_;  // of this process while it is the only one
   std::unique_ptr<net::HandoverClient> client_;
   std::unique_ptr<net::HandoverServer> server_;
   net::Timer timer_;
--- a/src/node/identity.cpp
+++ b/src/node/identity.cpp
@@ -25,7 +25,7 @@
 };
 using Error = std::unique_ptr<GError, FreeError>;
 
-// Never 0.
+// Returns a random number that is not 0.
 std::uint32_t random_id() {
   std::random_device device;
   return device() | 1;
@@ -39,7 +39,7 @@
   return content + "sum " + checksum.get() + "\n";
 }
 
-// Removes `label`, a number and the end of the line from the front of `text`.
+// Removes `label` and the number after it from the front of `text`.
 std::optional<std::uint32_t> take_number(std::string_view& text, std::string_view label) {
   if (!text.starts_with(label)) return std::nullopt;
   text.remove_prefix(label.size());
@@ -50,7 +50,7 @@
   return value;
 }
 
-// Nothing if the text is not, byte for byte, what file_content writes.
+// Returns none if the text is not, byte for byte, the output of file_content.
 std::optional<membership::Identity> parse_identity(std::string_view text) {
   std::string_view rest = text;
   const auto disk = take_number(rest, "thornwick-group 1\ndisk ");
@@ -65,10 +65,10 @@
 
 struct ReadResult {
   std::optional<membership::Identity> identity;
-  std::string problem;  // empty: the file was read, or there is none
+  std::string problem;  // empty if the file was read, or there is none
 };
 
-// A file that is damaged is set aside.
+// Renames a damaged file.
 ReadResult read_identity(const std::string& path) {
   char* raw_text = nullptr;
   GError* raw_error = nullptr;
@@ -84,7 +84,7 @@
   return {.identity = std::nullopt, .problem = path + " is damaged; set aside as " + aside};
 }
 
-// The problem; empty: the file is durable.
+// Returns the problem, or an empty string if the file is durable.
 std::string write_identity(const std::string& path, const membership::Identity& identity) {
   const std::string content = file_content(identity);
   const auto flags =
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -1,4 +1,4 @@
-// The quota store of this router's accounts where budgets are the group's.
+// The quota store of this router's accounts if budgets are replicated in the group.
 #pragma once
 
 #include <functional>
@@ -10,13 +10,13 @@
 
 namespace thornwick::node {
 
-// Passes each call on to the quota lease client of the process that speaks for the router in its group. That
-// client comes and goes with handovers; while there is none, nothing is granted and nothing charged, and the
-// accounts stay open.
+// Forwards each call to the quota lease client, which exists only while this process takes part in the group
+// for the router (handovers change that). While there is no client, nothing is granted and nothing is
+// charged, and the accounts stay open.
 class LocalQuotaProxy final : public budgets::QuotaStore {
  public:
-  // Opens all accounts at `quota_client`, which is not owned; null: there is none from now on. `on_use` is
-  // called after each call that may make the client want to ask the holders.
+  // Sets the client and opens all accounts at it. It is not owned; null means that there is none from now on.
+  // `on_use` is called after each call that may make the client send a request to the ledger replicas.
   void attach(
       budgets::QuotaStore* quota_client, std::function<void()> on_use = [] {}) {
     quota_client_ = quota_client;
--- a/src/node/loop_clock.hpp
+++ b/src/node/loop_clock.hpp
@@ -8,7 +8,7 @@
 
 namespace thornwick::node {
 
-// Microseconds of the loop's monotonic clock. Only the latest `wake_at` holds.
+// Tells the time in microseconds of the loop's monotonic clock. A call of `wake_at` replaces the earlier one.
 class LoopClock : public core::Clock {
  public:
   Time now() const override { return net::now_us(); }
--- a/src/node/loop_notifier.hpp
+++ b/src/node/loop_notifier.hpp
@@ -1,4 +1,4 @@
-// Lets another thread ask the main loop for a call.
+// Lets another thread schedule a call on the main loop.
 #pragma once
 
 #include <glib.h>
@@ -8,8 +8,8 @@
 
 namespace thornwick::node {
 
-// Belongs to the loop's thread. After its destruction nothing is called any more, though triggers may still
-// be held and used.
+// To be constructed and destroyed in the loop's thread. After its destruction nothing is called any more,
+// even if triggers are still used.
 class LoopNotifier {
  public:
   explicit LoopNotifier(std::function<void()> on_loop)
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -14,7 +14,7 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kClusterShareOfSave = 4;  // a quarter of the time is for what is owed to other routers
+constexpr int kClusterTimeDivisor = 4;  // a quarter of save()'s timeout
 
 }  // namespace
 
@@ -28,7 +28,7 @@
           endpoint_options(),
           [this](EndpointUpdate scope, std::span<const Endpoint> entries) { on_endpoints(scope, entries); }),
       peers_({.listen = config.listeners.peers,
-              .all = config.peers.all,
+              .broadcast = config.peers.all,
               .peers = config.peers.each,
               .bound = std::move(handover_state.sockets[config.listeners.peers])},
              [this](std::uint32_t rank, std::span<const std::uint8_t> message) {
@@ -41,7 +41,7 @@
       core_(make_core()),
       fronts_({.config = config_, .router_lifecycle = lifecycle_, .names = names_, .metrics = metrics_}),
       admin_commands_(lifecycle_, {.metrics = [this] { return metrics(); },
-                                   .phase_changed = [this](const char* reason) { phase_changed(reason); }}),
+                                   .phase_changed = [this](PhaseChange reason) { phase_changed(reason); }}),
       drain_watcher_(lifecycle_, [this] { return core_->open() > 0 || fronts_.has_connections(); }),
       handover_({.config = config_,
                  .router_lifecycle = lifecycle_,
@@ -53,9 +53,9 @@
                  .drain_watcher = drain_watcher_},
                 {.open_cluster = [this] { open_cluster(); },
                  .close_cluster = [this] { cluster_.reset(); },
-                 .phase_changed = [this](const char* reason) { phase_changed(reason); }}) {
+                 .phase_changed = [this](PhaseChange reason) { phase_changed(reason); }}) {
   clock_.wake = [this] { core_->wake(); };
-  upstream_.serve(*core_);
+  upstream_.attach(*core_);
   if (!config_.operator_file.catalogue.empty())
     names_.model = [this](std::string_view name) { return config_.operator_file.catalogue.find(name); };
   restore_state(handover_state);
@@ -81,7 +81,7 @@
   options.calls.routers = settings.group_size;
   options.calls.pushed = !settings.discovery_by_polling;
   options.seed = settings.seed;
-  options.bear_old = settings.max_poll_interval;
+  options.max_old_list_time = settings.max_poll_interval;
   return options;
 }
 
@@ -114,9 +114,9 @@
                                                 std::move(chain.decider));
 }
 
-// The affinity table is filled before the first list of endpoints comes: a replica that the list brings in
-// first would get another slot. Where a store has filled it already that stands, as it is as new and holds
-// more.
+// Fills the affinity table before the first endpoint list comes, because a replica that the list adds first
+// would get another slot. If a store has filled the table already, its contents stay: they are as new as the
+// predecessor's and more complete.
 void Node::restore_state(const net::HandoverState& handover_state) {
   affinity::AffinityTable* affinity_table =
       durable_state_.state_store() != nullptr ? nullptr : durable_state_.affinity_table();
@@ -130,7 +130,7 @@
   core_->learn(learned_state.value_or(LearnedState{}));
 }
 
-// The predecessor's list is current; the configuration's may be old.
+// Prefers the predecessor's endpoint list, which is current, to that of the configuration, which may be old.
 void Node::restore_endpoints(const net::HandoverState& handover_state) {
   const std::string& list =
       handover_state.list.empty() ? config_.discovery.known_endpoints : handover_state.list;
@@ -154,8 +154,8 @@
   core_->on_endpoints(scope, entries);
 }
 
-// A group's addresses that cannot be opened are an error at the start; during a handover the router serves on
-// without its group.
+// At the start it is an error if the group's addresses cannot be opened. During a handover the router serves
+// on without its group instead.
 void Node::open_cluster() {
   if (config_.operator_file.group.name.empty() || cluster_) return;
   try {
@@ -166,13 +166,13 @@
   }
 }
 
-void Node::phase_changed(const char* reason) {
-  logging::info("main") << lifecycle::name_of(lifecycle_.phase()) << ": " << reason << ", " << core_->open()
-                        << " requests in flight";
+void Node::phase_changed(PhaseChange reason) {
+  logging::info("main") << lifecycle::name_of(lifecycle_.phase()) << ": " << to_string(reason) << ", "
+                        << core_->open() << " requests in flight";
   fronts_.phase_changed();
 }
 
-// ---------------------------------------------------------------- what operators ask for
+// ---------------------------------------------------------------- signals and commands of operators
 
 void Node::reload(const config::Config& config) {
   check_config(config);
@@ -190,7 +190,7 @@
   endpoints_.switch_to(config.discovery.address);
 }
 
-// Requests that are open go on where they are.
+// Requests in flight keep their model and replica.
 void Node::reload_models(const config::Config& config, Time now) {
   if (pools_ == nullptr || config.operator_file.catalogue.empty()) return;
   config_.operator_file.catalogue =
@@ -200,7 +200,7 @@
                           << " models";
 }
 
-// What was used of a budget stays used. Whether there are budgets at all only changes at the next start.
+// Usage that was charged stays charged. Whether there are budgets at all only changes at the next start.
 void Node::reload_budgets(const config::Config& config, Time now) {
   config::BudgetsFile& current = config_.operator_file.budgets;
   const config::BudgetsFile& fresh = config.operator_file.budgets;
@@ -210,15 +210,15 @@
   durable_state_.budgets_changed(now);
 }
 
-void Node::wind_down() {
+void Node::shut_down() {
   lifecycle_.terminate(net::now_us());
   if (cluster_) cluster_->leave();
-  phase_changed("shutdown requested");
+  phase_changed(PhaseChange::shutdown);
   drain_watcher_.start();
 }
 
 bool Node::save(Time timeout) {
-  if (cluster_) cluster_->flush_before_exit(timeout / kClusterShareOfSave);
+  if (cluster_) cluster_->flush_before_exit(timeout / kClusterTimeDivisor);
   return durable_state_.save(timeout);
 }
 
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -1,5 +1,6 @@
-// A whole router in one process: the core, its connections to clients, replicas, peers and operators, and
-// what it keeps on disk, built from one configuration. Runs on GLib's default main loop, in one thread.
+// A whole router in one process: the request manager, its connections to clients, replicas, peers and
+// operators, and its durable state, all built from one configuration. It runs on GLib's default main loop, in
+// one thread.
 #pragma once
 
 #include <functional>
@@ -32,27 +33,29 @@
 
 class Node {
  public:
-  // Serves from then on, as long as GLib's main loop runs; takes over what a predecessor passed on, if there
-  // is one. Throws BadConfig or NetError.
+  // Serves from then on, as long as GLib's main loop runs. `handover_state`: what a predecessor has handed
+  // over; empty if there is none. Throws BadConfig or NetError.
   explicit Node(const config::Config& config, net::HandoverState handover_state = {});
 
-  // Takes a new configuration under load: models, budgets, prices and discovery's address hold at once, all
-  // else from the next start on. Throws what check_config throws, and then nothing has changed.
+  // Applies a new configuration under load. Models, budgets, prices and discovery's address change at once;
+  // everything else changes at the next start. Throws what check_config throws, and then nothing has changed.
   void reload(const config::Config& config);
 
-  // A planned stop: requests that still come are served. `when_over` is called once no client is left.
-  void wind_down();
-  // Called on the loop when no client is left after wind_down, or after a successor has taken over.
-  void when_over(std::function<void()> done) { drain_watcher_.on_drained(std::move(done)); }
+  // Begins a graceful shutdown: requests in flight, and those that still come, are served until no client is
+  // left.
+  void shut_down();
+  // Sets the callback for the end of a graceful shutdown, or of a handover to a successor: it is called on
+  // the loop once no client is left.
+  void on_shut_down(std::function<void()> callback) { drain_watcher_.on_drained(std::move(callback)); }
 
-  // Makes all learned state durable, for a planned stop. Blocks for `timeout` microseconds at the most;
-  // false: the time was too short.
+  // Makes all learned state durable, at the end of a graceful shutdown. Blocks for `timeout` (microseconds)
+  // at most; returns false if that was too short.
   [[nodiscard]] bool save(Time timeout);
 
-  // Writes one line of name=value, without its end.
+  // Writes the counters as one line of name=value, without a newline.
   void print_counters(std::ostream& out) const;
-  // Calls `line` with a line about each replica in the affinity table: those that lost trust first, 64 at the
-  // most.
+  // Calls `line` with one line for each replica in the affinity table, 64 lines at most. Replicas that have
+  // lost trust come first.
   void log_replicas(const std::function<void(const std::string&)>& line) const {
     durable_state_.log_replicas(line);
   }
@@ -62,9 +65,9 @@
   const core::RequestManager& core() const { return *core_; }
   // 0: the platform's dialect; 1: the messages dialect, where it is configured.
   const net::DownstreamServer& front(std::size_t index) const { return fronts_.at(index); }
-  // How many replicas are known.
-  std::size_t targets() const { return endpoints_.size(); }
-  // Each is null where the configuration asks for none.
+  // The number of replicas that are known.
+  std::size_t replica_count() const { return endpoints_.size(); }
+  // Each of these is null if the configuration does not enable it.
   const net::AdminEndpoint* admin_endpoint() const { return admin_endpoint_.get(); }
   const persistence::StateStore* state_store() const { return durable_state_.state_store(); }
   const affinity::AffinityTable* affinity_table() const { return durable_state_.affinity_table(); }
@@ -83,11 +86,11 @@
   void open_cluster();
   void reload_models(const config::Config& config, Time now);
   void reload_budgets(const config::Config& config, Time now);
-  void phase_changed(const char* reason);
+  void phase_changed(PhaseChange reason);
 
-  // Built in this order and destroyed in the reverse one: each part refers only to parts above it, apart from
-  // callbacks that the main loop calls once all are built.
-  config::Config config_;  // as read at the start, with what reload has taken over
+  // Members are constructed in this order and destroyed in the reverse one. Each refers only to members above
+  // it, except in callbacks, which the main loop calls once all are constructed.
+  config::Config config_;  // as read at the start, with the changes that reload() has applied
   lifecycle::Lifecycle lifecycle_{net::now_us()};
   metrics::Metrics metrics_;
   fronts::Names names_;
@@ -95,7 +98,7 @@
   net::EndpointTable endpoints_;
   net::PeerSocket peers_;
   net::UpstreamPool upstream_;
-  std::unique_ptr<net::FlowExporter> flow_exporter_;  // null unless flow records are asked for
+  std::unique_ptr<net::FlowExporter> flow_exporter_;  // null unless flow records are configured
   DurableState durable_state_;
   RequestRecorder recorder_;
   models::Pools* pools_ = nullptr;  // owned by the core; null where there is no catalogue
@@ -103,7 +106,8 @@
   DownstreamFronts fronts_;
   AdminCommands admin_commands_;
   std::unique_ptr<net::AdminEndpoint> admin_endpoint_;  // null unless the configuration names an address
-  std::unique_ptr<Cluster> cluster_;  // null without a group, and while another process speaks for the router
+  std::unique_ptr<Cluster>
+      cluster_;  // null without a group, and while another process takes part for the router
   DrainWatcher drain_watcher_;
   HandoverCoordinator handover_;
   std::uint64_t reloads_ = 0;
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -12,9 +12,9 @@
 
 constexpr std::size_t kMaxAccounts = 64;  // in each list of a status
 
-const char* name_of(replication::Stage stage) {
+std::string_view name_of(replication::Stage stage) {
   // In the order of Stage.
-  static constexpr const char* names[] = {"blank", "founding", "entering", "member"};
+  static constexpr std::string_view names[] = {"blank", "founding", "entering", "member"};
   return names[static_cast<int>(stage)];
 }
 
@@ -94,7 +94,7 @@
   return windows;
 }
 
-// What this router itself holds of the limits.
+// The quota that this router has leased of the limits.
 Json holds_json(const ReplicationStatus& status) {
   Json holds = Json::array();
   for (const auto& line : status.replication.quota_client().window_statuses()) {
--- a/src/node/replication_status.hpp
+++ b/src/node/replication_status.hpp
@@ -1,4 +1,4 @@
-// The status of a router's replicated budgets: one JSON object, or the same as text for people.
+// The status of a router's replicated budgets, as one JSON object or as text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 
 namespace thornwick::node {
 
-// What a status is made from; refers to the parts for the length of one call.
+// The sources of a status. Holds references, and is to be used within one call.
 struct ReplicationStatus {
   const config::ReplicationFile& file;
   const membership::Roster& roster;
@@ -21,7 +21,7 @@
   const net::MessageFragmenter& fragmenter;
 };
 
-// At most 64 accounts of the ledgers and 64 of this router's own holds are listed.
+// Lists at most 64 accounts of the ledgers and 64 of this router's leases.
 nlohmann::ordered_json status_json(const ReplicationStatus& status);
 std::string status_text(const ReplicationStatus& status);
 
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -9,9 +9,7 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kMicrosecondsPerMillisecond = 1000;
-
-// How operators count an ending; nothing where no client was left to answer.
+// The state in the metrics; none if the client had gone, which the metrics do not count.
 std::optional<metrics::RequestState> metrics_state(core::Ending ending) {
   switch (ending) {
     case core::Ending::served: return metrics::RequestState::answered;
@@ -21,14 +19,14 @@
   }
 }
 
-// Why the policy chose this replica, as far as it shows from outside.
-const char* choice_reason(const core::RequestSummary& summary) {
+// Why the policy chose this replica, as far as the request shows it.
+std::string_view choice_reason(const core::RequestSummary& summary) {
   const CacheHint& cache_hint = summary.request.cache_hint;
   if (summary.attempts > 1) return "retry";
   return cache_hint.known && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
 }
 
-const char* name_of(core::Ending ending) {
+std::string_view name_of(core::Ending ending) {
   switch (ending) {
     case core::Ending::served: return "served";
     case core::Ending::rejected: return "rejected";
@@ -40,7 +38,7 @@
   return "cancelled by the client";
 }
 
-const char* name_of(RefusalReason reason) {
+std::string_view name_of(RefusalReason reason) {
   switch (reason) {
     case RefusalReason::none: return "not rejected by the policy";
     case RefusalReason::overload: return "load shedding";
@@ -73,13 +71,13 @@
   return endpoint == nullptr ? "removed" : endpoint->uid;
 }
 
-// One line a second for each ending; with debug lines all of them.
+// Logs at most one line a second for each ending; with log level debug, all of them.
 void RequestRecorder::log_without_answer(const core::RequestSummary& summary) {
   using logging::field;
-  const char* const ending = name_of(summary.ending);
+  const std::string_view ending = name_of(summary.ending);
   const bool due = log_limiter_.due(net::now_us(), ending);
   if (!due && !logging::writes_debug()) return;
-  const Time took_ms = (summary.ended - summary.arrived) / kMicrosecondsPerMillisecond;
+  const Time took_ms = (summary.ended - summary.arrived) / milliseconds(1);
   logging::Line(due ? logging::Level::info : logging::Level::debug, "request")
           .with("request_number", summary.request.id)
       << "request " << field("request", summary.external_id) << " ended: " << field("ending", ending) << ", "
--- a/src/node/request_recorder.hpp
+++ b/src/node/request_recorder.hpp
@@ -1,4 +1,4 @@
-// What is recorded of each request that ended: the operators' metrics, a log line and a flow record.
+// Records each completed request: in the metrics, as a log line and as a flow record.
 #pragma once
 
 #include <string>
@@ -13,7 +13,8 @@
 
 class RequestRecorder {
  public:
-  // `flow_exporter` may be null: no flow records are wanted. All have to outlive the recorder.
+  // `flow_exporter` is null if no flow records are configured. None is owned; all have to outlive the
+  // recorder.
   RequestRecorder(metrics::Metrics& metrics, const net::EndpointTable& endpoints,
                   net::FlowExporter* flow_exporter)
       : metrics_(metrics), endpoints_(endpoints), flow_exporter_(flow_exporter) {}
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -17,13 +17,13 @@
 namespace thornwick::tools {
 namespace {
 
-constexpr Time kSaveTimeout = seconds(2);  // a planned stop waits so long for a slow disk
-// Descriptors that net::descriptors() does not count: standard streams, GLib's own, files that are open for a
-// moment.
+constexpr Time kSaveTimeout = seconds(2);  // of a graceful shutdown, for a slow disk
+// Descriptors that net::descriptors() does not count: the standard streams, those of GLib, and files that are
+// open for a short time.
 constexpr std::size_t kUncountedDescriptors = 12;
 
-// Raises the process's soft limit towards `wanted`. Returns what it may hold: `wanted` or the kernel's limit,
-// whichever is lower.
+// Raises the process's soft limit of descriptors to `wanted` if the hard limit allows it. Returns the number
+// of descriptors that the process may hold, at most `wanted`.
 std::size_t raise_descriptor_limit(std::size_t wanted) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
@@ -38,22 +38,22 @@
 void set_connection_limit(const config::Config& config) {
   const std::size_t limit = raise_descriptor_limit(config.limits.sockets);
   const std::size_t for_operators =
-      config.listeners.operators.empty() ? 0 : net::AdminEndpoint::kMostCallers + 1;
+      config.listeners.operators.empty() ? 0 : net::AdminEndpoint::kMaxCallers + 1;
   net::descriptors().limit = limit - std::min(kUncountedDescriptors + for_operators, limit / 4);
 }
 
-// A router that serves, as the signal handlers see it.
+// The router and its options, for the signal handlers.
 struct RunningRouter {
   node::Node& node;
   const ServeOptions& options;
 };
 
-void wind_down(RunningRouter& running) {
+void shut_down(RunningRouter& running) {
   logging::info("main") << "shutting down: " << running.node.core().open() << " requests in flight";
-  running.node.wind_down();
+  running.node.shut_down();
 }
 
-// A configuration with errors changes nothing: the router goes on with what it had.
+// If the new configuration has errors, the router goes on with the one in use.
 void reload(RunningRouter& running) {
   try {
     const ServeOptions& options = running.options;
@@ -82,7 +82,8 @@
 
 void log_start(const config::Config& config, const node::Node& node) {
   logging::info("main") << config.name << " serves on " << node.front(0).address() << ", "
-                        << net::descriptors().limit << " descriptors, " << node.targets() << " targets known";
+                        << net::descriptors().limit << " descriptors, " << node.replica_count()
+                        << " targets known";
 }
 
 }  // namespace
@@ -93,10 +94,10 @@
   auto handover_state = net::inherit(node::handover_path(config));
   node::Node node(config, handover_state ? std::move(*handover_state) : net::HandoverState{});
   const MainLoop loop = make_main_loop();
-  node.when_over([&loop] { g_main_loop_quit(loop.get()); });
+  node.on_shut_down([&loop] { g_main_loop_quit(loop.get()); });
   RunningRouter running{node, options};
-  on_signal<wind_down>(SIGTERM, running);
-  on_signal<wind_down>(SIGINT, running);
+  on_signal<shut_down>(SIGTERM, running);
+  on_signal<shut_down>(SIGINT, running);
   on_signal<reload>(SIGHUP, running);
   on_signal<log_counters>(SIGUSR1, running);
   log_start(config, node);
--- a/src/tools/serve.hpp
+++ b/src/tools/serve.hpp
@@ -11,8 +11,9 @@
 };
 
 // Takes over from the process that serves at the same address, if there is one, and serves on GLib's default
-// main loop. SIGTERM and SIGINT let the router finish what it has, and then this returns; SIGHUP reads the
-// configuration again; SIGUSR1 logs the counters. Throws BadConfig or net::NetError if it cannot start.
+// main loop. SIGTERM and SIGINT begin a graceful shutdown, after which this function returns; SIGHUP reads
+// the configuration again; SIGUSR1 logs the counters. Throws BadConfig or net::NetError if the router cannot
+// start.
 void serve(const ServeOptions& options);
 
 }  // namespace thornwick::tools
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -39,7 +39,9 @@
                             core::Ending::broken, core::Ending::client_gone}) {
     writer.add(ended_as(ending), "");
   }
-  check_written(kFile, "with-template", writer.take(kStart + seconds(3), true));
+  check_written(kFile, "with-template",
+                writer.take(kStart + seconds(3), net::FlowWriter::Template::included));
   writer.add(served(), std::string(300, 'x'));  // a name that is cut
-  check_written(kFile, "without-template", writer.take(kStart + seconds(4), false));
+  check_written(kFile, "without-template",
+                writer.take(kStart + seconds(4), net::FlowWriter::Template::omitted));
 }
--- a/tests/compat/links.cpp
+++ b/tests/compat/links.cpp
@@ -25,7 +25,9 @@
 constexpr std::size_t kLast = 10;  // bytes in a parcel's last piece
 const std::string kWords("words\0\xff", 7);
 
-std::string long_message() { return std::string(MessageFragmenter::kPiece, 'x') + std::string(kLast, 'y'); }
+std::string long_message() {
+  return std::string(MessageFragmenter::kFragmentBytes, 'x') + std::string(kLast, 'y');
+}
 
 // Member 0 with its links, and a bare socket that speaks for member 1.
 class Conversation {
@@ -36,7 +38,7 @@
     options.group = kGroup;
     options.self = kSelf;
     options.addresses = {"127.0.0.1:1", "127.0.0.1:1"};
-    options.beat = beat;
+    options.heartbeat = beat;
     links_ = std::make_unique<Links>(
         options,
         Links::Callbacks{.received = [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
@@ -132,7 +134,7 @@
   std::vector<std::string> whole;
   for (const auto& frame : conversation.received) {
     CHECK(frame.channel == kParcelChannel);
-    parcels.frame(frame.from, frame.bytes, [&](std::string_view bytes) { whole.emplace_back(bytes); });
+    parcels.on_frame(frame.from, frame.bytes, [&](std::string_view bytes) { whole.emplace_back(bytes); });
   }
   REQUIRE(whole.size() == 2);
   CHECK((whole[0] == long_message()));
@@ -144,7 +146,7 @@
   Conversation conversation;
   conversation.greet();
   MessageFragmenter parcels(kParcelChannel);
-  parcels.serve(conversation.links());
+  parcels.attach(conversation.links());
   REQUIRE(parcels.send(kOther, long_message()));
   conversation.check_said("parcel-in-two-frames");
   REQUIRE(parcels.send(kOther, kWords));
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -20,20 +20,21 @@
     options.group = group;
     options.self = number;
     options.addresses = {"127.0.0.1:1", "127.0.0.1:1"};
-    options.beat = milliseconds(200);
-    options.most_waiting = 200'000;
+    options.heartbeat = milliseconds(200);
+    options.max_queued_bytes = 200'000;
     options.seed = number + 1;
   }
   void open() {
     links = std::make_unique<Links>(
-        options, Links::Callbacks{.received =
-                                      [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
-                                        received.push_back(std::to_string(from) + "/" +
-                                                           std::to_string(channel) + "/" +
-                                                           std::string(bytes.substr(0, 20)));
-                                      },
-                                  .changed = [this](std::size_t, bool up) { connections += up ? 1 : 0; },
-                                  .room = [this](std::size_t) { ++room_callbacks; }});
+        options, Links::Callbacks{
+                     .received =
+                         [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
+                           received.push_back(std::to_string(from) + "/" + std::to_string(channel) + "/" +
+                                              std::string(bytes.substr(0, 20)));
+                         },
+                     .changed = [this](std::size_t,
+                                       LinkState state) { connections += state == LinkState::up ? 1 : 0; },
+                     .writable = [this](std::size_t) { ++room_callbacks; }});
   }
   Links::Options options;
   std::unique_ptr<Links> links;
@@ -73,8 +74,8 @@
   LinkEnd first(0);
   LinkEnd second(1);
   join(first, second);
-  first.links->want(1, true);
-  second.links->want(0, true);
+  first.links->keep_link(1);
+  second.links->keep_link(0);
   REQUIRE(loop_until([&] { return first.links->up(1) && second.links->up(0); }));
   CHECK(first.links->send(1, 5, "first"));
   CHECK(first.links->send(1, 6, "second"));
@@ -82,7 +83,7 @@
   REQUIRE(loop_until([&] { return second.received.size() == 2 && first.received.size() == 1; }));
   CHECK(second.received == std::vector<std::string>{"0/5/first", "0/6/second"});
   CHECK(first.received.front() == "1/5/back");
-  CHECK(!first.links->send(1, 5, std::string(Links::kMostFrame, 'x')));
+  CHECK(!first.links->send(1, 5, std::string(kMaxFrameBytes, 'x')));
   CHECK(!first.links->send(1, 0, "the links' own channel"));
   // The receiver does not read meanwhile, so that frames beyond the kernel's buffers are queued, up to the
   // limit.
@@ -90,7 +91,7 @@
   int accepted = 0;
   while (accepted < 10'000 && first.links->send(1, 7, large_frame)) ++accepted;
   CHECK(accepted < 10'000);
-  CHECK(first.links->waiting(1) <= first.options.most_waiting);
+  CHECK(first.links->queued_bytes(1) <= first.options.max_queued_bytes);
   const std::size_t received_before = second.received.size();
   REQUIRE(loop_until([&] {
     return first.room_callbacks == 1 &&
@@ -104,14 +105,14 @@
     LinkEnd first(0);
     LinkEnd second(1, 8);
     join(first, second);
-    second.links->want(0, true);
+    second.links->keep_link(0);
     REQUIRE(loop_until([&] { return first.links->counters().rejected > 0; }));
     CHECK((!first.links->up(1) && first.received.empty()));
   }
   LinkEnd first(0);
   LinkEnd second(1);
   join(first, second);
-  second.links->want(0, true);
+  second.links->keep_link(0);
   REQUIRE(loop_until([&] { return second.links->up(0); }));
   const std::string address = first.links->address();
   first.links.reset();
--- a/tests/net/flows.cpp
+++ b/tests/net/flows.cpp
@@ -125,9 +125,10 @@
   net::FlowWriter writer(7);
   writer.add({}, "s-01");
   writer.add({}, std::string(300, 'x'));
-  CHECK(collector.parse(writer.take(1'000'000, true)).at(1).at(1009).size() == 200);
+  CHECK(collector.parse(writer.take(1'000'000, net::FlowWriter::Template::included)).at(1).at(1009).size() ==
+        200);
   CHECK(collector.sequence == 0);
   writer.add({}, "");
-  CHECK(collector.parse(writer.take(2'000'000, false)).size() == 1);
+  CHECK(collector.parse(writer.take(2'000'000, net::FlowWriter::Template::omitted)).size() == 1);
   CHECK(collector.sequence == 2);
 }
--- a/tests/net/play.cpp
+++ b/tests/net/play.cpp
@@ -333,7 +333,7 @@
   } else if (verb == "expect") {
     expect(actor, read_text(rest));
   } else if (verb == "close" && actor == "router") {
-    node_->wind_down();
+    node_->shut_down();
   } else if (verb == "turn") {
     config_.discovery.address = new_list_->address();
     node_->reload(config_);
--- a/tests/net/play.hpp
+++ b/tests/net/play.hpp
@@ -57,7 +57,7 @@
   // A new operator's file, as by SIGHUP.
   void reload(const std::string& operator_text);
   std::string replica(int index) const { return replicas_.at(static_cast<std::size_t>(index))->address(); }
-  std::size_t targets() const { return node_->targets(); }
+  std::size_t targets() const { return node_->replica_count(); }
 
  private:
   struct Line;
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -47,7 +47,7 @@
     patience.start(60'000'000, [&] { late = true; });
     installation->begin();
     // The router asks discovery first.
-    while (!late && node->targets() == 0) g_main_context_iteration(nullptr, TRUE);
+    while (!late && node->replica_count() == 0) g_main_context_iteration(nullptr, TRUE);
     load->start([&] { done = true; });
     while (!done && !late) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(done);
