--- a/src/node/handover_coordinator.hpp
+++ b/src/node/handover_coordinator.hpp
@@ -1,6 +1,6 @@
 // Replaces the process under load: lends sockets and state to a successor, takes over those of a predecessor,
 // and reacts when either of them serves or ends (docs/lifecycle.md). net::HandoverServer and
-// net::HandoverClient exchange the messages.
+// net::HandoverClient pass the messages.
 #pragma once
 
 #include <functional>
--- a/src/policy/peer_observations.hpp
+++ b/src/policy/peer_observations.hpp
@@ -15,7 +15,7 @@
 
 // Whether the group has so many routers that each sees too few answers of a replica to judge it alone.
 bool is_large_group(const Settings& settings);
-// Whether the routers of this group exchange observations: it is large, and they may send messages to each
+// Whether the routers of this group share observations: it is large, and they may send messages to each
 // other.
 bool shares_observations(const Settings& settings);
 // The number of observations that a report stands for, 1 or more. A router reports one in this number of its
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -83,7 +83,7 @@
   if (gathering_->changes.empty()) return;
   Batch* none = nullptr;
   if (!waiting_batch_.compare_exchange_strong(none, gathering_.get())) return;  // the thread is behind
-  // The thread owns the batch from the exchange on.
+  // The thread owns the batch from the swap on.
   static_cast<void>(gathering_.release());
   gathering_ = std::make_unique<Batch>();
   index_of_record_.clear();
