--- a/tests/models/catalogue.cpp
+++ b/tests/models/catalogue.cpp
@@ -85,7 +85,9 @@
   CHECK(renumbered(all, old).find("b") == 2);
 }
 
-TEST_CASE("no replica has more adapters than it may, each has its least number of replicas, and all routers agree") {
+TEST_CASE(
+    "no replica has more adapters than it may, each has its least number of replicas, and all routers "
+    "agree") {
   REQUIRE(rc::check("placement", [] {
     const auto replicas = *rc::gen::inRange<ReplicaId>(1, 40);
     const auto adapters = *rc::gen::inRange<Number>(1, 12);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -416,7 +416,8 @@
   for (const auto& [attempt, times] : world.charges) CHECK(times == 1);
 }
 
-TEST_CASE("after 100,000 mixed requests with faults, charges equal the replicas' own counts token for token") {
+TEST_CASE(
+    "after 100,000 mixed requests with faults, charges equal the replicas' own counts token for token") {
   budgets::Budget everyone = daily("all", 1'000'000'000);
   everyone.member = budgets::kAll;
   World world(settings(), two_models(), budgets_of({daily("day", 1'000'000'000), everyone}), nullptr, 7);
