--- a/tests/faults/clock_steps.cpp
+++ b/tests/faults/clock_steps.cpp
@@ -9,29 +9,31 @@
 
 namespace {
 
-constexpr Time kSecond = seconds(1);
-constexpr std::int64_t kHour = 3'600 * std::int64_t{kSecond};
+constexpr std::int64_t kHour = seconds(3'600);
+// The router takes this off a request's time, for the way that it had before it was read
+// (fronts/dialect.cpp).
+constexpr Time kTransitAllowance = milliseconds(1);
 
 }  // namespace
 
 TEST_CASE("a step of the system's clock ends no request early and leaves none without its answer") {
-  const std::int64_t step = GENERATE(kHour, -kHour, std::int64_t{seconds(5)}, std::int64_t{-seconds(5)});
+  const auto step = GENERATE(values<std::int64_t>({kHour, -kHour, seconds(5), -seconds(5)}));
   CAPTURE(step);
   FaultySite site(1, "", FaultySite::Replicas::silent);
   const Time begun = net::now_us();
   site.begin(5);
-  testing::run_until([] { return false; }, kSecond / 2);
+  testing::run_until([] { return false; }, milliseconds(500));
   site.faults.step_wall_clock(step);
   testing::run_until([&] { return site.answered() > 0; }, testing::kMostWait);
   // A request ends at its time, not before; the replicas never answer.
-  CHECK(net::now_us() - begun >= testing::kRequestTime);
+  CHECK(net::now_us() - begun >= testing::kRequestTime - kTransitAllowance);
   testing::run_until([&] { return site.answered() == 5; }, testing::kMostWait);
   CHECK(site.answered() == 5);
   CHECK(site.served() == 0);
 }
 
 TEST_CASE("a router whose system clock has been stepped serves as before") {
-  const std::int64_t step = GENERATE(kHour, -kHour);
+  const auto step = GENERATE(values<std::int64_t>({kHour, -kHour}));
   CAPTURE(step);
   FaultySite site(1);
   site.load(10, 2);
