--- a/tests/recordings/decisions.cpp
+++ b/tests/recordings/decisions.cpp
@@ -137,7 +137,7 @@
            .ejected = 127});
 }
 
-TEST_CASE("decisions of a large group's router whose peers tell each other of replicas") {
+TEST_CASE("decisions of a large group's router whose peers gossip about replicas") {
   const PlayOptions options{.seed = 202, .replicas = 60, .zones = 4, .cells = 3, .kinds = 3};
   compare(RouterPlayer(large_group(), options).play(),
           {.digests = {0x21e8a0f0fc8bf044, 0x7db331e5257d3a6a, 0x6ea7e73ed49f659c, 0xf72795b351388082,
