--- a/include/thornwick/events.hpp
+++ b/include/thornwick/events.hpp
@@ -10,7 +10,7 @@
 
 // ---------------------------------------------------------------- endpoints
 
-enum class EndpointState { ready, draining, gone };
+enum class EndpointState { ready, draining, removed };
 
 // A replica as the endpoint list names it.
 struct Endpoint {
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -77,7 +77,7 @@
 
 void AffinityTable::on_endpoint(const Endpoint& entry) {
   const auto known_slot = replicas_.slot_of(entry.id);
-  if (entry.state == EndpointState::gone) {
+  if (entry.state == EndpointState::removed) {
     if (known_slot) remove_replica(*known_slot);
     return;
   }
--- a/src/emulator/discovery.cpp
+++ b/src/emulator/discovery.cpp
@@ -20,7 +20,7 @@
 
 void DiscoveryService::apply(std::uint64_t index) {
   const Endpoint& endpoint = changes_[index].endpoint;
-  if (endpoint.state == EndpointState::gone) {
+  if (endpoint.state == EndpointState::removed) {
     registered_.erase(endpoint.id);
   } else {
     registered_[endpoint.id] = endpoint;
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -115,7 +115,7 @@
   if (next >= scenario_.replicas) return;
   replicas_[next].draining = true;
   announce(next, EndpointState::draining, discovery_.notice_s());
-  announce(next, EndpointState::gone, discovery_.notice_s() + scenario_.drain_s);
+  announce(next, EndpointState::removed, discovery_.notice_s() + scenario_.drain_s);
   add_replica();
   ++next;
   const double interval_s = fault_random_.between(drawn.every_s.low, drawn.every_s.high);
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -78,7 +78,7 @@
   }
   replica.connections = 0;
   for (auto& router : routers_) router->idle_connections[index].clear();
-  announce(index, EndpointState::gone, unreachable ? discovery_.silent_notice_s() : discovery_.notice_s());
+  announce(index, EndpointState::removed, unreachable ? discovery_.silent_notice_s() : discovery_.notice_s());
 }
 
 void DaySimulation::restore_replica(std::uint32_t index) {
--- a/src/models/pool.cpp
+++ b/src/models/pool.cpp
@@ -32,7 +32,7 @@
     change.left.push_back(id);
     if (all) continue;
     change.updates.push_back(member);
-    change.updates.back().state = EndpointState::gone;
+    change.updates.back().state = EndpointState::removed;
   }
   members_ = std::move(fresh);
   slow_start_.set_replicas(ready);
--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -124,7 +124,7 @@
   }
   if (scope != EndpointUpdate::delta) replicas_.clear();
   for (const auto& entry : entries) {
-    if (entry.state == EndpointState::gone) {
+    if (entry.state == EndpointState::removed) {
       replicas_.erase(entry.id);
     } else {
       replicas_[entry.id] = entry;
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -27,7 +27,7 @@
 EndpointState read_state(const std::string& text) {
   if (text == "SERVING") return EndpointState::ready;
   if (text == "DRAINING") return EndpointState::draining;
-  return EndpointState::gone;
+  return EndpointState::removed;
 }
 
 }  // namespace
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -15,7 +15,7 @@
   switch (state) {
     case EndpointState::ready: return "ready";
     case EndpointState::draining: return "draining";
-    case EndpointState::gone: break;
+    case EndpointState::removed: break;
   }
   return "gone";
 }
@@ -54,7 +54,9 @@
 }
 
 std::size_t EndpointTable::listed() const {
-  const auto is_listed = [](const auto& known) { return known.second.listing.state != EndpointState::gone; };
+  const auto is_listed = [](const auto& known) {
+    return known.second.listing.state != EndpointState::removed;
+  };
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), is_listed));
 }
 
@@ -68,7 +70,7 @@
   std::string entries;
   bool any_reported = false;
   for (const auto& [id, entry] : endpoints_) {
-    if (entry.listing.state == EndpointState::gone) continue;
+    if (entry.listing.state == EndpointState::removed) continue;
     ListedEndpoint listed = entry;
     if (listed.listing.state == EndpointState::ready && is_reported(id)) {
       listed.listing.state = EndpointState::draining;
@@ -83,7 +85,7 @@
 void EndpointTable::apply_list(simdjson::dom::element list, Source source) {
   const bool whole = is_whole_list(list);
   if (whole) {
-    for (auto& [id, entry] : endpoints_) entry.listing.state = EndpointState::gone;
+    for (auto& [id, entry] : endpoints_) entry.listing.state = EndpointState::removed;
   }
   const std::vector<Endpoint> entries = apply_entries(list, source);
   log_state_changes(source);
@@ -143,7 +145,7 @@
 ReplicaId EndpointTable::assign_id(const std::string& uid) const {
   ReplicaId id = preferred_id(uid);
   for (const EndpointEntry* other = find(id);
-       other != nullptr && other->uid != uid && other->listing.state != EndpointState::gone;
+       other != nullptr && other->uid != uid && other->listing.state != EndpointState::removed;
        other = find(id)) {
     logging::warning("endpoints") << logging::field("replica", uid) << " has the same id as " << other->uid;
     ++id;
@@ -177,7 +179,7 @@
 // Bounds the memory where replicas are replaced all day.
 void EndpointTable::forget_gone() {
   for (auto& [id, entry] : endpoints_) {
-    const bool gone = entry.listing.state == EndpointState::gone;
+    const bool gone = entry.listing.state == EndpointState::removed;
     if (gone && !entry.remembered) gone_.push_back(id);
     entry.remembered = gone;
   }
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -54,7 +54,7 @@
     learned.prefixes.push_back({.prefix = prefix, .work = work});
   }
   for (const auto& [id, replica] : state.replicas) {
-    if (replica.listing.state == EndpointState::gone) continue;
+    if (replica.listing.state == EndpointState::removed) continue;
     learned.replicas.push_back({.id = id,
                                 .started = replica.listing.started,
                                 .failure_points = replica.failure_points,
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -51,7 +51,8 @@
   }
   std::erase_if(replicas, [&](const auto& entry) {
     const auto& [id, replica] = entry;
-    return replica.listing.state == EndpointState::gone && replica.in_flight == 0 && !attempted.contains(id);
+    return replica.listing.state == EndpointState::removed && replica.in_flight == 0 &&
+           !attempted.contains(id);
   });
   home_cut = {};
   remote_cut = {};
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -144,7 +144,7 @@
 
   // Before a full list: what it omits is gone.
   void mark_all_gone() {
-    for (auto& [id, replica] : replicas) replica.listing.state = EndpointState::gone;
+    for (auto& [id, replica] : replicas) replica.listing.state = EndpointState::removed;
   }
 
   // Drops the replicas that are gone and that no request refers to, and invalidates the cuts. This bounds the
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -65,7 +65,7 @@
 
 EndpointState decode_endpoint_state(ByteReader& reader) {
   switch (reader.number<std::uint8_t>(Field::status)) {
-    case 0: return EndpointState::gone;
+    case 0: return EndpointState::removed;
     case 2: return EndpointState::ready;
     case 3: return EndpointState::draining;
     default: reader.reject("unknown status of an engine");
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -129,14 +129,14 @@
   TableFixture fixture;
   fixture.answer(make_request(7, 1000), 2, 0);
   SECTION("it restarted under its id") { fixture.update_replica(2, EndpointState::ready, fixture.now); }
-  SECTION("it was removed") { fixture.update_replica(2, EndpointState::gone); }
+  SECTION("it was removed") { fixture.update_replica(2, EndpointState::removed); }
   SECTION("it was removed and listed again") {
-    fixture.update_replica(2, EndpointState::gone);
+    fixture.update_replica(2, EndpointState::removed);
     fixture.update_replica(2, EndpointState::ready);
   }
   SECTION("a full endpoint list omits it") { fixture.list_replicas(1); }
   SECTION("another replica gets its slot") {
-    fixture.update_replica(2, EndpointState::gone);
+    fixture.update_replica(2, EndpointState::removed);
     fixture.update_replica(9, EndpointState::ready);
   }
   CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1500)).known);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -114,7 +114,7 @@
   world.add_replica("b-1", "L"), world.add_replica("b-2", "S"), world.add_replica("b-3", "S");
   world.start();
   for (int i = 0; i < 50; ++i) world.ask(request(2)), world.run(20'000);
-  world.replicas[0].listing.state = EndpointState::gone;
+  world.replicas[0].listing.state = EndpointState::removed;
   world.list();
   const auto there = world.ask(request(1));
   Request forbidden = request(1);
@@ -203,7 +203,7 @@
     const Time restart = world.clock();
     for (int i = 4; i < 8; ++i) world.replicas[static_cast<std::size_t>(i)].listing.started = restart;
     for (int i = 0; i < 4; ++i)
-      world.replicas[static_cast<std::size_t>(i)].listing.state = EndpointState::gone;
+      world.replicas[static_cast<std::size_t>(i)].listing.state = EndpointState::removed;
     world.list();
     for (int i = 0; i < 2000; ++i)
       world.ask(request(1)), world.ask(request(i % 5 == 0 ? 2 : 1)), world.run(5000);
@@ -352,7 +352,7 @@
     if (i == 200) world.replicas[0].listing.state = EndpointState::draining, world.list();
     if (i == 300) {
       for (int b = 0; b < 4; ++b)
-        world.replicas[static_cast<std::size_t>(b)].listing.state = EndpointState::gone;
+        world.replicas[static_cast<std::size_t>(b)].listing.state = EndpointState::removed;
       world.list();
     }
     if (i == 400) {
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -162,7 +162,7 @@
 TEST(RuleDrains, NoRequestIsSentToADrainingGoneOrUnlistedReplica) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(4);
-  fixture.list({{.id = 10, .state = EndpointState::draining}, {.id = 20, .state = EndpointState::gone}},
+  fixture.list({{.id = 10, .state = EndpointState::draining}, {.id = 20, .state = EndpointState::removed}},
                EndpointUpdate::delta);
   for (int i = 0; i < 20; ++i) EXPECT_GE(sent_replica(fixture.arrive_with_size(50 + 10 * i)), 30u);
   fixture.list({{.id = 40}});
--- a/tests/policy/zones_test.cpp
+++ b/tests/policy/zones_test.cpp
@@ -36,7 +36,7 @@
   settings.zone_count = 2;
   PolicyFixture fixture(settings);
   fixture.list({{.id = 1, .zone = 0}, {.id = 2, .zone = 1}});
-  fixture.list({{.id = 1, .state = EndpointState::gone}}, EndpointUpdate::delta);
+  fixture.list({{.id = 1, .state = EndpointState::removed}}, EndpointUpdate::delta);
   for (int i = 0; i < 10; ++i) EXPECT_EQ(sent_replica(fixture.arrive_with_size(100)), 2u);
 }
 
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -298,7 +298,7 @@
   if (listing.state == EndpointState::ready && random_.percent(60)) {
     listing.state = EndpointState::draining;
   } else if (listing.state == EndpointState::draining) {
-    listing.state = EndpointState::gone;
+    listing.state = EndpointState::removed;
   } else {
     listing.state = EndpointState::ready;
     listing.started = now_;
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -85,7 +85,7 @@
 
 void tell_every_event(core::Decider& decider) {
   std::vector<Endpoint> entries;
-  for (const auto state : {EndpointState::ready, EndpointState::draining, EndpointState::gone}) {
+  for (const auto state : {EndpointState::ready, EndpointState::draining, EndpointState::removed}) {
     entries.push_back(
         {.id = 2, .state = state, .started = 9, .zone = 1, .cell = 4, .kind = 3, .weight = 0.5F});
   }
