--- a/include/thornwick/events.hpp
+++ b/include/thornwick/events.hpp
@@ -16,7 +16,7 @@
 struct Endpoint {
   ReplicaId id = 0;
   EndpointState state = EndpointState::ready;
-  Time started = 0;  // 0: long ago
+  Time started_at = 0;  // 0: long ago
   std::uint16_t zone = 0;
   std::uint16_t cell = 0;  // a part of a zone
   std::uint16_t kind = 0;  // replicas of one kind are alike in hardware and speed
--- a/include/thornwick/learned_state.hpp
+++ b/include/thornwick/learned_state.hpp
@@ -29,7 +29,7 @@
 
   struct Replica {
     ReplicaId id = 0;
-    Time started = 0;        // start time of the process that this was learned of; 0: long ago
+    Time started_at = 0;     // start time of the process that this was learned of; 0: long ago
     int failure_points = 0;  // of failures in a row; 0: none
     Time ejected_until = 0;  // 0: it was never ejected
     double pace = 1;         // 0..1; factor on its listed weight
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -86,10 +86,10 @@
   Replica& replica = replicas_.at(*slot);
   replica.listed = true;
   replica.state = entry.state;
-  const bool started_later = entry.started > replica.started;
+  const bool started_later = entry.started_at > replica.started;
   // A restarted replica has an empty cache.
   if (known_slot && started_later) replicas_.invalidate_copies(*slot);
-  replica.started = std::max(replica.started, entry.started);
+  replica.started = std::max(replica.started, entry.started_at);
   if (!known_slot || started_later) journal_.save_replica(*slot);
 }
 
--- a/src/core/drain_message.cpp
+++ b/src/core/drain_message.cpp
@@ -29,7 +29,7 @@
 }  // namespace
 
 std::uint32_t start_stamp(const Endpoint& replica) {
-  return static_cast<std::uint32_t>(replica.started / milliseconds(1));
+  return static_cast<std::uint32_t>(replica.started_at / milliseconds(1));
 }
 
 bool is_drain_message(std::span<const std::uint8_t> bytes) { return !bytes.empty() && bytes[0] == kMark; }
--- a/src/core/slow_start_budget.cpp
+++ b/src/core/slow_start_budget.cpp
@@ -24,7 +24,7 @@
 // ---------------------------------------------------------------- limits
 
 double SlowStartBudget::allowed_sends(const Endpoint& replica, Time age) const {
-  if (total_quota_ <= 0 || replica.started == 0 || age >= settings_.warm_up)
+  if (total_quota_ <= 0 || replica.started_at == 0 || age >= settings_.warm_up)
     return std::numeric_limits<double>::infinity();
   const double share = effective_weight(replica) / std::max(kMinWeight, total_weight_);
   const double warmth = static_cast<double>(std::max<Time>(0, age)) / static_cast<double>(settings_.warm_up);
@@ -49,15 +49,15 @@
 }
 
 long SlowStartBudget::window_at(const Endpoint& replica, Time when) const {
-  return static_cast<long>(std::max<Time>(0, when - replica.started) /
+  return static_cast<long>(std::max<Time>(0, when - replica.started_at) /
                            std::max<Time>(1, settings_.overload_after));
 }
 
 SlowStartBudget::SlowStart& SlowStartBudget::slow_start_of(const Endpoint& replica) {
   SlowStart& slow_start = slow_starts_[replica.id];
-  if (slow_start.started != replica.started) {
+  if (slow_start.started != replica.started_at) {
     slow_start = {};
-    slow_start.started = replica.started;
+    slow_start.started = replica.started_at;
   }
   return slow_start;
 }
@@ -67,15 +67,15 @@
   const auto found = ready_.find(id);
   if (found == ready_.end()) return true;  // no listing, so no limit is known
   const Endpoint& replica = found->second;
-  if (!std::isfinite(allowed_sends(replica, now - replica.started))) return true;
+  if (!std::isfinite(allowed_sends(replica, now - replica.started_at))) return true;
   // The limit at the beginning of the window that ends now: the limit grows during the window.
-  const double sends = allowed_sends(replica, now - replica.started - settings_.overload_after);
+  const double sends = allowed_sends(replica, now - replica.started_at - settings_.overload_after);
   SlowStart& slow_start = slow_start_of(replica);
   if (settings_.group_size > kMaxWindowsPerTurn * std::max(1.0, sends))
     return try_send_within_share(now, slow_start, 1);
   const long window = window_at(replica, now);
   // A router that was killed in this window may have used its share before, and forgot it.
-  if (router_started_ >= replica.started && window == window_at(replica, router_started_)) return false;
+  if (router_started_ >= replica.started_at && window == window_at(replica, router_started_)) return false;
   if (try_send_within_share(now, slow_start, static_cast<std::uint64_t>(sends / settings_.group_size)))
     return true;
   if (!try_send_in_turn(replica, window, slow_start)) return false;
@@ -98,7 +98,7 @@
   }
   const std::uint64_t group_size = settings_.group_size;
   // Shifts the numbers, so that the turns for each start of a replica begin at another router.
-  const std::uint64_t shift = mix(replica.id ^ static_cast<std::uint64_t>(replica.started)) % group_size;
+  const std::uint64_t shift = mix(replica.id ^ static_cast<std::uint64_t>(replica.started_at)) % group_size;
   // How many of the numbers below `number` belong to this router.
   const auto own_numbers_below = [&](std::uint64_t number) {
     const std::uint64_t shifted = number + shift;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -195,7 +195,7 @@
   const Range& speed = scenario_.kinds[replica.kind].speed;
   return {.id = replica.id,
           .state = state,
-          .started = replica.started,
+          .started_at = replica.started,
           .zone = replica.zone,
           .cell = 0,
           .kind = replica.kind,
--- a/src/models/pool.cpp
+++ b/src/models/pool.cpp
@@ -9,7 +9,7 @@
 bool is_ready(const Endpoint& endpoint) { return endpoint.state == EndpointState::ready; }
 
 bool same_listing(const Endpoint& left, const Endpoint& right) {
-  return left.state == right.state && left.started == right.started && left.zone == right.zone &&
+  return left.state == right.state && left.started_at == right.started_at && left.zone == right.zone &&
          left.cell == right.cell && left.kind == right.kind && left.weight == right.weight;
 }
 
--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -92,7 +92,7 @@
     const auto loaded = std::find_if(loaded_replicas.begin(), loaded_replicas.end(),
                                      [&](const auto& entry) { return entry.replica == listing.id; });
     if (loaded == loaded_replicas.end()) return true;
-    if (model.loading > 0) listing.started = std::max(listing.started, loaded->since);
+    if (model.loading > 0) listing.started_at = std::max(listing.started_at, loaded->since);
     return false;
   });
   return members;
--- a/src/models/slow_start_controller.cpp
+++ b/src/models/slow_start_controller.cpp
@@ -22,7 +22,7 @@
   for (const auto& replica : replicas_) {
     const double weight = std::max(kMinReplicaWeight, static_cast<double>(replica.weight));
     all += weight;
-    if (replica.started == 0 || now - replica.started >= warm_up_) warm += weight;
+    if (replica.started_at == 0 || now - replica.started_at >= warm_up_) warm += weight;
   }
   return all > 0 ? warm / all : 0;
 }
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -49,7 +49,7 @@
   }
   std::uint64_t boot_ms = 0;
   if (entry.at_key("boot_ms").get(boot_ms) == simdjson::SUCCESS) {
-    listing.started = milliseconds(static_cast<Time>(boot_ms));
+    listing.started_at = milliseconds(static_cast<Time>(boot_ms));
   }
   double weight = 1;
   if (entry.at_key("capacity_hint").get(weight) == simdjson::SUCCESS) {
@@ -79,7 +79,7 @@
   text += R"(,"state":")";
   text += listing.state == EndpointState::ready ? "SERVING" : "DRAINING";
   text += R"(","capacity_hint":)" + std::to_string(listing.weight);
-  text += R"(,"boot_ms":)" + std::to_string(listing.started / milliseconds(1)) + "}";
+  text += R"(,"boot_ms":)" + std::to_string(listing.started_at / milliseconds(1)) + "}";
   return text;
 }
 
--- a/src/persistence/handover_state.cpp
+++ b/src/persistence/handover_state.cpp
@@ -88,7 +88,7 @@
   }
   for (const LearnedState::Replica& replica : learned_state.replicas) {
     record.learned_replicas.push_back({.id = replica.id,
-                                       .started = replica.started,
+                                       .started = replica.started_at,
                                        .failure_points = replica.failure_points,
                                        .ejected_until = replica.ejected_until,
                                        .pace = replica.pace});
@@ -111,7 +111,7 @@
   }
   for (const ReplicaRecord& replica : record.learned_replicas) {
     learned_state.replicas.push_back({.id = replica.id,
-                                      .started = replica.started,
+                                      .started_at = replica.started,
                                       .failure_points = replica.failure_points,
                                       .ejected_until = replica.ejected_until,
                                       .pace = replica.pace});
--- a/src/policy/discovery.cpp
+++ b/src/policy/discovery.cpp
@@ -31,7 +31,7 @@
 
 void Discovery::apply(const Endpoint& entry) {
   Replica& replica = state_.replicas[entry.id];
-  const bool restarted = entry.started > replica.listing.started;
+  const bool restarted = entry.started_at > replica.listing.started_at;
   replica.listing = entry;
   if (restarted) replica.reset_record();
 }
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -32,7 +32,7 @@
 void import_replicas(PolicyState& state, const LearnedState& learned, double min_pace) {
   for (const LearnedState::Replica& record : learned.replicas) {
     const auto found = state.replicas.find(record.id);
-    if (found == state.replicas.end() || found->second.listing.started != record.started) continue;
+    if (found == state.replicas.end() || found->second.listing.started_at != record.started_at) continue;
     Replica& replica = found->second;
     replica.failure_points = std::clamp(record.failure_points, 0, kMaxFailurePoints);
     replica.ejected_until = record.ejected_until;
@@ -56,7 +56,7 @@
   for (const auto& [id, replica] : state.replicas) {
     if (replica.listing.state == EndpointState::removed) continue;
     learned.replicas.push_back({.id = id,
-                                .started = replica.listing.started,
+                                .started_at = replica.listing.started_at,
                                 .failure_points = replica.failure_points,
                                 .ejected_until = replica.ejected_until,
                                 .pace = replica.pace});
--- a/src/policy/replica_health.cpp
+++ b/src/policy/replica_health.cpp
@@ -72,8 +72,8 @@
 
 double ReplicaHealth::warmth(Time now, const Replica& replica) const {
   const Time warm_up = state_.settings.warm_up;
-  if (replica.listing.started == 0 || warm_up <= 0) return 1;
-  const double age = static_cast<double>(now - replica.listing.started) / static_cast<double>(warm_up);
+  if (replica.listing.started_at == 0 || warm_up <= 0) return 1;
+  const double age = static_cast<double>(now - replica.listing.started_at) / static_cast<double>(warm_up);
   return std::clamp(age, 0.0, 1.0);
 }
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -84,7 +84,7 @@
 
 Endpoint decode_endpoint(ByteReader& reader) {
   Endpoint entry;
-  entry.started = reader.time(Field::start_time);
+  entry.started_at = reader.time(Field::start_time);
   entry.state = decode_endpoint_state(reader);
   entry.cell = reader.number<std::uint16_t>(Field::cell);
   entry.id = reader.number<std::uint32_t>(Field::replica);
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -25,7 +25,7 @@
     write_line("endpoints", " scope=", kScopeNames[static_cast<int>(scope)], " entries=", entries.size());
     for (const Endpoint& entry : entries) {
       write_line("endpoint", " replica=", name_of_(entry.id),
-                 " state=", kStateNames[static_cast<int>(entry.state)], " started=", entry.started,
+                 " state=", kStateNames[static_cast<int>(entry.state)], " started=", entry.started_at,
                  " zone=", entry.zone, " kind=", entry.kind, " weight=", entry.weight);
     }
     DeciderDecorator::on_endpoints(now, scope, entries);
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -44,7 +44,7 @@
     affinity_table.on_endpoints(EndpointUpdate::full, entries);
   }
   void update_replica(ReplicaId id, EndpointState state, Time started = 0) {
-    const Endpoint entry{.id = id, .state = state, .started = started};
+    const Endpoint entry{.id = id, .state = state, .started_at = started};
     affinity_table.on_endpoints(EndpointUpdate::delta, std::span(&entry, 1));
   }
   // A complete answer of this replica, which finds so many tokens in its cache.
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -71,7 +71,7 @@
   CHECK(router.loaded.unreadable + router.loaded.over_capacity == 0);
   // Meanwhile replica 2 has restarted, replica 3 was replaced by replica 9, and replica 4 drains.
   router.list({{.id = 1},
-               {.id = 2, .started = start + seconds(30)},
+               {.id = 2, .started_at = start + seconds(30)},
                {.id = 9},
                {.id = 4, .state = EndpointState::draining}});
   int known = 0;
--- a/tests/core/drain_tracker.cpp
+++ b/tests/core/drain_tracker.cpp
@@ -35,7 +35,8 @@
 
 std::vector<Endpoint> replicas(int count) {
   std::vector<Endpoint> all;
-  for (int i = 1; i <= count; ++i) all.push_back({.id = static_cast<ReplicaId>(i), .started = i * kSecond});
+  for (int i = 1; i <= count; ++i)
+    all.push_back({.id = static_cast<ReplicaId>(i), .started_at = i * kSecond});
   return all;
 }
 
@@ -114,7 +115,7 @@
 };
 
 Endpoint drained(ReplicaId id) {
-  return {.id = id, .state = EndpointState::draining, .started = id * kSecond};
+  return {.id = id, .state = EndpointState::draining, .started_at = id * kSecond};
 }
 
 std::string drain_report(ReplicaId id, std::uint32_t start) {
@@ -174,7 +175,7 @@
   auto list = replicas(10);
   group.learn_whole_list(1, list);
   CHECK(group.informed_routers(3) == 2);
-  list[2].started = seconds(2000);
+  list[2].started_at = seconds(2000);
   group.learn_whole_list(1, list);
   CHECK(group.informed_routers(3) == 1);
 }
@@ -190,7 +191,7 @@
   // Repeats end, and there are none after the drain is over.
   group.learn(0, drained(4));
   group.run_to(group.now + kSecond / 2);
-  group.learn(0, {.id = 4, .started = seconds(4)});
+  group.learn(0, {.id = 4, .started_at = seconds(4)});
   const int messages = group.messages;
   group.run_to(group.now + seconds(6));
   CHECK(group.messages == messages);
@@ -224,7 +225,7 @@
   CHECK(group.informed_routers(3) == 0);
   CHECK(group.informed_routers(4) == 1);
   // A start of 0 stands for long ago and is earlier than any other.
-  group.learn(1, {.id = 5, .started = 0});
+  group.learn(1, {.id = 5, .started_at = 0});
   group.deliver_later(0, 1, drain_report(5, 5000));
   group.deliver_later(0, 1, drain_report(6, 0));
   group.run_to(group.now + kSecond);
@@ -238,7 +239,7 @@
   group.learn(0, drained(5));
   group.run_to(group.now + kSecond);
   REQUIRE(group.informed_routers(5) == 2);
-  if (list_comes) group.learn(1, {.id = 6, .started = seconds(6)});
+  if (list_comes) group.learn(1, {.id = 6, .started_at = seconds(6)});
   group.run_to(group.now + seconds(30));
   CHECK(group.informed_routers(5) == (list_comes ? 1 : 2));
   group.run_to(group.now + seconds(30));
@@ -251,9 +252,9 @@
   group.run_to(group.now + kSecond);
   REQUIRE(group.informed_routers(3) == 2);
   // The same list as before does not make the replica ready again; a new start does.
-  group.learn(1, {.id = 3, .started = seconds(3)});
+  group.learn(1, {.id = 3, .started_at = seconds(3)});
   CHECK(group.informed_routers(3) == 2);
-  group.learn(1, {.id = 3, .started = seconds(2000)});
+  group.learn(1, {.id = 3, .started_at = seconds(2000)});
   CHECK(group.informed_routers(3) == 1);
   // A late report about the earlier start is ignored.
   group.deliver_later(0, 1, drain_report(3, 3000));
@@ -320,8 +321,8 @@
     return group.informed_routers(1) + group.informed_routers(2) + group.informed_routers(3);
   };
   CHECK(replicas_out_of_use() == 2);
-  group.learn(1, {.id = 5, .started = seconds(5)});
-  group.learn(1, {.id = 6, .started = seconds(6)});
+  group.learn(1, {.id = 5, .started_at = seconds(5)});
+  group.learn(1, {.id = 6, .started_at = seconds(6)});
   CHECK(replicas_out_of_use() == 3);
 }
 
--- a/tests/core/slow_start_budget.cpp
+++ b/tests/core/slow_start_budget.cpp
@@ -47,7 +47,7 @@
     settings.rank = i;
     routers[i] = std::make_unique<SlowStartBudget>(std::make_unique<SendingDecider>(), settings, now);
     const Endpoint list[] = {
-        {.id = 1}, {.id = 2, .started = replica_started, .weight = 1}, {.id = 3}, {.id = 4}};
+        {.id = 1}, {.id = 2, .started_at = replica_started, .weight = 1}, {.id = 3}, {.id = 4}};
     routers[i]->on_endpoints(now, EndpointUpdate::full, list);
   }
   bool request(std::uint32_t i) {
@@ -63,7 +63,7 @@
     std::size_t from = 0;
     for (std::size_t at = 0; at < sends.size() && sends[at] < replica_started + settings.warm_up; ++at) {
       while (sends[from] + settings.overload_after <= sends[at]) ++from;
-      const double allowed = routers[0]->allowed_sends({.id = 2, .started = replica_started, .weight = 1},
+      const double allowed = routers[0]->allowed_sends({.id = 2, .started_at = replica_started, .weight = 1},
                                                        sends[from] - replica_started);
       REQUIRE(static_cast<double>(at - from + 1) <= allowed + 2 * std::sqrt(allowed) + 2);
     }
@@ -89,7 +89,7 @@
   group.now = group.replica_started;
   const bool in_turn = count <= SlowStartBudget::kMaxWindowsPerTurn *
                                     group.routers[0]->allowed_sends(
-                                        {.id = 2, .started = group.replica_started, .weight = 1}, 0);
+                                        {.id = 2, .started_at = group.replica_started, .weight = 1}, 0);
   if (!in_turn) return;  // the next test case covers these groups
   double mean = 0;
   int windows = 0;
@@ -97,7 +97,7 @@
     const std::size_t sends_before = group.sends.size();
     const Time end = group.now + group.settings.overload_after;
     const double allowed = group.routers[0]->allowed_sends(
-        {.id = 2, .started = group.replica_started, .weight = 1}, group.now - group.replica_started);
+        {.id = 2, .started_at = group.replica_started, .weight = 1}, group.now - group.replica_started);
     for (; group.now < end; group.now += kTick) {
       // All routers have more requests than they may send; the first has four times the traffic.
       for (std::uint32_t i = 0; i < count; ++i) {
@@ -124,7 +124,7 @@
   for (group.now = group.replica_started; group.now < group.replica_started + group.settings.warm_up;
        group.now += kTick) {
     const double allowed = group.routers[0]->allowed_sends(
-        {.id = 2, .started = group.replica_started, .weight = 1}, group.now - group.replica_started);
+        {.id = 2, .started_at = group.replica_started, .weight = 1}, group.now - group.replica_started);
     const double mean = allowed / 2 * kTick / static_cast<double>(group.settings.overload_after) / 300;
     for (std::uint32_t i = 0; i < 300; ++i) {
       if (group.chance() >= (i < 10 ? 5 * mean : mean)) continue;
--- a/tests/lifecycle/handover_state.cpp
+++ b/tests/lifecycle/handover_state.cpp
@@ -76,7 +76,7 @@
   CHECK(second.ejected(successor_time) == std::vector<ReplicaId>{3});
   // A replica that has restarted since is not ejected any more.
   auto fresh = replicas();
-  fresh[2].started = now;
+  fresh[2].started_at = now;
   RoutingPolicy third(settings(), now);
   third.on_endpoints(now, EndpointUpdate::cached, fresh);
   third.learn(*learned_state);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -201,7 +201,7 @@
     for (int i = 0; i < 500; ++i)
       world.ask(request(1)), world.ask(request(i % 5 == 0 ? 2 : 1)), world.run(5000);
     const Time restart = world.clock();
-    for (int i = 4; i < 8; ++i) world.replicas[static_cast<std::size_t>(i)].listing.started = restart;
+    for (int i = 4; i < 8; ++i) world.replicas[static_cast<std::size_t>(i)].listing.started_at = restart;
     for (int i = 0; i < 4; ++i)
       world.replicas[static_cast<std::size_t>(i)].listing.state = EndpointState::removed;
     world.list();
@@ -254,7 +254,7 @@
   CHECK(bearing.part() < 0.6);
   // Nobody warm: nothing.
   std::vector<Endpoint> warm_up = replicas;
-  for (auto& replica : warm_up) replica.started = now;
+  for (auto& replica : warm_up) replica.started_at = now;
   bearing.set_replicas(warm_up);
   CHECK_FALSE(bearing.admits(now + 3'000'000, 100));
 }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -47,7 +47,7 @@
     Replica replica;
     replica.names = {uid, model, 0};
     replica.listing.id = static_cast<ReplicaId>(replicas.size() + 1);
-    replica.listing.started = started;
+    replica.listing.started_at = started;
     replicas.push_back(replica);
     return replicas.back();
   }
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -170,7 +170,7 @@
                                                   environment.settings, environment.time - seconds(10));
   RequestManager core(environment.settings, {environment, environment, environment, environment},
                       std::move(budget));
-  const Endpoint warm_up[] = {{.id = 1, .started = environment.time - seconds(4)}};
+  const Endpoint warm_up[] = {{.id = 1, .started_at = environment.time - seconds(4)}};
   core.on_endpoints(EndpointUpdate::full, warm_up);
   for (int i = 0; i < 200; ++i) {
     const auto id = environment.admit(core);
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -204,7 +204,7 @@
     auto settings = large_group_settings();
     settings.group_size = group;
     PolicyFixture fixture(settings);
-    fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - settings.warm_up / 2}});
+    fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - settings.warm_up / 2}});
     int sent = 0;
     for (std::uint64_t session = 1; session <= 400; ++session) {
       const auto id = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = session}));
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -169,7 +169,7 @@
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
   requests_until_ejected(fixture, 10, Outcome::connect_failed);
-  fixture.list({{.id = 10, .started = fixture.now - seconds(20)}}, EndpointUpdate::delta);
+  fixture.list({{.id = 10, .started_at = fixture.now - seconds(20)}}, EndpointUpdate::delta);
   std::set<ReplicaId> used_replicas;
   for (int i = 0; i < 20; ++i) {
     used_replicas.insert(
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -187,7 +187,7 @@
   const auto share_at = [&](Time age) {
     int sent_to_cold = 0;
     for (int i = 0; i < 400; ++i) {
-      fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - age}});
+      fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - age}});
       const auto to =
           sent_replica(fixture.arrive({.prompt_tokens = 100, .session = static_cast<std::uint64_t>(i + 1)}));
       sent_to_cold += to == 20;
@@ -206,7 +206,8 @@
 
 TEST(RuleWarmingUpReplicas, WhenAllReplicasWarmUpMostRequestsAreRejectedAtFirst) {
   PolicyFixture fixture;
-  fixture.list({{.id = 10, .started = fixture.now - kSecond}, {.id = 20, .started = fixture.now - kSecond}});
+  fixture.list(
+      {{.id = 10, .started_at = fixture.now - kSecond}, {.id = 20, .started_at = fixture.now - kSecond}});
   int sent = 0;
   for (int i = 0; i < 200; ++i) {
     const auto actions = fixture.arrive({.prompt_tokens = 100, .session = static_cast<std::uint64_t>(i + 1)});
@@ -221,8 +222,8 @@
 // that some sessions were rejected until the first replica had warmed up.
 TEST(RuleWarmingUpReplicas, WhenAllReplicasWarmUpNoSessionIsRejectedThroughout) {
   PolicyFixture fixture;
-  fixture.list(
-      {{.id = 10, .started = fixture.now - seconds(3)}, {.id = 20, .started = fixture.now - seconds(3)}});
+  fixture.list({{.id = 10, .started_at = fixture.now - seconds(3)},
+                {.id = 20, .started_at = fixture.now - seconds(3)}});
   int never_served = 0;
   int sent = 0;
   for (std::uint64_t session = 1; session <= 50; ++session) {
@@ -241,7 +242,7 @@
 
 TEST(RuleWarmingUpReplicas, ARetryIsNeverSentToAWarmingUpReplica) {
   PolicyFixture fixture;
-  fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - 1}});
+  fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - 1}});
   for (int i = 0; i < 20; ++i) EXPECT_EQ(sent_replica(fixture.arrive_with_size(100)), 10u);
   EXPECT_TRUE(
       actions_of_kind(fixture.end_attempt(fixture.last.id, 0, 10, Outcome::full), ActionKind::send).empty());
@@ -249,7 +250,7 @@
 
 TEST(RuleWarmingUpReplicas, AHeavyRequestIsNotSentToAWarmingUpReplica) {
   PolicyFixture fixture;
-  fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - seconds(3)}});
+  fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - seconds(3)}});
   int light = 0;
   int heavy = 0;
   for (std::uint64_t i = 1; i <= 400; ++i) {
@@ -266,7 +267,7 @@
 
 TEST(RuleWarmingUpReplicas, ARepeatOfAClientIsNotSentToAWarmingUpReplica) {
   PolicyFixture fixture;
-  fixture.list({{.id = 10}, {.id = 20, .started = fixture.now - seconds(5)}});
+  fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - seconds(5)}});
   int first = 0;
   int again = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
@@ -288,7 +289,7 @@
   PolicyFixture fixture(settings);
   // Overloaded replicas list a tenth of their size; the idle newcomer lists its full size.
   fixture.list({{.id = 10, .weight = 0.1f},
-                {.id = 20, .started = fixture.now - seconds(2)},
+                {.id = 20, .started_at = fixture.now - seconds(2)},
                 {.id = 30, .weight = 0.1f}});
   int sent_to_cold = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
--- a/tests/policy/zones_test.cpp
+++ b/tests/policy/zones_test.cpp
@@ -44,8 +44,8 @@
   auto settings = plain_settings();
   settings.zone_count = 2;
   PolicyFixture fixture(settings);
-  fixture.list({{.id = 1, .started = fixture.now - kSecond},
-                {.id = 3, .started = fixture.now - kSecond},
+  fixture.list({{.id = 1, .started_at = fixture.now - kSecond},
+                {.id = 3, .started_at = fixture.now - kSecond},
                 {.id = 2, .zone = 1}});
   int sent_to_own_zone = 0;
   for (int i = 0; i < 200; ++i) {
@@ -62,8 +62,8 @@
   settings.zone_count = 2;
   settings.overload_multiple = 4;
   PolicyFixture fixture(settings);
-  fixture.list({{.id = 1, .started = fixture.now - seconds(5)},
-                {.id = 3, .started = fixture.now - seconds(5)},
+  fixture.list({{.id = 1, .started_at = fixture.now - seconds(5)},
+                {.id = 3, .started_at = fixture.now - seconds(5)},
                 {.id = 2, .zone = 1}});
   int sent_to_own_zone = 0;
   for (int i = 0; i < 400; ++i) {
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -42,7 +42,7 @@
     : settings_(settings), options_(options), random_(options.seed), now_(seconds(1000)) {
   for (std::size_t i = 0; i < options_.replicas; ++i) {
     listings_.push_back({.id = static_cast<ReplicaId>(10 * (i + 1)),
-                         .started = options_.all_cold ? now_ : 0,
+                         .started_at = options_.all_cold ? now_ : 0,
                          .zone = static_cast<std::uint16_t>(i % options_.zones),
                          .cell = static_cast<std::uint16_t>(i / options_.zones % options_.cells),
                          .kind = static_cast<std::uint16_t>(i % options_.kinds),
@@ -301,7 +301,7 @@
     listing.state = EndpointState::removed;
   } else {
     listing.state = EndpointState::ready;
-    listing.started = now_;
+    listing.started_at = now_;
   }
 }
 
@@ -415,7 +415,7 @@
   digest_.add(std::uint64_t{learned_state.replicas.size()});
   for (const auto& replica : learned_state.replicas) {
     digest_.add(std::uint64_t{replica.id});
-    digest_.add(coarse(replica.started));
+    digest_.add(coarse(replica.started_at));
     digest_.add(static_cast<std::uint64_t>(replica.failure_points));
     digest_.add(coarse(replica.ejected_until));
     digest_.add_rounded(replica.pace);
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -61,7 +61,7 @@
   EXPECT_TRUE(result.concluded);
   const auto& roster = std::get<simulator_adapter::Roster>(batch.events[3].body);
   ASSERT_EQ(roster.members.size(), 2u);
-  EXPECT_EQ(roster.members[1].started, 0x5d1420);
+  EXPECT_EQ(roster.members[1].started_at, 0x5d1420);
   EXPECT_EQ(roster.members[1].weight, 1.5f);
   EXPECT_EQ(roster.members[1].zone, 1);
   EXPECT_EQ(roster.members[1].state, EndpointState::ready);
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -87,7 +87,7 @@
   std::vector<Endpoint> entries;
   for (const auto state : {EndpointState::ready, EndpointState::draining, EndpointState::removed}) {
     entries.push_back(
-        {.id = 2, .state = state, .started = 9, .zone = 1, .cell = 4, .kind = 3, .weight = 0.5F});
+        {.id = 2, .state = state, .started_at = 9, .zone = 1, .cell = 4, .kind = 3, .weight = 0.5F});
   }
   Time now = seconds(1);
   for (const auto scope :
