--- a/bench/budgets.cpp
+++ b/bench/budgets.cpp
@@ -94,7 +94,7 @@
   for (auto _ : state) {
     now += 1000;
     Request r;
-    r.id = ++id, r.due = now + 5'000'000,
+    r.id = ++id, r.deadline = now + 5'000'000,
     r.model = static_cast<std::uint16_t>(1 + id % std::max<std::size_t>(1, models));
     r.prompt_tokens = 100 + static_cast<double>(id % 997), r.max_tokens = 100;
     decider.on_request(now, r);
--- a/examples/route_one.cpp
+++ b/examples/route_one.cpp
@@ -12,7 +12,7 @@
   const Endpoint replicas[] = {{.id = 11}, {.id = 12}, {.id = 13}};
   router.on_endpoints(0, EndpointUpdate::full, replicas);
 
-  router.on_request(1'000, Request{.id = 1, .due = 5'000'000, .prompt_tokens = 300, .max_tokens = 200});
+  router.on_request(1'000, Request{.id = 1, .deadline = 5'000'000, .prompt_tokens = 300, .max_tokens = 200});
   int sent = 0;
   for (const Action& action : router.take_actions()) {
     if (action.kind != ActionKind::send) continue;
--- a/include/thornwick/events.hpp
+++ b/include/thornwick/events.hpp
@@ -44,8 +44,8 @@
 
 struct Request {
   RequestId id = 0;
-  Time due = 0;          // the client abandons this try then
-  std::uint8_t cls = 0;  // index into Settings::classes
+  Time deadline = 0;                // when the client abandons this try
+  std::uint8_t priority_class = 0;  // index into Settings::classes
   std::uint16_t tenant = 0;
   double prompt_tokens = 0;
   double prefix_tokens = 0;  // of which shared with other sessions
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -16,7 +16,7 @@
   now_ = now;
   OpenRequest open;
   open.request = request;
-  open.subject = {request.tenant, request.model, request.cls};
+  open.subject = {request.tenant, request.model, request.priority_class};
   const Units max_cost = max_cost_of(request, quota_service_.price_of(request.model));
   if (!admit_to_fair_share(request, max_cost)) return;
   const Grant grant = quota_service_.accounts.reserve(open.subject, max_cost, now);
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -65,7 +65,7 @@
   request.summary.external_id = request.arrival.external_id;
   ++counters_.admitted;
   // Whatever the routing policy does, the final answer is out within the slack after the deadline.
-  request.deadline_timer = timers_.set(description.due + kDeadlineSlack,
+  request.deadline_timer = timers_.set(description.deadline + kDeadlineSlack,
                                        {.kind = TimerKind::request_deadline, .attempt = {id, 0}});
   decider_->on_request(arrived, description);
   apply_actions();
@@ -291,11 +291,11 @@
 bool RequestManager::may_launch(const ActiveRequest& request, AttemptId attempt, const Action& action,
                                 Time sent) const {
   return !request.attempt_in_flight() && attempt.number < max_attempts_ &&
-         sent < request.arrival.request.due && action.time != kNotSent;
+         sent < request.arrival.request.deadline && action.time != kNotSent;
 }
 
 void RequestManager::launch(ActiveRequest& request, AttemptId attempt, const Action& action, Time sent) {
-  const Time due = request.arrival.request.due;
+  const Time due = request.arrival.request.deadline;
   const Time until = action.time > 0 ? std::min(sent + action.time, due) : due;
   request.attempt = attempt;
   request.attempt_state = AttemptState::awaiting_first_event;
@@ -329,7 +329,7 @@
   if (is_rejection(action.allowance)) {
     answer.rejection = action.allowance;
   } else if (action.kind == ActionKind::fail) {
-    answer.ending = now() >= request->arrival.request.due ? Ending::timed_out : Ending::failed;
+    answer.ending = now() >= request->arrival.request.deadline ? Ending::timed_out : Ending::failed;
   }
   request->summary.refusal = action.refusal;
   conclude(action.id, answer);
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -77,10 +77,11 @@
   EmulatedRouter& router = choose_router(plan.zone);
   sent->router = router.index;
   Request request;
-  request.cls = static_cast<std::uint8_t>(plan.cls);
+  request.priority_class = static_cast<std::uint8_t>(plan.cls);
   request.tenant = plan.member;
   const double deadline_ms = scenario_.classes[plan.cls].deadline_ms;
-  request.due = std::min(now_ + static_cast<Time>(scenario_.try_share * 1000 * deadline_ms), plan.deadline);
+  request.deadline =
+      std::min(now_ + static_cast<Time>(scenario_.try_share * 1000 * deadline_ms), plan.deadline);
   request.prompt_tokens = plan.prompt;
   request.prefix_tokens = plan.prefix_tokens;
   request.max_tokens = plan.max_tokens;
@@ -90,7 +91,7 @@
   request.client_repeat = sent->tries > 1;
   request.resumed = sent->resumed;
   if (client_random_.happens(scenario_.cancel_probability)) {
-    const auto latest = static_cast<double>(request.due - now_);
+    const auto latest = static_cast<double>(request.deadline - now_);
     schedule(now_ + std::llround(client_random_.between(0, latest)), EventType::client_cancelled, handle);
   }
   // The client's request is the payload. It outlives the core's use of it, so the pointer owns nothing.
--- a/src/fronts/dialect.cpp
+++ b/src/fronts/dialect.cpp
@@ -98,7 +98,8 @@
   const auto* id = head.find("X-Request-ID");
   if (id == nullptr || id->empty() || id->size() > kMaxIdLength)
     throw BadMessage(kBadRequest, "no good X-Request-ID");
-  request.cls = static_cast<std::uint8_t>(index_of(names.classes, head.find("X-Priority-Class"), "class"));
+  request.priority_class =
+      static_cast<std::uint8_t>(index_of(names.classes, head.find("X-Priority-Class"), "class"));
   if (names.tenants.empty()) return;
   request.tenant = static_cast<std::uint16_t>(index_of(names.tenants, head.find("X-Tenant-Id"), "tenant"));
 }
@@ -107,8 +108,9 @@
   const auto* timeout = head.find("X-Timeout-Ms");
   if (timeout == nullptr) throw BadMessage(kBadRequest, "no X-Timeout-Ms");
   const double wait = parse_amount(*timeout, "X-Timeout-Ms", std::numeric_limits<double>::max());
-  request.due = now + static_cast<Time>(std::min(wait, kMaxWaitMs) * static_cast<double>(milliseconds(1))) -
-                kTransitAllowance;
+  request.deadline = now +
+                     static_cast<Time>(std::min(wait, kMaxWaitMs) * static_cast<double>(milliseconds(1))) -
+                     kTransitAllowance;
 }
 
 void read_hints(const http::Head& head, Request& request) {
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -85,7 +85,7 @@
     return false;
   }
   while (const std::optional<FallbackCandidate> candidate = open.fallbacks.pop()) {
-    if (open.request.due - now_ <= candidate->least_left) {
+    if (open.request.deadline - now_ <= candidate->least_left) {
       ++metrics_.no_time;
       continue;
     }
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -82,7 +82,7 @@
   append_number(records_, summary.events, 8);
   append_number(records_, static_cast<std::uint64_t>(summary.ending), 1);
   append_number(records_, summary.attempts, 1);
-  append_number(records_, summary.request.cls, 1);
+  append_number(records_, summary.request.priority_class, 1);
   append_number(records_, summary.request.tenant, 2);
   append_number(records_, std::min(summary.usage.prompt, kMax32), 4);
   append_number(records_, std::min(summary.usage.generated, kMax32), 4);
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -87,7 +87,8 @@
 }
 
 void RequestRecorder::record(const core::RequestSummary& summary) {
-  if (const auto state = metrics_state(summary.ending)) metrics_.count_request(summary.request.cls, *state);
+  if (const auto state = metrics_state(summary.ending))
+    metrics_.count_request(summary.request.priority_class, *state);
   if (summary.ending != core::Ending::served) log_without_answer(summary);
   const bool debug_logged = logging::writes_debug();
   if (flow_exporter_ == nullptr && !debug_logged) return;
--- a/src/policy/overload.cpp
+++ b/src/policy/overload.cpp
@@ -35,7 +35,7 @@
 }
 
 double Overload::priority_weight_of(const Request& request) {
-  double weight = state_.settings.classes[request.cls].priority_weight * request.weight_factor;
+  double weight = state_.settings.classes[request.priority_class].priority_weight * request.weight_factor;
   if (request.client_repeat) weight *= kRepeatWeight;
   return is_over_share(request) ? weight * state_.settings.over_share_weight : weight;
 }
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -12,12 +12,12 @@
 }
 
 void RequestLifecycle::on_request(Time now, const Request& request) {
-  if (request.cls >= state_.settings.classes.size() || state_.pending.contains(request.id)) return;
+  if (request.priority_class >= state_.settings.classes.size() || state_.pending.contains(request.id)) return;
   PendingRequest& pending = state_.pending[request.id];
   pending.request = request;
   pending.arrived = now;
   pending.work = request.work_hint > 0 ? request.work_hint : size_of(request);
-  pending.useful_until = std::min(request.due, now + objective_of(request));
+  pending.useful_until = std::min(request.deadline, now + objective_of(request));
   work_.record(pending);
   if (overload_.must_shed(request)) return end(pending, RefusalReason::overload);
   retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryRate);
@@ -43,7 +43,7 @@
 }
 
 bool RequestLifecycle::may_send(Time now, const PendingRequest& pending, const Replica& replica) const {
-  if (replica.listing.state != EndpointState::ready || now >= pending.request.due) return false;
+  if (replica.listing.state != EndpointState::ready || now >= pending.request.deadline) return false;
   const std::size_t attempts = pending.attempts.size() + pending.request.attempts_before;
   if (attempts >= state_.settings.max_attempts) return false;
   return std::all_of(pending.attempts.begin(), pending.attempts.end(),
@@ -52,7 +52,7 @@
 
 bool RequestLifecycle::may_repeat(Time now, const PendingRequest& pending, const Attempt& earlier,
                                   const Replica& next) const {
-  const ClassSettings& request_class = state_.settings.classes[pending.request.cls];
+  const ClassSettings& request_class = state_.settings.classes[pending.request.priority_class];
   if (earlier.outstanding && !state_.settings.hedging) return false;
   if (!earlier.may_have_run || request_class.effect == Effect::safe) return true;
   const bool forgotten = now >= earlier.sent + request_class.dedup_window;
@@ -105,7 +105,7 @@
 
 void RequestLifecycle::learn_from_failure(Time now, const AttemptResult& result, Replica& replica,
                                           const PendingRequest* pending) {
-  const bool expired = pending == nullptr || now >= pending->request.due;
+  const bool expired = pending == nullptr || now >= pending->request.deadline;
   if (result.outcome == Outcome::timed_out && expired) return;
   const Time objective = pending ? objective_of(pending->request) : state_.longest_latency_objective;
   const bool quick = result.outcome != Outcome::connect_failed && is_quick(result, objective);
@@ -147,15 +147,15 @@
   if (pending.started) return;
   const bool late = now >= pending.useful_until;
   if (late) learn_from_answer_time(now, pending);
-  if (now >= pending.request.due) return end(pending, RefusalReason::out_of_time);
+  if (now >= pending.request.deadline) return end(pending, RefusalReason::out_of_time);
   if (pending.attempts.empty()) return late ? end(pending, RefusalReason::too_late) : route(now, pending);
   if (!late) {
     review_silent_attempt(now, pending);
     return set_review(pending, pending.useful_until);
   }
-  const bool worthless = state_.settings.classes[pending.request.cls].late_weight <= 0;
+  const bool worthless = state_.settings.classes[pending.request.priority_class].late_weight <= 0;
   if (worthless && may_reject(pending)) return end(pending, RefusalReason::too_late);
-  set_review(pending, pending.request.due);
+  set_review(pending, pending.request.deadline);
 }
 
 void RequestLifecycle::review_silent_attempt(Time now, PendingRequest& pending) {
@@ -176,7 +176,7 @@
 }
 
 bool RequestLifecycle::may_reject(const PendingRequest& pending) const {
-  const ClassSettings& request_class = state_.settings.classes[pending.request.cls];
+  const ClassSettings& request_class = state_.settings.classes[pending.request.priority_class];
   if (request_class.effect == Effect::safe) return true;
   const bool all_discard = request_class.dedup_scope == DedupScope::all;
   return (request_class.effect == Effect::keyed && all_discard) || !pending.may_have_run();
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -48,7 +48,7 @@
 
  private:
   Time objective_of(const Request& request) const {
-    return latency_objective_of(state_.settings.classes[request.cls], request);
+    return latency_objective_of(state_.settings.classes[request.priority_class], request);
   }
 
   void route(Time now, PendingRequest& pending);
@@ -82,7 +82,7 @@
 
   // Sets the timer of a review of the request: at `when`, or at its deadline if that is earlier.
   void set_review(const PendingRequest& pending, Time when) {
-    state_.actions.set_timer(std::min(when, pending.request.due), reviews_.add(pending.request.id));
+    state_.actions.set_timer(std::min(when, pending.request.deadline), reviews_.add(pending.request.id));
   }
   void review(Time now, PendingRequest& pending);
   // Judges the replica of an attempt without an answer: if it has answered nothing else since the attempt was
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -126,8 +126,8 @@
   request.resumed = (options & kIsResumed) != 0;
   request.prefix = reader.number<std::uint64_t>(Field::prefix_id);
   request.tenant = reader.number<std::uint16_t>(Field::tenant);
-  request.cls = reader.number<std::uint8_t>(Field::request_class);
-  request.due = reader.time(Field::due);
+  request.priority_class = reader.number<std::uint8_t>(Field::request_class);
+  request.deadline = reader.time(Field::due);
   request.max_tokens = reader.real(Field::max_tokens);
   return request;
 }
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -153,7 +153,7 @@
                                               .prefix_tokens = request.prefix_tokens,
                                               .generated = generated,
                                               .size = request.work_hint,
-                                              .due = request.due})) {
+                                              .due = request.deadline})) {
       ++owner_.metrics_.full;
       return line.write(turned_away());
     }
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -32,12 +32,12 @@
   }
   void on_request(Time now, const Request& request) override {
     now_ = now;
-    write_line("request", " request=", request.id, " class=", static_cast<int>(request.cls),
+    write_line("request", " request=", request.id, " class=", static_cast<int>(request.priority_class),
                " member=", request.tenant, " prompt_tokens=", request.prompt_tokens,
                " prefix_tokens=", request.prefix_tokens, " max_tokens=", request.max_tokens,
                " work=", request.work_hint, " session=", request.session, " prefix=", request.prefix,
                " client_repeat=", request.client_repeat, " resumed=", request.resumed,
-               " expected_cached_tokens=", request.cache_hint.tokens, " time_left=", request.due - now);
+               " expected_cached_tokens=", request.cache_hint.tokens, " time_left=", request.deadline - now);
     DeciderDecorator::on_request(now, request);
   }
   void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica,
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -22,7 +22,7 @@
   summary.events = 40;
   summary.bytes = 12'345;
   summary.usage = {.prompt = 900, .generated = 77, .cached = 512};
-  summary.request.cls = 1;
+  summary.request.priority_class = 1;
   summary.request.tenant = 258;
   return summary;
 }
--- a/tests/lifecycle/handover_state.cpp
+++ b/tests/lifecycle/handover_state.cpp
@@ -34,7 +34,8 @@
     const auto id = static_cast<RequestId>(now);
     std::uint8_t attempt = 0;
     router.on_request(
-        now, {.id = id, .due = now + seconds(8), .prompt_tokens = 100.0 + 100 * (i % 40), .max_tokens = 50});
+        now,
+        {.id = id, .deadline = now + seconds(8), .prompt_tokens = 100.0 + 100 * (i % 40), .max_tokens = 50});
     for (auto actions = router.take_actions(); !actions.empty(); actions = router.take_actions()) {
       for (const Action& action : actions) {
         if (action.kind != ActionKind::send) continue;
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -429,7 +429,7 @@
   std::uint64_t next = 0;
   for (int i = 0; i < 100'000; ++i) {
     Request r = request(static_cast<Number>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
-    r.tenant = static_cast<std::uint16_t>(i % 3), r.cls = static_cast<std::uint8_t>(i % 2);
+    r.tenant = static_cast<std::uint16_t>(i % 3), r.priority_class = static_cast<std::uint8_t>(i % 2);
     world.ask(r);
     world.run(2000);
   }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -115,7 +115,7 @@
   std::size_t ask(Request request) {
     const std::size_t place = answers.size();
     answers.emplace_back();
-    request.due = now_ + 5'000'000;
+    request.deadline = now_ + 5'000'000;
     auto reply = std::make_unique<Reply>(*this, place);
     Reply& its = *reply;
     replies_.push_back(std::move(reply));
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -61,7 +61,8 @@
     time = when;
   }
   RequestId admit(RequestManager& core) {
-    return core.admit({{.due = time + seconds(5), .prompt_tokens = 50, .max_tokens = 50}, nullptr}, *this);
+    return core.admit({{.deadline = time + seconds(5), .prompt_tokens = 50, .max_tokens = 50}, nullptr},
+                      *this);
   }
 
   static constexpr Time kNever = std::numeric_limits<Time>::max();
@@ -256,7 +257,7 @@
   environment.list_replicas(core, 3);
   for (int i = 0; i < 50; ++i) {
     const auto id = core.admit(
-        {{.due = environment.time + seconds(3600), .prompt_tokens = 50, .max_tokens = 50}, nullptr},
+        {{.deadline = environment.time + seconds(3600), .prompt_tokens = 50, .max_tokens = 50}, nullptr},
         environment);
     if (i % 2 == 0) {
       core.client_disconnected(id);
--- a/tests/policy/load_shedding_test.cpp
+++ b/tests/policy/load_shedding_test.cpp
@@ -63,10 +63,11 @@
   sent_part_while_answers_are_late(fixture, {.prompt_tokens = 100});
   int sent[2] = {0, 0};
   for (int i = 0; i < 100; ++i) {
-    const std::uint8_t cls = i % 2;
+    const std::uint8_t priority_class = i % 2;
     fixture.arrive_with_size(100);
     fixture.advance(seconds(3));
-    sent[cls] += sent_replica(fixture.arrive({.cls = cls, .prompt_tokens = 100})) != 0;
+    sent[priority_class] +=
+        sent_replica(fixture.arrive({.priority_class = priority_class, .prompt_tokens = 100})) != 0;
   }
   EXPECT_GT(sent[1], sent[0]);
 }
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -17,7 +17,7 @@
   fixture.list_equal_replicas(2);
   auto actions = fixture.arrive_with_size(100);
   const auto id = fixture.last.id;
-  const auto later = fixture.advance(fixture.last.due - fixture.now);
+  const auto later = fixture.advance(fixture.last.deadline - fixture.now);
   actions.insert(actions.end(), later.begin(), later.end());
   EXPECT_EQ(final_answer_count(actions), 1u);
   EXPECT_EQ(final_answer_count(fixture.advance(seconds(20))), 0u);
@@ -42,7 +42,7 @@
 TEST(RuleNoRequestLost, ARequestThatArrivesAfterItsDeadlineIsAnswered) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(1);
-  EXPECT_EQ(final_answer_count(fixture.arrive({.due = fixture.now, .prompt_tokens = 100})), 1u);
+  EXPECT_EQ(final_answer_count(fixture.arrive({.deadline = fixture.now, .prompt_tokens = 100})), 1u);
 }
 
 TEST(RuleNoRequestLost, NothingIsSentAfterTheClientLeft) {
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -58,7 +58,7 @@
   // Returns the actions that follow the arrival.
   std::vector<Action> arrive(Request request) {
     if (request.id == 0) request.id = ++last_id;
-    if (request.due == 0) request.due = now + seconds(8);
+    if (request.deadline == 0) request.deadline = now + seconds(8);
     last = request;
     router.on_request(now, request);
     return take_actions();
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -131,12 +131,13 @@
   const bool known = random_.percent(2) && last_id_ > 0;
   request.id = known ? last_id_ : ++last_id_;
   // One class and one tenant more than there are.
-  request.cls = static_cast<std::uint8_t>(random_.percent(1) ? settings_.classes.size()
-                                                             : random_.below(settings_.classes.size()));
+  request.priority_class = static_cast<std::uint8_t>(
+      random_.percent(1) ? settings_.classes.size() : random_.below(settings_.classes.size()));
   request.tenant = static_cast<std::uint16_t>(random_.below(settings_.tenants.size() + 1));
-  const Time deadline =
-      request.cls < settings_.classes.size() ? settings_.classes[request.cls].deadline : kSecond;
-  request.due = now_ + kTimeStep * random_.between(deadline / 2 / kTimeStep, deadline / kTimeStep);
+  const Time deadline = request.priority_class < settings_.classes.size()
+                            ? settings_.classes[request.priority_class].deadline
+                            : kSecond;
+  request.deadline = now_ + kTimeStep * random_.between(deadline / 2 / kTimeStep, deadline / kTimeStep);
   request.prompt_tokens = static_cast<double>(random_.between(10, 400) * random_.between(1, 20));
   request.max_tokens = static_cast<double>(random_.between(16, 1024));
   if (random_.percent(40)) request.work_hint = static_cast<double>(random_.between(1000, 900'000));
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -35,8 +35,8 @@
   EXPECT_FALSE(r.client_repeat);
   EXPECT_EQ(r.prefix, 0x2b8e6401d9f37c10u);
   EXPECT_EQ(r.tenant, 0);
-  EXPECT_EQ(r.cls, 0);
-  EXPECT_EQ(r.due, 0x8405da);
+  EXPECT_EQ(r.priority_class, 0);
+  EXPECT_EQ(r.deadline, 0x8405da);
   EXPECT_EQ(r.max_tokens, 256);
 }
 
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -69,9 +69,9 @@
 std::string fields_of_request(const Request& request) {
   Fields fields;
   FieldWriter(fields, " ")
-      .add("class", static_cast<int>(request.cls))
+      .add("class", static_cast<int>(request.priority_class))
       .add("tenant", request.tenant)
-      .add("due", request.due)
+      .add("due", request.deadline)
       .add("prompt", request.prompt_tokens)
       .add("prefix length", request.prefix_tokens)
       .add("answer limit", request.max_tokens)
