--- a/include/thornwick/learned_state.hpp
+++ b/include/thornwick/learned_state.hpp
@@ -29,24 +29,24 @@
 
   struct Replica {
     ReplicaId id = 0;
-    Time started_at = 0;     // start time of the process that this was learned of; 0: long ago
-    int failure_points = 0;  // of failures in a row; 0: none
-    Time ejected_until = 0;  // 0: it was never ejected
-    double pace = 1;         // 0..1; factor on its listed weight
+    Time started_at = 0;      // start time of the process that this was learned of; 0: long ago
+    int failure_points = 0;   // of failures in a row; 0: none
+    Time ejected_until = 0;   // 0: it was never ejected
+    double speed_factor = 1;  // 0..1; factor on its listed weight
     bool operator==(const Replica&) const = default;
   };
 
-  // The pace that all replicas of one kind (Endpoint::kind) have in common.
-  struct KindPace {
+  // The speed factor that all replicas of one kind (Endpoint::kind) have in common.
+  struct KindSpeed {
     std::uint16_t kind = 0;
-    double pace = 1;  // 0..1; factor on the listed weights
-    bool operator==(const KindPace&) const = default;
+    double speed_factor = 1;  // 0..1; factor on the listed weights
+    bool operator==(const KindSpeed&) const = default;
   };
 
   std::vector<RequestSample> samples;  // the oldest first
   std::vector<PrefixWork> prefixes;
   std::vector<Replica> replicas;  // as they were listed
-  std::vector<KindPace> kind_paces;
+  std::vector<KindSpeed> kind_speeds;
   std::vector<double>
       tenant_usage;          // decayed number of requests of each tenant, in the order of the settings
   double zone_overflow = 0;  // 0..1; part of the sessions that leaves its zone
--- a/src/persistence/handover_state.cpp
+++ b/src/persistence/handover_state.cpp
@@ -91,10 +91,10 @@
                                        .started = replica.started_at,
                                        .failure_points = replica.failure_points,
                                        .ejected_until = replica.ejected_until,
-                                       .pace = replica.pace});
+                                       .pace = replica.speed_factor});
   }
-  for (const LearnedState::KindPace& entry : learned_state.kind_paces) {
-    record.kind_paces.push_back({.kind = entry.kind, .pace = entry.pace});
+  for (const LearnedState::KindSpeed& entry : learned_state.kind_speeds) {
+    record.kind_paces.push_back({.kind = entry.kind, .pace = entry.speed_factor});
   }
   record.tenant_usage = learned_state.tenant_usage;
   record.zone_overflow = learned_state.zone_overflow;
@@ -114,10 +114,10 @@
                                       .started_at = replica.started,
                                       .failure_points = replica.failure_points,
                                       .ejected_until = replica.ejected_until,
-                                      .pace = replica.pace});
+                                      .speed_factor = replica.pace});
   }
   for (const KindPaceRecord& entry : record.kind_paces) {
-    learned_state.kind_paces.push_back({.kind = entry.kind, .pace = entry.pace});
+    learned_state.kind_speeds.push_back({.kind = entry.kind, .speed_factor = entry.pace});
   }
   learned_state.tenant_usage = record.tenant_usage;
   learned_state.zone_overflow = record.zone_overflow;
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -36,7 +36,7 @@
     Replica& replica = found->second;
     replica.failure_points = std::clamp(record.failure_points, 0, kMaxFailurePoints);
     replica.ejected_until = record.ejected_until;
-    replica.pace = std::max(min_pace, fraction_or(record.pace, 1));
+    replica.pace = std::max(min_pace, fraction_or(record.speed_factor, 1));
   }
 }
 
@@ -59,10 +59,10 @@
                                 .started_at = replica.listing.started_at,
                                 .failure_points = replica.failure_points,
                                 .ejected_until = replica.ejected_until,
-                                .pace = replica.pace});
+                                .speed_factor = replica.pace});
   }
   for (const auto& [kind, pace] : state.pace_of_kind) {
-    learned.kind_paces.push_back({.kind = kind, .pace = pace});
+    learned.kind_speeds.push_back({.kind = kind, .speed_factor = pace});
   }
   learned.tenant_usage = state.tenant_usage;
   learned.zone_overflow = state.zone_overflow;
@@ -74,7 +74,7 @@
   import_samples(state, learned, limits.max_samples);
   import_prefixes(state, learned, limits.max_prefixes);
   import_replicas(state, learned, limits.min_pace);
-  for (const auto& [kind, pace] : learned.kind_paces) {
+  for (const auto& [kind, pace] : learned.kind_speeds) {
     state.pace_of_kind[kind] = std::max(limits.min_pace, fraction_or(pace, 1));
   }
   const bool usage_fits = learned.tenant_usage.size() == state.settings.tenants.size() &&
--- a/tests/compat/learned.cpp
+++ b/tests/compat/learned.cpp
@@ -18,9 +18,9 @@
   learned_state.samples = {{100, 1.5}, {2000.25, 12}};
   learned_state.prefixes = {{7, 3.5}, {0xfedcba9876543210, 0.125}};
   learned_state.replicas = {
-      {.id = 4, .started_at = kNow - 5, .failure_points = 3, .ejected_until = kNow + 9, .pace = 0.5},
-      {.id = 70'000, .started_at = 0, .failure_points = 0, .ejected_until = 0, .pace = 1}};
-  learned_state.kind_paces = {{2, 0.75}, {300, 1}};
+      {.id = 4, .started_at = kNow - 5, .failure_points = 3, .ejected_until = kNow + 9, .speed_factor = 0.5},
+      {.id = 70'000, .started_at = 0, .failure_points = 0, .ejected_until = 0, .speed_factor = 1}};
+  learned_state.kind_speeds = {{2, 0.75}, {300, 1}};
   learned_state.tenant_usage = {0.25, 17};
   learned_state.zone_overflow = 0.0625;
   learned_state.load_shedding = 0.875;
@@ -87,9 +87,9 @@
     CHECK(read.replicas[i].started_at == expected.replicas[i].started_at);
     CHECK(read.replicas[i].failure_points == expected.replicas[i].failure_points);
     CHECK(read.replicas[i].ejected_until == expected.replicas[i].ejected_until);
-    CHECK(read.replicas[i].pace == expected.replicas[i].pace);
+    CHECK(read.replicas[i].speed_factor == expected.replicas[i].speed_factor);
   }
-  CHECK(read.kind_paces == expected.kind_paces);
+  CHECK(read.kind_speeds == expected.kind_speeds);
   CHECK(read.tenant_usage == expected.tenant_usage);
   CHECK(read.zone_overflow == expected.zone_overflow);
   CHECK(read.load_shedding == expected.load_shedding);
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -345,7 +345,7 @@
   learned_state.samples.push_back({.size = 100, .work = -1});
   learned_state.prefixes.push_back({.prefix = kRarePrefixes + 1, .work = -3});
   learned_state.replicas.push_back({.id = 7, .failure_points = 3});
-  if (!learned_state.replicas.empty()) learned_state.replicas.front().pace = 9;
+  if (!learned_state.replicas.empty()) learned_state.replicas.front().speed_factor = 9;
   learned_state.tenant_usage.push_back(1);
   learned_state.zone_overflow = -1;
 }
@@ -419,12 +419,12 @@
     digest_.add(coarse(replica.started_at));
     digest_.add(static_cast<std::uint64_t>(replica.failure_points));
     digest_.add(coarse(replica.ejected_until));
-    digest_.add_rounded(replica.pace);
+    digest_.add_rounded(replica.speed_factor);
   }
-  digest_.add(std::uint64_t{learned_state.kind_paces.size()});
-  for (const auto& [kind, pace] : learned_state.kind_paces) {
+  digest_.add(std::uint64_t{learned_state.kind_speeds.size()});
+  for (const auto& [kind, speed_factor] : learned_state.kind_speeds) {
     digest_.add(std::uint64_t{kind});
-    digest_.add_rounded(pace);
+    digest_.add_rounded(speed_factor);
   }
   for (const double used : learned_state.tenant_usage) digest_.add_rounded(used);
   digest_.add_rounded(learned_state.zone_overflow);
