--- a/include/thornwick/actions.hpp
+++ b/include/thornwick/actions.hpp
@@ -33,13 +33,13 @@
 
 // Why a policy ends a request without an answer, for the log.
 enum class RefusalReason {
-  none,         // not given
-  overload,     // load shedding
-  no_replica,   // nobody may be asked, or nobody else
-  not_allowed,  // a repeat is not allowed: attempts, effect of the class, or the replica drains
-  too_late,     // an answer would be worth nothing any more
-  out_of_time,  // its deadline is over
-  limit         // a budget or the model catalogue; see the allowance
+  none,                 // not given
+  overload,             // load shedding
+  no_replica,           // nobody may be asked, or nobody else
+  attempt_not_allowed,  // a repeat is not allowed: attempts, effect of the class, or the replica drains
+  too_late,             // an answer would be worth nothing any more
+  deadline_exceeded,    // its deadline is over
+  limit_exceeded        // a budget or the model catalogue; see the allowance
 };
 
 // One action. Fields that its kind does not name are unused.
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -40,7 +40,7 @@
   own_actions_.push_back({.kind = ActionKind::reject,
                           .id = request.id,
                           .time = admission.retry_after,
-                          .refusal = RefusalReason::limit});
+                          .refusal = RefusalReason::limit_exceeded});
   return false;
 }
 
@@ -59,7 +59,7 @@
                           .id = id,
                           .time = denial.retry_after ? std::max<Time>(1, *denial.retry_after) : 0,
                           .allowance = std::move(allowance),
-                          .refusal = RefusalReason::limit});
+                          .refusal = RefusalReason::limit_exceeded});
 }
 
 std::shared_ptr<const Allowance> AdmissionController::allowance_of(const QuotaSubject& subject) {
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -121,7 +121,7 @@
                           .id = id,
                           .time = retry_after,
                           .allowance = std::move(allowance),
-                          .refusal = RefusalReason::limit});
+                          .refusal = RefusalReason::limit_exceeded});
   open_.erase(id);
 }
 
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -43,10 +43,10 @@
     case RefusalReason::none: return "not rejected by the policy";
     case RefusalReason::overload: return "load shedding";
     case RefusalReason::no_replica: return "no replica available";
-    case RefusalReason::not_allowed: return "no further attempt allowed";
+    case RefusalReason::attempt_not_allowed: return "no further attempt allowed";
     case RefusalReason::too_late: return "too late to be useful";
-    case RefusalReason::out_of_time: return "deadline exceeded";
-    case RefusalReason::limit: break;
+    case RefusalReason::deadline_exceeded: return "deadline exceeded";
+    case RefusalReason::limit_exceeded: break;
   }
   return "limit reached";
 }
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -33,7 +33,7 @@
 
 void RequestLifecycle::send(Time now, PendingRequest& pending, Replica& replica) {
   if (!may_send(now, pending, replica))
-    return end(pending, RefusalReason::not_allowed);  // nothing is left without an answer
+    return end(pending, RefusalReason::attempt_not_allowed);  // nothing is left without an answer
   pending.attempts.push_back({replica.listing.id, now});
   ++replica.in_flight;
   state_.actions.send(pending.request.id, replica.listing.id);
@@ -147,7 +147,7 @@
   if (pending.started) return;
   const bool late = now >= pending.useful_until;
   if (late) learn_from_answer_time(now, pending);
-  if (now >= pending.request.deadline) return end(pending, RefusalReason::out_of_time);
+  if (now >= pending.request.deadline) return end(pending, RefusalReason::deadline_exceeded);
   if (pending.attempts.empty()) return late ? end(pending, RefusalReason::too_late) : route(now, pending);
   if (!late) {
     review_silent_attempt(now, pending);
