--- a/include/thornwick/settings.hpp
+++ b/include/thornwick/settings.hpp
@@ -62,10 +62,10 @@
   std::vector<ClassSettings> classes;  // one at least
   std::vector<TenantSettings> tenants;
   double over_share_weight = 1;          // factor on the weight of a request beyond its tenant's share
-  double cross_zone_price = 0;           // cost of an attempt that leaves the zone, as part of a mean weight
+  double cross_zone_cost = 0;            // cost of an attempt that leaves the zone, as part of a mean weight
   bool discovery_by_polling = false;     // the endpoint list has to be asked for
   Time max_poll_interval = seconds(10);  // longest time without a subscription or a call; above 0
-  WeightSource weights = WeightSource::none;
+  WeightSource weight_source = WeightSource::none;
   std::vector<ReportField> report_fields;  // of the values in a load report, in their order
   bool may_cancel = false;
   bool may_probe = false;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -65,7 +65,7 @@
     settings.tenants.push_back({.share = member.share, .quota_per_s = 0});
   settings.over_share_weight = scenario_.over_share_weight;
   settings.discovery_by_polling = true;
-  settings.weights = WeightSource::nominal;
+  settings.weight_source = WeightSource::nominal;
   settings.may_cancel = true;
   settings.may_message_peers = scenario_.peers;
   settings.retry_after = scenario_.retry_after;
--- a/src/simulator_adapter/settings_text.cpp
+++ b/src/simulator_adapter/settings_text.cpp
@@ -179,9 +179,9 @@
     settings.tenants.push_back({text.real(prefix + "share", 0), text.real(prefix + "quotaPerS", 0)});
   }
   settings.over_share_weight = text.real("overShareWorth", 1);
-  settings.cross_zone_price = text.real("prices.crossZone", 0);
+  settings.cross_zone_cost = text.real("prices.crossZone", 0);
   settings.discovery_by_polling = text.text("registryMode") == "ask";
-  settings.weights = parse_weights(text.text("weights"));
+  settings.weight_source = parse_weights(text.text("weights"));
   for (const auto& field : text.list("report.fields")) settings.report_fields.push_back(parse_field(field));
   parse_limits(text, settings);
   return settings;
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -285,7 +285,7 @@
 
 TEST(RuleWarmingUpReplicas, TheLiveWeightOfAWarmingUpReplicaCountsAsTheWarmMeanAtMost) {
   auto settings = plain_settings();
-  settings.weights = WeightSource::live;
+  settings.weight_source = WeightSource::live;
   PolicyFixture fixture(settings);
   // Overloaded replicas list a tenth of their size; the idle newcomer lists its full size.
   fixture.list({{.id = 10, .weight = 0.1f},
--- a/tests/policy/routing_policy_test.cpp
+++ b/tests/policy/routing_policy_test.cpp
@@ -76,7 +76,7 @@
 
 TEST(OrdinaryPath, GivesIntervalsInProportionToWeight) {
   auto settings = plain_settings();
-  settings.weights = WeightSource::nominal;
+  settings.weight_source = WeightSource::nominal;
   PolicyFixture fixture(settings);
   fixture.list({{.id = 1, .weight = 3}, {.id = 2, .weight = 1}});
   fixture.learn_sizes(200, 0, 1000);
--- a/tests/recordings/decisions.cpp
+++ b/tests/recordings/decisions.cpp
@@ -71,10 +71,10 @@
   settings.classes = {safe_class(), keyed_class(DedupScope::zone), unsafe_class()};
   settings.tenants = {{.share = 0.7}, {.share = 0.3, .quota_per_s = 20}};
   settings.over_share_weight = 0.5;
-  settings.cross_zone_price = 0.02;
+  settings.cross_zone_cost = 0.02;
   settings.discovery_by_polling = true;
   settings.max_poll_interval = kSecond;
-  settings.weights = WeightSource::nominal;
+  settings.weight_source = WeightSource::nominal;
   settings.report_fields = {ReportField::backlog};
   settings.may_cancel = true;
   settings.may_probe = true;
@@ -97,7 +97,7 @@
   settings.over_share_weight = 0.05;
   settings.discovery_by_polling = true;
   settings.max_poll_interval = seconds(4);
-  settings.weights = WeightSource::live;
+  settings.weight_source = WeightSource::live;
   settings.may_cancel = true;
   settings.hedging = true;
   settings.retry_after = true;
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -188,7 +188,7 @@
   EXPECT_EQ(s.zone, 2);
   EXPECT_EQ(s.zone_count, 3);
   EXPECT_TRUE(s.discovery_by_polling);
-  EXPECT_EQ(s.weights, WeightSource::live);
+  EXPECT_EQ(s.weight_source, WeightSource::live);
   EXPECT_EQ(s.report_fields,
             (std::vector{ReportField::unread_kilotokens, ReportField::backlog, ReportField::unknown}));
   EXPECT_EQ(s.tenants[0].share, 0.26);
