--- a/bench/affinity.cpp
+++ b/bench/affinity.cpp
@@ -133,7 +133,7 @@
     request.max_tokens = 100;
     const CacheHint cache_hint = affinity_table.recall(now, request);
     const ReplicaId replica =
-        cache_hint.known ? cache_hint.replica : static_cast<ReplicaId>(1 + request.session % replicas);
+        cache_hint.has_replica ? cache_hint.replica : static_cast<ReplicaId>(1 + request.session % replicas);
     const auto was = affinity_table.on_answer_started(now, request, replica);
     affinity_table.on_answer_complete(now += 100, request, replica, was, was.tokens, 50);
   }
--- a/include/thornwick/events.hpp
+++ b/include/thornwick/events.hpp
@@ -35,11 +35,11 @@
 
 // Where the prompt of a request is expected to be cached (src/affinity/). The policy may ignore it.
 struct CacheHint {
-  bool known = false;      // the next three are set
-  ReplicaId replica = 0;   // has most of the prompt cached
-  double tokens = 0;       // expected to be found there: cached tokens times confidence
-  double confidence = 0;   // 0..1
-  double cached_size = 0;  // size of the session's request that filled the cache; 0: it has none
+  bool has_replica = false;    // the next three are set
+  ReplicaId replica = 0;       // has most of the prompt cached
+  double expected_tokens = 0;  // expected to be found there: cached tokens times confidence
+  double confidence = 0;       // 0..1
+  double cached_size = 0;      // size of the session's request that filled the cache; 0: it has none
 };
 
 struct Request {
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -23,9 +23,9 @@
   if (match.copy == nullptr || match.expected_tokens() < kMinCachedTokens) return hint;
   if (!trust_.allow_hint(match.copy->replica)) return hint;
   hint.replica = replicas_.at(match.copy->replica).id;
-  hint.tokens = match.expected_tokens();
+  hint.expected_tokens = match.expected_tokens();
   hint.confidence = match.confidence;
-  hint.known = true;
+  hint.has_replica = true;
   ++metrics_.recalled;
   return hint;
 }
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -23,7 +23,7 @@
 std::string_view choice_reason(const core::RequestSummary& summary) {
   const CacheHint& cache_hint = summary.request.cache_hint;
   if (summary.attempts > 1) return "retry";
-  return cache_hint.known && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
+  return cache_hint.has_replica && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
 }
 
 std::string_view name_of(core::Ending ending) {
@@ -59,7 +59,7 @@
           .with("request", summary.external_id)
       << "served by " << field("replica", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
       << " cached=" << field("cached", summary.usage.cached) << " expected_cached="
-      << field("expected_cached", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
+      << field("expected_cached", static_cast<std::uint64_t>(summary.request.cache_hint.expected_tokens))
       << " reason=" << field("reason", choice_reason(summary));
 }
 
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -96,7 +96,7 @@
 
 std::size_t Placement::holder_in_band(const IntervalCut& cut, const Band& band, std::size_t owner,
                                       const CacheHint& hint) const {
-  if (!hint.known) return owner;
+  if (!hint.has_replica) return owner;
   for (std::size_t i = cut.member_at(band.low); i < cut.members.size(); ++i) {
     if (cut.lower_edge(i) >= band.high) break;
     if (cut.members[i]->listing.id != hint.replica) continue;
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -37,7 +37,8 @@
                " prefix_tokens=", request.prefix_tokens, " max_tokens=", request.max_tokens,
                " work=", request.work_hint, " session=", request.session, " prefix=", request.prefix,
                " client_repeat=", request.client_repeat, " resumed=", request.resumed,
-               " expected_cached_tokens=", request.cache_hint.tokens, " time_left=", request.deadline - now);
+               " expected_cached_tokens=", request.cache_hint.expected_tokens,
+               " time_left=", request.deadline - now);
     DeciderDecorator::on_request(now, request);
   }
   void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica,
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -75,8 +75,8 @@
       }
       const Request request = make_request(session, prompt_tokens);
       const CacheHint hint = affinity_table.recall(now, request);
-      const ReplicaId replica = hint.known ? hint.replica : static_cast<ReplicaId>(1 + session % 8);
-      hints += hint.known ? 1 : 0;
+      const ReplicaId replica = hint.has_replica ? hint.replica : static_cast<ReplicaId>(1 + session % 8);
+      hints += hint.has_replica ? 1 : 0;
       const auto cached = caches.find(session);
       const bool hit = cached != caches.end() && cached->second.replica == replica;
       answer(request, replica, hit ? cached->second.tokens : 0);
@@ -105,10 +105,10 @@
   CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1000)).known);
   fixture.answer(make_request(7, 1000), 3, 0);
   const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(7, 1500));
-  CHECK(hint.known);
+  CHECK(hint.has_replica);
   CHECK(hint.replica == 3);
-  CHECK(hint.tokens > 800);
-  CHECK(hint.tokens <= 1000);
+  CHECK(hint.expected_tokens > 800);
+  CHECK(hint.expected_tokens <= 1000);
   CHECK(hint.cached_size == 1100);
   fixture.answer(make_request(7, 1500), 3, 1000);
   CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1800)).cached_size == 1100);
@@ -149,7 +149,7 @@
   std::map<ReplicaId, int> chosen;
   for (std::uint64_t session = 1000; session < 1400; ++session) {
     const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(session, 5000, 55, 4000));
-    REQUIRE(hint.known);
+    REQUIRE(hint.has_replica);
     CHECK(hint.cached_size == 0);
     ++chosen[hint.replica];
   }
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -77,10 +77,10 @@
   int known = 0;
   for (std::uint64_t session = 1; session <= 400; ++session) {
     const CacheHint cache_hint = router.affinity_table.recall(router.now, request_in_session(session, 2500));
-    if (cache_hint.known) CHECK(cache_hint.replica == 1);
-    known += cache_hint.known ? 1 : 0;
+    if (cache_hint.has_replica) CHECK(cache_hint.replica == 1);
+    known += cache_hint.has_replica ? 1 : 0;
     // Of the sessions of the other replicas only the shared prefix may be found, at replica 1.
-    if (session % 4 == 0) CHECK((cache_hint.known && cache_hint.tokens > 600));
+    if (session % 4 == 0) CHECK((cache_hint.has_replica && cache_hint.expected_tokens > 600));
   }
   CHECK(known >= 100);
 }
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -156,9 +156,9 @@
 
 CacheHint RouterPlayer::make_belief() {
   if (!random_.percent(35)) return {};
-  return {.known = random_.percent(90),
+  return {.has_replica = random_.percent(90),
           .replica = any_replica(),
-          .tokens = static_cast<double>(random_.below(4000)),
+          .expected_tokens = static_cast<double>(random_.below(4000)),
           .confidence = static_cast<double>(random_.below(5)) / 4,
           .cached_size = static_cast<double>(random_.below(3) * random_.below(3000))};
 }
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -98,7 +98,7 @@
   request.id = 5, request.priority_class = 1, request.tenant = 2, request.prompt_tokens = 640,
   request.prefix_tokens = 320;
   request.max_tokens = 77, request.work_hint = 1234, request.session = 31, request.prefix = 42;
-  request.client_repeat = true, request.deadline = now + 900'000, request.cache_hint.tokens = 16;
+  request.client_repeat = true, request.deadline = now + 900'000, request.cache_hint.expected_tokens = 16;
   decider.on_request(now++, request);
   decider.on_first_token(now++, 5, 1, 2, 20'000);
   for (const auto outcome :
