--- a/include/thornwick/routing_policy.hpp
+++ b/include/thornwick/routing_policy.hpp
@@ -52,7 +52,7 @@
   LearnedState learned_state() const;
   // Takes over a predecessor's, once the endpoint list is known. Values out of range, and what concerns
   // replicas that are not listed, are passed over.
-  void learn(const LearnedState& learned_state);
+  void restore_learned_state(const LearnedState& learned_state);
   // The listed, ready replicas that get nothing now because they failed.
   std::vector<ReplicaId> ejected(Time now) const;
 
--- a/src/core/decider.cpp
+++ b/src/core/decider.cpp
@@ -29,7 +29,7 @@
   }
   void on_shared_send(ReplicaId replica) override { policy_.on_shared_send(replica); }
   LearnedState learned_state() const override { return policy_.learned_state(); }
-  void learn(const LearnedState& learned_state) override { policy_.learn(learned_state); }
+  void learn(const LearnedState& learned_state) override { policy_.restore_learned_state(learned_state); }
   std::vector<ReplicaId> ejected(Time now) const override { return policy_.ejected(now); }
   std::vector<Action> take_actions() override { return policy_.take_actions(); }
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -72,7 +72,7 @@
 
 LearnedState RoutingPolicy::learned_state() const { return export_learned_state(state_->data); }
 
-void RoutingPolicy::learn(const LearnedState& learned_state) {
+void RoutingPolicy::restore_learned_state(const LearnedState& learned_state) {
   import_learned_state(state_->data, learned_state,
                        {.max_samples = WorkDistribution::max_samples(),
                         .max_prefixes = WorkDistribution::max_prefixes(),
--- a/tests/lifecycle/handover_state.cpp
+++ b/tests/lifecycle/handover_state.cpp
@@ -68,7 +68,7 @@
   REQUIRE(learned_state);
   RoutingPolicy second(settings(), now);
   second.on_endpoints(now, EndpointUpdate::cached, replicas());
-  second.learn(*learned_state);
+  second.restore_learned_state(*learned_state);
   // The successor cuts by size from the first request on, and the ejected replica gets nothing.
   Time successor_time = now;
   const auto sent = send_requests(second, successor_time, 40, 0);
@@ -80,7 +80,7 @@
   fresh[2].started_at = now;
   RoutingPolicy third(settings(), now);
   third.on_endpoints(now, EndpointUpdate::cached, fresh);
-  third.learn(*learned_state);
+  third.restore_learned_state(*learned_state);
   send_requests(third, successor_time, 40, 0);
   CHECK(third.ejected(successor_time).empty());
 }
@@ -100,7 +100,7 @@
   const std::string bytes = persistence::encode_handover_state(bad, nullptr);
   const auto read = persistence::decode_handover_state(bytes, now, nullptr);
   REQUIRE(read);
-  router.learn(*read);
+  router.restore_learned_state(*read);
   CHECK(send_requests(router, now, 40, 0).size() == 40);
   CHECK(router.learned_state().load_shedding == 0);
   CHECK(router.learned_state().zone_overflow == 0);
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -335,7 +335,7 @@
   take_actions();
   tell_full_list(EndpointUpdate::full);
   if (recording_.restarts % 2 == 0) add_senseless(learned_state);
-  router_->learn(learned_state);
+  router_->restore_learned_state(learned_state);
   take_actions();
 }
 
