--- a/src/affinity/copy_lookup.cpp
+++ b/src/affinity/copy_lookup.cpp
@@ -79,7 +79,7 @@
     if (weight < kMinCachedTokens) continue;
     ++available;
     const std::uint64_t hash = seeded_hash(request.session, replicas_.at(copy.replica).id);
-    const double score = -std::log(unit(hash)) / weight;
+    const double score = -std::log(unit_interval(hash)) / weight;
     if (score < best_score) {
       best_score = score;
       selected = candidate;
--- a/src/core/drain_tracker.cpp
+++ b/src/core/drain_tracker.cpp
@@ -117,7 +117,7 @@
 void DrainTracker::schedule_report(Time now, const Endpoint& replica) {
   if (peer_reports_.erase(replica.id) > 0 || pending_reports_.size() >= kMaxKeptReports) return;
   random_ = mix(random_);
-  const Time send_at = now + static_cast<Time>(unit(random_) * static_cast<double>(max_delay()));
+  const Time send_at = now + static_cast<Time>(unit_interval(random_) * static_cast<double>(max_delay()));
   pending_reports_[replica.id] = {
       .start = start_stamp(replica), .send_at = send_at, .repeats_left = is_small_group() ? kRepeats : 0};
   set_timer(send_at);
--- a/src/emulator/baseline_policies.cpp
+++ b/src/emulator/baseline_policies.cpp
@@ -182,7 +182,7 @@
     double best_score = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < ready().size(); ++i) {
       const double divisor = weighting == Weighting::by_capacity ? weight(i) : 1;
-      const double score = -std::log(unit(mix(key ^ mix(ready()[i])))) / divisor;
+      const double score = -std::log(unit_interval(mix(key ^ mix(ready()[i])))) / divisor;
       if (score >= best_score) continue;
       best_score = score;
       best = i;
--- a/src/emulator/model_replica.cpp
+++ b/src/emulator/model_replica.cpp
@@ -70,7 +70,7 @@
   }
 
   void void_cached(double part) override {
-    cache_.erase_if([part](std::uint64_t key) { return unit(mix(key)) < part; });
+    cache_.erase_if([part](std::uint64_t key) { return unit_interval(mix(key)) < part; });
   }
 
   EngineLoad load() const override {
--- a/src/membership/random_sequence.cpp
+++ b/src/membership/random_sequence.cpp
@@ -11,7 +11,7 @@
 
 std::uint64_t RandomSequence::draw() { return mix(counter_ += kIncrement); }
 
-double RandomSequence::unit() { return thornwick::unit(draw()); }
+double RandomSequence::unit() { return thornwick::unit_interval(draw()); }
 
 std::size_t RandomSequence::below(std::size_t count) { return static_cast<std::size_t>(draw() % count); }
 
--- a/src/net/links.cpp
+++ b/src/net/links.cpp
@@ -61,7 +61,7 @@
 void Links::schedule_retry(std::size_t member) {
   Peer& peer = peers_[member];
   if (!peer.kept) return;
-  const double jitter = kMinJitter + unit(next_random());
+  const double jitter = kMinJitter + unit_interval(next_random());
   peer.retry.start(static_cast<Time>(jitter * static_cast<double>(peer.retry_pause)),
                    [this, member] { dial(member); });
   peer.retry_pause = std::min(kMaxRetryPause, 2 * std::max(kMinRetryPause, peer.retry_pause));
--- a/src/policy/placement.cpp
+++ b/src/policy/placement.cpp
@@ -32,7 +32,7 @@
   const IntervalCut& remote = state_.remote_cut;
   // If all at home are cold, requests are rejected at random, so that it is not always the same sessions.
   const bool by_session = pending.request.session != 0 && home.any_warm;
-  const double position = by_session ? unit(mix(pending.request.session)) : state_.random.draw();
+  const double position = by_session ? unit_interval(mix(pending.request.session)) : state_.random.draw();
   if (!home.members.empty() && position < std::min(home.fill, 1 - state_.zone_overflow)) return &home;
   if (!remote.members.empty() && (remote.any_warm || position < remote.fill)) return &remote;
   const bool only_home = !home.members.empty() && remote.members.empty() && position < home.fill;
@@ -85,7 +85,7 @@
   for (std::size_t i = best; i < cut.members.size(); ++i) {
     const double share = std::min(band.high, cut.edges[i]) - std::max(band.low, cut.lower_edge(i));
     if (share <= 0) break;
-    const double score = -std::log(unit(mix(key ^ mix(cut.members[i]->listing.id)))) / share;
+    const double score = -std::log(unit_interval(mix(key ^ mix(cut.members[i]->listing.id)))) / share;
     if (score < best_score) {
       best_score = score;
       best = i;
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -49,7 +49,7 @@
   // The next number, between 0 and 1.
   double draw() {
     state_ = mix(state_);
-    return unit(state_);
+    return unit_interval(state_);
   }
   // A random pause between half of the given one and one and a half times it.
   Time jittered(Time pause) { return static_cast<Time>((0.5 + draw()) * static_cast<double>(pause)); }
--- a/src/random/hashing.hpp
+++ b/src/random/hashing.hpp
@@ -16,6 +16,8 @@
 }
 
 // Maps 64 random bits to a number between 0 and 1, both excluded.
-inline double unit(std::uint64_t bits) { return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53; }
+inline double unit_interval(std::uint64_t bits) {
+  return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53;
+}
 
 }  // namespace thornwick
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -143,7 +143,7 @@
     }
     const auto* told = head.find("X-Lab-Made");  // how long the answer is: a load generator knows its day
     const double guess =
-        std::ceil(request.max_tokens * (0.3 + 0.6 * unit(mix(std::hash<std::string>{}(*id)))));
+        std::ceil(request.max_tokens * (0.3 + 0.6 * unit_interval(mix(std::hash<std::string>{}(*id)))));
     const double generated = std::max(1.0, told != nullptr ? number_in(*told, "", guess) : guess);
     const emulator::Job job = ++last_job_;
     if (!drawn_.engine->offer(net::now_us(), {.job = job,
