--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -56,7 +56,7 @@
     for (std::size_t i = 0; i < kIdBytes; ++i) {
       bytes += static_cast<char>(item.replica >> (kBitsPerByte * i) & kByteMask);
     }
-    bytes += static_cast<char>(item.seen);
+    bytes += static_cast<char>(item.observation);
   }
   pending_.clear();
   return bytes;
@@ -66,7 +66,7 @@
   std::vector<GossipItem> items;
   if (peer < kMaxPeers) items = parse_items(message);
   if (items.empty()) {
-    ++unreadable_;
+    ++malformed_messages_;
     return {};
   }
   limit_rate(now, peer, items);
@@ -82,7 +82,7 @@
   bucket.updated = now;
   const auto allowed = static_cast<std::size_t>(bucket.allowance);
   if (items.size() > allowed) {
-    ignored_ += items.size() - allowed;
+    rate_limited_items_ += items.size() - allowed;
     items.resize(allowed);
   }
   bucket.allowance -= static_cast<double>(items.size());
--- a/src/gossip/gossip.hpp
+++ b/src/gossip/gossip.hpp
@@ -41,7 +41,7 @@
 // One observation of one replica.
 struct GossipItem {
   ReplicaId replica = 0;
-  Observation seen = Observation::failed;
+  Observation observation = Observation::failed;
 };
 
 // Gathers the items of this router into messages and reads those of its peers. Does no I/O, and is not
@@ -66,9 +66,9 @@
                                              std::span<const std::uint8_t> message);
 
   // Messages of peers that could not be decoded.
-  std::uint64_t unreadable() const { return unreadable_; }
+  std::uint64_t malformed_messages() const { return malformed_messages_; }
   // Items that were dropped because their peer exceeded its rate.
-  std::uint64_t ignored() const { return ignored_; }
+  std::uint64_t rate_limited_items() const { return rate_limited_items_; }
 
  private:
   // A token bucket of items.
@@ -82,8 +82,8 @@
 
   std::vector<GossipItem> pending_;
   std::vector<Peer> peers_;  // by rank
-  std::uint64_t unreadable_ = 0;
-  std::uint64_t ignored_ = 0;
+  std::uint64_t malformed_messages_ = 0;
+  std::uint64_t rate_limited_items_ = 0;
 };
 
 }  // namespace thornwick
--- a/src/policy/interval_cuts.cpp
+++ b/src/policy/interval_cuts.cpp
@@ -58,11 +58,9 @@
 }
 
 double IntervalCuts::share_of(Time now, Side side, const Replica& replica, const Totals& totals) const {
-  // If most of a side is ejected, the fault is elsewhere, and ejecting all would leave nobody to serve.
   const bool trust_ejections = totals.ejected <= kMaxEjectedPart * totals.all;
   const double warmth = health_.warmth(now, replica);
   double share = health_.capacity_of(replica) * (trust_ejections ? health_.recovery(now, replica) : 1);
-  // The live weight of a cold replica is high because it is idle, so it is cut to the mean of the warm ones.
   if (totals.warm_count > 0 && warmth < 1)
     share = side == Side::home ? std::min(share, totals.warm / totals.warm_count) : 0;
   return share * (shares_observations(state_.settings) ? warmth * (2 - warmth) : warmth);
--- a/src/policy/interval_cuts.hpp
+++ b/src/policy/interval_cuts.hpp
@@ -37,8 +37,12 @@
   IntervalCut cut_over(Time now, Side side);
   // Makes the side's ready replicas the members of the cut.
   Totals collect_members(Time now, Side side, IntervalCut& cut);
-  // A replica's share of the side's work, in units of capacity; 0: it gets none. Depends on its capacity, its
-  // recovery after an ejection and its warm-up.
+  // Returns the share of the side's work that a replica gets, in units of capacity; 0: none. The share
+  // depends on the replica's capacity, its recovery after an ejection, and its warm-up. If most of the side's
+  // capacity is ejected, the fault probably lies elsewhere, and ejections do not count: excluding all
+  // replicas would leave none to serve. A cold replica lists a high live weight because it is idle, so its
+  // share is at most the mean capacity of the warm replicas of the home side; a cold remote replica gets none
+  // while another remote replica is warm.
   double share_of(Time now, Side side, const Replica& replica, const Totals& totals) const;
 
   // Whether a replica is on the home side: for a router of a group, every one; for a router without peers,
--- a/src/policy/peer_observations.cpp
+++ b/src/policy/peer_observations.cpp
@@ -31,10 +31,12 @@
 void PeerObservations::apply(Time now, const GossipItem& item) {
   Replica* replica = state_.find_replica(item.replica);
   if (replica == nullptr) return;
-  if (item.seen == Observation::failed) health_.on_reported_failure(now, *replica, FailureCost::quick);
-  if (item.seen == Observation::unreachable) health_.on_reported_failure(now, *replica, FailureCost::slow);
-  if (item.seen == Observation::late) overload_.on_reported_late_answer();
-  if (item.seen == Observation::late || item.seen == Observation::slow) health_.slow_down(*replica);
+  if (item.observation == Observation::failed) health_.on_reported_failure(now, *replica, FailureCost::quick);
+  if (item.observation == Observation::unreachable)
+    health_.on_reported_failure(now, *replica, FailureCost::slow);
+  if (item.observation == Observation::late) overload_.on_reported_late_answer();
+  if (item.observation == Observation::late || item.observation == Observation::slow)
+    health_.slow_down(*replica);
 }
 
 void PeerObservations::on_timer(std::uint32_t token) {
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -98,9 +98,9 @@
   REQUIRE(read.size() == kNotes.size());
   for (std::size_t i = 0; i < kNotes.size(); ++i) {
     CHECK(read[i].replica == kNotes[i].replica);
-    CHECK(read[i].seen == kNotes[i].seen);
+    CHECK(read[i].observation == kNotes[i].observation);
   }
-  CHECK(notes.unreadable() == 0);
+  CHECK(notes.malformed_messages() == 0);
 }
 
 TEST_CASE("gossip: the same items are written as the committed datagram") {
--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -58,7 +58,7 @@
   const auto read = gossip.read(kSecond, 7, bytes_of(text));
   ASSERT_EQ(read.size(), Gossip::kMaxItems);
   EXPECT_EQ(read.back().replica, 0xfffffff0u - 49);
-  EXPECT_EQ(read.back().seen, Observation::late);
+  EXPECT_EQ(read.back().observation, Observation::late);
 }
 
 TEST(Gossip, ATruncatedForeignOrTooLongMessageIsIgnored) {
@@ -78,7 +78,7 @@
   }
   EXPECT_TRUE(gossip.read(kSecond, 1, std::vector<std::uint8_t>(2000, 0x54)).empty());
   EXPECT_TRUE(gossip.read(kSecond, 1'000'000, good).empty());
-  EXPECT_EQ(gossip.unreadable(), bad + 2);
+  EXPECT_EQ(gossip.malformed_messages(), bad + 2);
 }
 
 TEST(Gossip, ItemsBeyondThePeersRateAreIgnored) {
@@ -88,7 +88,7 @@
   for (int i = 0; i < 100; ++i) accepted += gossip.read(kSecond + i * 10'000, 5, full).size();
   EXPECT_GE(accepted, 100u);
   EXPECT_LE(accepted, 200u);
-  EXPECT_EQ(accepted + gossip.ignored(), 5000u);
+  EXPECT_EQ(accepted + gossip.rate_limited_items(), 5000u);
   EXPECT_EQ(gossip.read(kSecond, 6, full).size(), 50u);  // others are read as before
 }
 
