--- a/include/thornwick/settings.hpp
+++ b/include/thornwick/settings.hpp
@@ -20,8 +20,8 @@
 
 // A class of request. Objectives and deadlines must be above 0.
 struct ClassSettings {
-  double priority_weight = 1;  // of a request answered within its latency objective
-  double late_weight = 0;      // proportion of it that is left between the objective and the deadline
+  double priority_weight = 1;       // of a request answered within its latency objective
+  double late_weight_fraction = 0;  // proportion of it that is left between the objective and the deadline
   Time latency_objective = seconds(1);                // wanted time to the first token (or to the answer)
   Time latency_objective_per_1000_prompt_tokens = 0;  // is added to it
   double latency_objective_stretch = 0;  // the objective also grows by this multiple of work_hint
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -41,7 +41,7 @@
 ClassSettings class_settings(const RequestClass& request_class) {
   ClassSettings settings;
   settings.priority_weight = request_class.priority_weight;
-  settings.late_weight = request_class.late_weight;
+  settings.late_weight_fraction = request_class.late_weight;
   settings.latency_objective = from_milliseconds(request_class.latency_objective_ms);
   settings.latency_objective_per_1000_prompt_tokens =
       from_milliseconds(request_class.latency_objective_ms_per_k);
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -153,7 +153,7 @@
     review_silent_attempt(now, pending);
     return set_review(pending, pending.useful_until);
   }
-  const bool worthless = state_.settings.classes[pending.request.priority_class].late_weight <= 0;
+  const bool worthless = state_.settings.classes[pending.request.priority_class].late_weight_fraction <= 0;
   if (worthless && may_reject(pending)) return end(pending, RefusalReason::too_late);
   set_review(pending, pending.request.deadline);
 }
--- a/src/simulator_adapter/settings_text.cpp
+++ b/src/simulator_adapter/settings_text.cpp
@@ -122,7 +122,7 @@
   const std::string prefix = "grades." + std::to_string(index) + ".";
   ClassSettings settings;
   settings.priority_weight = text.real(prefix + "credit", settings.priority_weight);
-  settings.late_weight = text.real(prefix + "lateValue", 0);
+  settings.late_weight_fraction = text.real(prefix + "lateValue", 0);
   settings.latency_objective = text.time(prefix + "objective", settings.latency_objective);
   settings.latency_objective_stretch = text.real(prefix + "aimStretch", 0);
   settings.deadline = text.time(prefix + "deadline", settings.deadline);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -16,9 +16,14 @@
 Settings settings() {
   Settings s;
   s.seed = 11;
-  s.classes = {
-      {.priority_weight = 5, .late_weight = 0.3, .latency_objective = 1'000'000, .deadline = 5'000'000},
-      {.priority_weight = 1, .late_weight = 0.3, .latency_objective = 1'000'000, .deadline = 5'000'000}};
+  s.classes = {{.priority_weight = 5,
+                .late_weight_fraction = 0.3,
+                .latency_objective = 1'000'000,
+                .deadline = 5'000'000},
+               {.priority_weight = 1,
+                .late_weight_fraction = 0.3,
+                .latency_objective = 1'000'000,
+                .deadline = 5'000'000}};
   s.tenants = {{.share = 0.37}, {.share = 0.36}, {.share = 0.27}};
   s.may_cancel = true, s.retry_after = true, s.max_retry_after = 2'000'000, s.max_attempts = 5;
   s.drain_grace = 500'000, s.initial_capacity = 0.3, s.warm_up = 6'000'000, s.overload_multiple = 3,
--- a/tests/recordings/decisions.cpp
+++ b/tests/recordings/decisions.cpp
@@ -15,7 +15,7 @@
 
 ClassSettings safe_class() {
   return {.priority_weight = 3,
-          .late_weight = 0.25,
+          .late_weight_fraction = 0.25,
           .latency_objective = 1500 * kMillisecond,
           .latency_objective_per_1000_prompt_tokens = 60 * kMillisecond,
           .deadline = seconds(6)};
--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -53,7 +53,7 @@
     const ClassSettings& cls = settings.classes[i];
     FieldWriter(fields, numbered("class", i))
         .add("worth", cls.priority_weight)
-        .add("late worth", cls.late_weight)
+        .add("late worth", cls.late_weight_fraction)
         .add("aim", cls.latency_objective)
         .add("aim for 1000 prompt tokens", cls.latency_objective_per_1000_prompt_tokens)
         .add("aim stretch", cls.latency_objective_stretch)
