--- a/include/thornwick/actions.hpp
+++ b/include/thornwick/actions.hpp
@@ -1,4 +1,4 @@
-// What a router's policy wants done.
+// The actions that a routing policy decides, for the router to carry out.
 #pragma once
 
 #include <cstdint>
@@ -10,35 +10,35 @@
 namespace thornwick {
 
 enum class ActionKind {
-  send,    // the request to a replica
-  reject,  // answer the client that nothing was done and a repeat does no harm
-  fail,    // answer the client without that assurance
-  cancel,  // an attempt
-  set_timer,
+  send,             // send the request to a replica
+  reject,           // answer the client that nothing was done, so that a repeat does no harm
+  fail,             // answer the client without that assurance
+  cancel,           // cancel an attempt
+  set_timer,        // call on_timer at a given time
   watch_endpoints,  // subscribe to the endpoint list
-  fetch_endpoints,
-  probe,
-  message_peer
+  fetch_endpoints,  // request the endpoint list once
+  probe,            // probe a replica
+  message_peer      // send a message to one or all peers
 };
 
-// What is left of the limits that a request counts against (src/budgets/): the tightest of them, for its
-// client. Or why no replica could be asked at all (src/models/).
+// The state of the limits that a request counts against (src/budgets/): that of the tightest limit, for the
+// client. Or the reason for which no replica could be asked at all (src/models/).
 struct Allowance {
   enum class Rejection { none, limit_exceeded, context_exceeded, no_replica };
   Rejection rejection = Rejection::none;
   double limit = 0, remaining = 0;  // tokens
-  Time reset_in = 0;                // microseconds until all of it is there again
-  std::string subject;              // whose limit it is, in a few words
+  Time reset_in = 0;                // microseconds until the whole limit is available again
+  std::string subject;              // name of the account that is limited, or of the model
 };
 
 // Why a policy ends a request without an answer, for the log.
 enum class RefusalReason {
-  none,                 // not given
+  none,                 // no reason given
   overload,             // load shedding
-  no_replica,           // nobody may be asked, or nobody else
-  attempt_not_allowed,  // a repeat is not allowed: attempts, effect of the class, or the replica drains
-  too_late,             // an answer would be worth nothing any more
-  deadline_exceeded,    // its deadline is over
+  no_replica,           // no replica, or no other one, may be asked
+  attempt_not_allowed,  // limit on attempts, effect of the class, or a replica that is not ready
+  too_late,             // the latency objective has passed, and an answer would be worth nothing
+  deadline_exceeded,    // the deadline of the request has passed
   limit_exceeded        // a budget or the model catalogue; see the allowance
 };
 
@@ -47,12 +47,12 @@
   ActionKind kind = ActionKind::send;
   RequestId id = 0;
   ReplicaId replica = 0;
-  std::uint8_t attempt = 0;  // cancel: which attempt
-  Time time = 0;             // send: time-out (0: until due); set_timer: when; reject, fail: advised absence
-  std::uint32_t token = 0;   // set_timer: handed back by on_timer; message_peer: the peer's rank
+  std::uint8_t attempt = 0;  // cancel: the number of the attempt
+  Time time = 0;  // send: time-out, 0: until the deadline; set_timer: time point; reject, fail: Retry-After
+  std::uint32_t token = 0;   // set_timer: argument of on_timer; message_peer: rank of the peer
   std::string message = {};  // message_peer
-  std::uint16_t model = 0;  // send: what the replica is to serve, by its number in the catalogue; 0: as asked
-  std::shared_ptr<const Allowance> allowance = {};  // send, reject, fail; none: no limit applies
+  std::uint16_t model = 0;   // send: number in the catalogue of the model to serve; 0: the one requested
+  std::shared_ptr<const Allowance> allowance = {};  // send, reject, fail; nullptr: no limit applies
   RefusalReason refusal = RefusalReason::none;      // reject, fail
 };
 
--- a/include/thornwick/learned_state.hpp
+++ b/include/thornwick/learned_state.hpp
@@ -8,9 +8,9 @@
 
 namespace thornwick {
 
-// Everything that a policy has learned and that a successor at the same place can use. It holds no request in
-// flight. The struct makes no promise about its values: whoever imports it checks each one, since it may come
-// from a file or from another process.
+// Everything that a policy has learned and that a successor of the same router can use. Requests in flight
+// are not included. The struct does not guarantee valid values: whoever imports it checks each value, because
+// it may come from a file or from another process.
 struct LearnedState {
   // A recent request: its size in tokens (0 or more) and its work (above 0), in the unit of
   // Request::work_hint.
@@ -29,10 +29,10 @@
 
   struct Replica {
     ReplicaId id = 0;
-    Time started_at = 0;      // start time of the process that this was learned of; 0: long ago
-    int failure_points = 0;   // of failures in a row; 0: none
-    Time ejected_until = 0;   // 0: it was never ejected
-    double speed_factor = 1;  // 0..1; factor on its listed weight
+    Time started_at = 0;      // start of the replica's process when this was learned; 0: long ago
+    int failure_points = 0;   // points for consecutive failures; 0: none
+    Time ejected_until = 0;   // 0: never ejected
+    double speed_factor = 1;  // 0..1; factor on the listed weight
     bool operator==(const Replica&) const = default;
   };
 
@@ -45,12 +45,12 @@
 
   std::vector<RequestSample> samples;  // the oldest first
   std::vector<PrefixWork> prefixes;
-  std::vector<Replica> replicas;  // as they were listed
+  std::vector<Replica> replicas;  // those that were listed
   std::vector<KindSpeed> kind_speeds;
   std::vector<double>
       tenant_usage;          // decayed number of requests of each tenant, in the order of the settings
-  double zone_overflow = 0;  // 0..1; part of the sessions that leaves its zone
-  double load_shedding = 0;  // 0..1; part of the arrivals that is rejected
+  double zone_overflow = 0;  // 0..1; fraction of the sessions that are sent to other zones
+  double load_shedding = 0;  // 0..1; fraction of the arrivals that are rejected
 
   bool operator==(const LearnedState&) const = default;
 };
