--- a/include/thornwick/routing_policy.hpp
+++ b/include/thornwick/routing_policy.hpp
@@ -37,7 +37,7 @@
   // An attempt has ended.
   void on_attempt_result(Time now, const AttemptResult& result);
   // The client no longer wants an answer.
-  void on_client_gone(Time now, RequestId id);
+  void on_client_disconnected(Time now, RequestId id);
   // A timer that an action has set is due.
   void on_timer(Time now, std::uint32_t token);
   // A replica that serves other pools too has been sent a request by another module. How that ends comes as
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -127,7 +127,7 @@
 // The inner decider forgets the request, and that it wanted to send anything.
 void AdmissionController::abandon_retry(std::uint8_t attempt, const Action& send, const Denial& denial) {
   open_.erase(send.id);
-  inner_->on_client_gone(now_, send.id);
+  inner_->on_client_disconnected(now_, send.id);
   inner_->on_attempt_result(
       now_, {.id = send.id, .attempt = attempt, .replica = send.replica, .outcome = Outcome::not_sent});
   reject(send.id, denial);
@@ -181,10 +181,10 @@
   open_.erase(id);
 }
 
-void AdmissionController::on_client_gone(Time now, RequestId id) {
+void AdmissionController::on_client_disconnected(Time now, RequestId id) {
   now_ = now;
   if (OpenRequest* open = open_.find(id)) conclude(id, *open);
-  inner_->on_client_gone(now, id);
+  inner_->on_client_disconnected(now, id);
 }
 
 // ---------------------------------------------------------------- handed on
--- a/src/budgets/admission_controller.hpp
+++ b/src/budgets/admission_controller.hpp
@@ -27,7 +27,7 @@
   void on_request(Time now, const Request& request) override;
   void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica, Time elapsed) override;
   void on_attempt_result(Time now, const AttemptResult& result) override;
-  void on_client_gone(Time now, RequestId id) override;
+  void on_client_disconnected(Time now, RequestId id) override;
   void on_timer(Time now, std::uint32_t token) override;
   std::vector<Action> take_actions() override;
 
--- a/src/core/decider.cpp
+++ b/src/core/decider.cpp
@@ -19,7 +19,7 @@
   void on_attempt_result(Time now, const AttemptResult& result) override {
     policy_.on_attempt_result(now, result);
   }
-  void on_client_gone(Time now, RequestId id) override { policy_.on_client_gone(now, id); }
+  void on_client_disconnected(Time now, RequestId id) override { policy_.on_client_disconnected(now, id); }
   void on_timer(Time now, std::uint32_t token) override { policy_.on_timer(now, token); }
   void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override {
     policy_.on_probe_result(now, replica, alive, report);
--- a/src/core/decider.hpp
+++ b/src/core/decider.hpp
@@ -26,7 +26,7 @@
   virtual void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica,
                               Time elapsed) = 0;
   virtual void on_attempt_result(Time now, const AttemptResult& result) = 0;
-  virtual void on_client_gone(Time now, RequestId id) = 0;
+  virtual void on_client_disconnected(Time now, RequestId id) = 0;
   virtual void on_timer(Time now, std::uint32_t token) = 0;
   virtual void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) = 0;
   virtual void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) = 0;
@@ -58,7 +58,7 @@
   void on_attempt_result(Time now, const AttemptResult& result) override {
     inner_->on_attempt_result(now, result);
   }
-  void on_client_gone(Time now, RequestId id) override { inner_->on_client_gone(now, id); }
+  void on_client_disconnected(Time now, RequestId id) override { inner_->on_client_disconnected(now, id); }
   void on_timer(Time now, std::uint32_t token) override { inner_->on_timer(now, token); }
   void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override {
     inner_->on_probe_result(now, replica, alive, report);
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -73,7 +73,7 @@
   failed,     // no attempt succeeded
   timed_out,  // no answer began before the deadline
   broken,     // the answer ended in the middle
-  client_gone
+  client_disconnected
 };
 
 // What became of one request, for counters and flow records. Times are microseconds on the core's clock.
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -72,12 +72,12 @@
   return id;
 }
 
-void RequestManager::client_gone(RequestId request_id) {
+void RequestManager::client_disconnected(RequestId request_id) {
   ActiveRequest* request = find_request(request_id);
   if (request == nullptr) return;
-  decider_->on_client_gone(now(), request_id);
+  decider_->on_client_disconnected(now(), request_id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
-  conclude(request_id, {.ending = Ending::client_gone});
+  conclude(request_id, {.ending = Ending::client_disconnected});
   apply_actions();
 }
 
@@ -87,7 +87,7 @@
   const ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return false;
   if (request->reply->client_connected()) return true;
-  client_gone(attempt.request_id);
+  client_disconnected(attempt.request_id);
   return false;
 }
 
@@ -238,7 +238,7 @@
   if (request == nullptr) return;
   request->deadline_timer.reset();
   if (request->answer_started()) return;
-  decider_->on_client_gone(now(), id);
+  decider_->on_client_disconnected(now(), id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
   // A request that never ran is rejected rather than failed, so that its client may repeat it.
   const Ending ending = request->may_have_run ? Ending::timed_out : Ending::rejected;
@@ -282,7 +282,7 @@
   const AttemptId attempt{action.id, request->next_attempt_number++};
   if (!may_launch(*request, attempt, action, sent)) return report_not_sent(attempt, action.replica, sent);
   if (!request->reply->client_connected()) {
-    client_gone(action.id);
+    client_disconnected(action.id);
     return report_not_sent(attempt, action.replica, sent);
   }
   launch(*request, attempt, action, sent);
@@ -364,7 +364,7 @@
     case Ending::failed: ++counters_.failed; break;
     case Ending::timed_out: ++counters_.timed_out; break;
     case Ending::broken: ++counters_.broken; break;
-    case Ending::client_gone: ++counters_.client_gone; break;
+    case Ending::client_disconnected: ++counters_.client_disconnected; break;
   }
 }
 
@@ -377,7 +377,7 @@
     case Ending::rejected:
       if (answer.rejection != nullptr) return reply.reject_for(*answer.rejection, answer.retry_after);
       return reply.reject(answer.retry_after);
-    case Ending::client_gone: return;
+    case Ending::client_disconnected: return;
   }
 }
 
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -30,7 +30,7 @@
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
   std::uint64_t broken = 0;
-  std::uint64_t client_gone = 0;              // the client left first
+  std::uint64_t client_disconnected = 0;      // the client left first
   std::map<Outcome, std::uint64_t> outcomes;  // of attempts, those that were not launched included
 };
 
@@ -59,11 +59,11 @@
 
   // Events from the clients.
 
-  // Takes a request and assigns its id. `reply` has to stay valid until its final call or client_gone; that
-  // call may be made before this function returns.
+  // Takes a request and assigns its id. `reply` has to stay valid until its final call or
+  // client_disconnected; that call may be made before this function returns.
   RequestId admit(Arrival arrival, Reply& reply);
   // The client has left: the attempt is abandoned, and the reply is not called again.
-  void client_gone(RequestId request_id);
+  void client_disconnected(RequestId request_id);
   // The client reads too slowly: the core stops reading the replica's answer.
   void client_congested(RequestId request_id);
   // The client has caught up: the core resumes reading.
--- a/src/emulator/baseline_policies.cpp
+++ b/src/emulator/baseline_policies.cpp
@@ -51,7 +51,7 @@
     send(found->second);
   }
 
-  void on_client_gone(Time, RequestId id) override { open_.erase(id); }
+  void on_client_disconnected(Time, RequestId id) override { open_.erase(id); }
   void on_timer(Time, std::uint32_t) override {}
   void on_probe_result(Time, ReplicaId, bool, std::span<const float>) override {}
   void on_peer_message(Time, std::uint32_t, std::span<const std::uint8_t>) override {}
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -108,7 +108,7 @@
   ClientRequest* request = requests_.find(handle);
   if (request == nullptr || request->request_id == 0 || request->first_at > 0) return;
   const RequestId request_id = std::exchange(request->request_id, 0);
-  routers_[request->router]->core->client_gone(request_id);
+  routers_[request->router]->core->client_disconnected(request_id);
   give_up(*request);
 }
 
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -169,7 +169,7 @@
   result_.totals.failed += counters.failed;
   result_.totals.timed_out += counters.timed_out;
   result_.totals.broken += counters.broken;
-  result_.totals.gone += counters.client_gone;
+  result_.totals.gone += counters.client_disconnected;
   result_.totals.open += router.core->open();
 }
 
--- a/src/emulator/timed_decider.hpp
+++ b/src/emulator/timed_decider.hpp
@@ -29,8 +29,8 @@
   void on_attempt_result(Time now, const AttemptResult& result) override {
     timed([&] { inner_->on_attempt_result(now, result); });
   }
-  void on_client_gone(Time now, RequestId id) override {
-    timed([&] { inner_->on_client_gone(now, id); });
+  void on_client_disconnected(Time now, RequestId id) override {
+    timed([&] { inner_->on_client_disconnected(now, id); });
   }
   void on_timer(Time now, std::uint32_t token) override {
     timed([&] { inner_->on_timer(now, token); });
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -54,7 +54,7 @@
   void on_request(Time now, const Request& request) override;
   void on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica, Time elapsed) override;
   void on_attempt_result(Time now, const AttemptResult& result) override;
-  void on_client_gone(Time now, RequestId id) override;
+  void on_client_disconnected(Time now, RequestId id) override;
   void on_timer(Time now, std::uint32_t token) override;
   void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override;
   void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) override;
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -247,7 +247,7 @@
                  [&](core::Decider& decider) { decider.on_attempt_result(now, forwarded); });
 }
 
-void Pools::on_client_gone(Time now, RequestId id) {
+void Pools::on_client_disconnected(Time now, RequestId id) {
   now_ = now;
   OpenRequest* open = open_.find(id);
   if (open == nullptr) return;
@@ -255,7 +255,7 @@
   open->concluded = true;
   if (!open->attempt_in_flight) open_.erase(id);
   if (pool == nullptr) return;
-  pool->decider().on_client_gone(now, id);
+  pool->decider().on_client_disconnected(now, id);
   mark_touched(*pool);
 }
 
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -52,7 +52,7 @@
   // Not in the destructor, which may run after that of the server.
   const bool busy = state_ == State::busy;
   end_request();
-  if (busy) owner_.core_.client_gone(core_request_id_);
+  if (busy) owner_.core_.client_disconnected(core_request_id_);
   owner_.remove(*this);
 }
 
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -20,7 +20,7 @@
   out << "taken=" << counters.admitted << " open=" << core.open() << " attempts=" << counters.attempts
       << " served=" << counters.served << " shed=" << counters.rejected << " failed=" << counters.failed
       << " timed_out=" << counters.timed_out << " broken=" << counters.broken
-      << " gone=" << counters.client_gone;
+      << " gone=" << counters.client_disconnected;
   for (const auto& [outcome, count] : counters.outcomes)
     out << " attempt_" << outcome_names[static_cast<int>(outcome)] << "=" << count;
 }
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -14,7 +14,7 @@
   switch (ending) {
     case core::Ending::served: return metrics::RequestState::answered;
     case core::Ending::rejected: return metrics::RequestState::deferred;
-    case core::Ending::client_gone: return std::nullopt;
+    case core::Ending::client_disconnected: return std::nullopt;
     default: return metrics::RequestState::errored;
   }
 }
@@ -33,7 +33,7 @@
     case core::Ending::failed: return "failed";
     case core::Ending::timed_out: return "timed out";
     case core::Ending::broken: return "interrupted";
-    case core::Ending::client_gone: break;
+    case core::Ending::client_disconnected: break;
   }
   return "cancelled by the client";
 }
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -52,7 +52,7 @@
   state_->lifecycle.on_attempt_result(now, result);
 }
 
-void RoutingPolicy::on_client_gone(Time, RequestId id) { state_->data.pending.erase(id); }
+void RoutingPolicy::on_client_disconnected(Time, RequestId id) { state_->data.pending.erase(id); }
 
 void RoutingPolicy::on_shared_send(ReplicaId replica) { state_->data.count_shared_send(replica); }
 
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -111,7 +111,7 @@
   }
   void handle(Time now, Instance& instance, const simulator_adapter::ClientGone& gone) {
     instance.in_flight.erase(gone.id);
-    instance.router.on_client_gone(now, gone.id);
+    instance.router.on_client_disconnected(now, gone.id);
   }
   void handle(Time now, Instance& instance, const simulator_adapter::Timer& timer) {
     instance.router.on_timer(now, timer.token);
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -58,10 +58,10 @@
                " cached_tokens=", result.cached_tokens, report);
     DeciderDecorator::on_attempt_result(now, result);
   }
-  void on_client_gone(Time now, RequestId id) override {
+  void on_client_disconnected(Time now, RequestId id) override {
     now_ = now;
     write_line("client_gone", " request=", id);
-    DeciderDecorator::on_client_gone(now, id);
+    DeciderDecorator::on_client_disconnected(now, id);
   }
   void on_timer(Time now, std::uint32_t token) override {
     now_ = now;
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -41,7 +41,7 @@
   net::FlowWriter writer(42);
   writer.add(served(), "replica-7");
   for (const auto ending : {core::Ending::rejected, core::Ending::failed, core::Ending::timed_out,
-                            core::Ending::broken, core::Ending::client_gone}) {
+                            core::Ending::broken, core::Ending::client_disconnected}) {
     writer.add(ended_as(ending), "");
   }
   check_written(kFile, "with-template",
--- a/tests/core/drain_tracker.cpp
+++ b/tests/core/drain_tracker.cpp
@@ -23,7 +23,7 @@
   void on_request(Time, const Request&) override {}
   void on_first_token(Time, RequestId, std::uint8_t, ReplicaId, Time) override {}
   void on_attempt_result(Time, const AttemptResult&) override {}
-  void on_client_gone(Time, RequestId) override {}
+  void on_client_disconnected(Time, RequestId) override {}
   void on_timer(Time, std::uint32_t) override { ++timers; }
   void on_probe_result(Time, ReplicaId, bool, std::span<const float>) override {}
   void on_peer_message(Time, std::uint32_t, std::span<const std::uint8_t>) override { ++messages; }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -126,7 +126,7 @@
       at(now_ + static_cast<Time>(draw(40'000)), [this, id, place, incarnation] {
         if (incarnation != incarnation_ || answers[place].over) return;
         answers[place].over = true;
-        core_->client_gone(id);
+        core_->client_disconnected(id);
       });
     }
     return place;
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -149,11 +149,11 @@
   CoreEnvironment environment;
   RequestManager core(environment.settings, {environment, environment, environment, environment});
   environment.list_replicas(core, 3);
-  core.client_gone(environment.admit(core));
+  core.client_disconnected(environment.admit(core));
   CHECK(environment.attempts.empty());
   environment.advance_to(core, environment.time + seconds(6));
   CHECK(environment.answers() == 0);
-  CHECK(core.counters().client_gone == 1);
+  CHECK(core.counters().client_disconnected == 1);
 }
 
 // The only ready replica has just started. It gets what it can process, and the other requests are answered
@@ -176,7 +176,7 @@
     const auto id = environment.admit(core);
     if (environment.attempts.empty()) continue;
     core.attempt_event(environment.attempts.back(), delta("one"));
-    core.client_gone(id);
+    core.client_disconnected(id);
   }
   // 3 x 0.46 x 5 x 2 requests, with the capacity at the beginning of the window; there is only one router.
   CHECK(environment.launched >= 13);
@@ -213,7 +213,7 @@
     CHECK(environment.attempts.empty());
   }
   CHECK(core.open() == 0);
-  CHECK(core.counters().client_gone == 1);
+  CHECK(core.counters().client_disconnected == 1);
   CHECK(environment.answers() == 0);
   environment.advance_to(core, environment.time + seconds(6));
   CHECK(core.timers() == 0);
@@ -259,7 +259,7 @@
         {{.due = environment.time + seconds(3600), .prompt_tokens = 50, .max_tokens = 50}, nullptr},
         environment);
     if (i % 2 == 0) {
-      core.client_gone(id);
+      core.client_disconnected(id);
     } else {
       core.attempt_event(environment.attempts.back(), delta("one"));
       core.attempt_ended(environment.attempts.back(), Outcome::reset);
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -18,7 +18,7 @@
     if (to == failing) {
       ++failures;
       fixture.end_attempt(fixture.last.id, 0, failing, outcome);
-      fixture.router.on_client_gone(fixture.now, fixture.last.id);
+      fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
     } else if (to != 0) {
       fixture.serve(fixture.last.id, to);
     }
@@ -51,7 +51,7 @@
       ASSERT_EQ(sent_replica(fixture.arrive_with_size(100)), 10u);
       if (i % 2 == 0) {
         fixture.end_attempt(fixture.last.id, 0, 10, outcome);
-        fixture.router.on_client_gone(fixture.now, fixture.last.id);
+        fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
       } else {
         fixture.serve(fixture.last.id, 10);
       }
@@ -99,7 +99,7 @@
     const auto to = sent_replica(fixture.arrive_with_size(100));
     ASSERT_NE(to, 0u);
     fixture.end_attempt(fixture.last.id, 0, to, Outcome::error);
-    fixture.router.on_client_gone(fixture.now, fixture.last.id);
+    fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
   }
 }
 
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -49,7 +49,7 @@
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
   const auto to = sent_replica(fixture.arrive_with_size(100));
-  fixture.router.on_client_gone(fixture.now, fixture.last.id);
+  fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
   EXPECT_TRUE(fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed).empty());
   EXPECT_TRUE(fixture.advance(seconds(20)).empty());
 }
@@ -60,7 +60,7 @@
   fixture.end_attempt(999, 3, 10, Outcome::error);
   fixture.end_attempt(999, 0, 12345, Outcome::served, true);
   fixture.first_token(999, 0, 10);
-  fixture.router.on_client_gone(fixture.now, 999);
+  fixture.router.on_client_disconnected(fixture.now, 999);
   fixture.router.on_timer(fixture.now, 424242);
   fixture.router.on_probe_result(fixture.now, 12345, true, {});
   fixture.router.on_peer_message(fixture.now, 1, {});
--- a/tests/policy/rejected_attempts_test.cpp
+++ b/tests/policy/rejected_attempts_test.cpp
@@ -26,7 +26,7 @@
   for (int i = 0; i < 10; ++i) {
     const auto to = sent_replica(fixture.arrive_with_size(100, 0));
     fixture.end_attempt(fixture.last.id, 0, to, Outcome::full);
-    fixture.router.on_client_gone(fixture.now, fixture.last.id);
+    fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
   }
   std::set<ReplicaId> used_replicas;
   for (int i = 0; i < 20; ++i) {
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -238,7 +238,7 @@
 void RouterPlayer::leave_client() {
   const RequestId id = open_.empty() ? last_id_ : open_[random_.below(open_.size())].id;
   attempts_.erase(id);
-  router_->on_client_gone(now_, id);
+  router_->on_client_disconnected(now_, id);
   take_actions();
 }
 
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -62,7 +62,7 @@
   void on_request(Time, const Request&) override {}
   void on_first_token(Time, RequestId, std::uint8_t, ReplicaId, Time) override {}
   void on_attempt_result(Time, const AttemptResult&) override {}
-  void on_client_gone(Time, RequestId) override {}
+  void on_client_disconnected(Time, RequestId) override {}
   void on_timer(Time, std::uint32_t) override {}
   void on_probe_result(Time, ReplicaId, bool, std::span<const float>) override {}
   void on_peer_message(Time, std::uint32_t, std::span<const std::uint8_t>) override {}
@@ -113,7 +113,7 @@
                                       .cached_tokens = 16,
                                       .prompt_tokens = 640});
   }
-  decider.on_client_gone(now++, 5);
+  decider.on_client_disconnected(now++, 5);
   decider.on_timer(now++, 3);
   decider.on_probe_result(now++, 2, true, {});
   decider.on_peer_message(now++, 1, {});
