--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -67,18 +67,18 @@
 enum class Failure { upstream, timed_out };
 
 // How a request ended.
-enum class Ending {
-  served,     // the client has a complete answer
-  rejected,   // nothing ran, and the client may repeat
-  failed,     // no attempt succeeded
-  timed_out,  // no answer began before the deadline
-  broken,     // the answer ended in the middle
+enum class CompletionStatus {
+  served,       // the client has a complete answer
+  rejected,     // nothing ran, and the client may repeat
+  failed,       // no attempt succeeded
+  timed_out,    // no answer began before the deadline
+  interrupted,  // the answer ended in the middle
   client_disconnected
 };
 
 // What became of one request, for counters and flow records. Times are microseconds on the core's clock.
 struct RequestSummary {
-  Ending ending = Ending::served;
+  CompletionStatus status = CompletionStatus::served;
   Time arrived = 0;
   Time first_event = 0;  // 0: no answer began
   Time ended = 0;
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -77,7 +77,7 @@
   if (request == nullptr) return;
   decider_->on_client_disconnected(now(), request_id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
-  conclude(request_id, {.ending = Ending::client_disconnected});
+  conclude(request_id, {.status = CompletionStatus::client_disconnected});
   apply_actions();
 }
 
@@ -150,7 +150,8 @@
   if (served) learn_cache_use(*request);
   report_result(*request, outcome, fate, report);
   if (fate == RequestFate::concluded)
-    conclude(attempt.request_id, {.ending = served ? Ending::served : Ending::broken});
+    conclude(attempt.request_id,
+             {.status = served ? CompletionStatus::served : CompletionStatus::interrupted});
   apply_actions();
 }
 
@@ -241,8 +242,9 @@
   decider_->on_client_disconnected(now(), id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
   // A request that never ran is rejected rather than failed, so that its client may repeat it.
-  const Ending ending = request->may_have_run ? Ending::timed_out : Ending::rejected;
-  conclude(id, {.ending = ending, .retry_after = retry_after_});
+  const CompletionStatus status =
+      request->may_have_run ? CompletionStatus::timed_out : CompletionStatus::rejected;
+  conclude(id, {.status = status, .retry_after = retry_after_});
 }
 
 // ---------------------------------------------------------------- the routing policy's actions
@@ -325,11 +327,12 @@
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr || request->answer_started()) return;
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
-  FinalAnswer answer{.ending = Ending::rejected, .retry_after = action.time};
+  FinalAnswer answer{.status = CompletionStatus::rejected, .retry_after = action.time};
   if (is_rejection(action.allowance)) {
     answer.rejection = action.allowance;
   } else if (action.kind == ActionKind::fail) {
-    answer.ending = now() >= request->arrival.request.due ? Ending::timed_out : Ending::failed;
+    answer.status =
+        now() >= request->arrival.request.due ? CompletionStatus::timed_out : CompletionStatus::failed;
   }
   request->summary.refusal = action.refusal;
   conclude(action.id, answer);
@@ -350,34 +353,34 @@
   timers_.cancel(request.deadline_timer);
   timers_.cancel(request.attempt_timer);
   requests_.erase(found);  // first: the reply may bring the client's next request
-  count_ending(answer.ending);
-  request.summary.ending = answer.ending;
+  count_completion(answer.status);
+  request.summary.status = answer.status;
   request.summary.ended = now();
   deliver(*request.reply, answer);
   if (dependencies_.on_request_end) dependencies_.on_request_end(request.summary);
 }
 
-void RequestManager::count_ending(Ending ending) {
-  switch (ending) {
-    case Ending::served: ++counters_.served; break;
-    case Ending::rejected: ++counters_.rejected; break;
-    case Ending::failed: ++counters_.failed; break;
-    case Ending::timed_out: ++counters_.timed_out; break;
-    case Ending::broken: ++counters_.broken; break;
-    case Ending::client_disconnected: ++counters_.client_disconnected; break;
+void RequestManager::count_completion(CompletionStatus status) {
+  switch (status) {
+    case CompletionStatus::served: ++counters_.served; break;
+    case CompletionStatus::rejected: ++counters_.rejected; break;
+    case CompletionStatus::failed: ++counters_.failed; break;
+    case CompletionStatus::timed_out: ++counters_.timed_out; break;
+    case CompletionStatus::interrupted: ++counters_.interrupted; break;
+    case CompletionStatus::client_disconnected: ++counters_.client_disconnected; break;
   }
 }
 
 void RequestManager::deliver(Reply& reply, const FinalAnswer& answer) {
-  switch (answer.ending) {
-    case Ending::served: return reply.finish();
-    case Ending::broken: return reply.break_off();
-    case Ending::failed: return reply.fail(Failure::upstream, answer.retry_after);
-    case Ending::timed_out: return reply.fail(Failure::timed_out, answer.retry_after);
-    case Ending::rejected:
+  switch (answer.status) {
+    case CompletionStatus::served: return reply.finish();
+    case CompletionStatus::interrupted: return reply.break_off();
+    case CompletionStatus::failed: return reply.fail(Failure::upstream, answer.retry_after);
+    case CompletionStatus::timed_out: return reply.fail(Failure::timed_out, answer.retry_after);
+    case CompletionStatus::rejected:
       if (answer.rejection != nullptr) return reply.reject_for(*answer.rejection, answer.retry_after);
       return reply.reject(answer.retry_after);
-    case Ending::client_disconnected: return;
+    case CompletionStatus::client_disconnected: return;
   }
 }
 
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -29,7 +29,7 @@
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
-  std::uint64_t broken = 0;
+  std::uint64_t interrupted = 0;
   std::uint64_t client_disconnected = 0;      // the client left first
   std::map<Outcome, std::uint64_t> outcomes;  // of attempts, those that were not launched included
 };
@@ -101,7 +101,7 @@
 
   // How a request ends, and the content of its final answer.
   struct FinalAnswer {
-    Ending ending = Ending::served;
+    CompletionStatus status = CompletionStatus::served;
     Time retry_after = 0;  // rejected, failed and timed_out
     // Rejected: the limit that the request exceeds; null if it was rejected for another reason.
     std::shared_ptr<const Allowance> rejection = {};
@@ -130,7 +130,7 @@
   void report_not_sent(AttemptId attempt, ReplicaId replica, Time when);
 
   void conclude(RequestId id, const FinalAnswer& answer);
-  void count_ending(Ending ending);
+  void count_completion(CompletionStatus status);
   static void deliver(Reply& reply, const FinalAnswer& answer);
 
   Dependencies dependencies_;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -168,7 +168,7 @@
   result_.totals.rejected += counters.rejected;
   result_.totals.failed += counters.failed;
   result_.totals.timed_out += counters.timed_out;
-  result_.totals.broken += counters.broken;
+  result_.totals.broken += counters.interrupted;
   result_.totals.gone += counters.client_disconnected;
   result_.totals.open += router.core->open();
 }
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -80,7 +80,7 @@
   append_number(records_, to_milliseconds(summary.ended), 8);
   append_number(records_, summary.bytes, 8);
   append_number(records_, summary.events, 8);
-  append_number(records_, static_cast<std::uint64_t>(summary.ending), 1);
+  append_number(records_, static_cast<std::uint64_t>(summary.status), 1);
   append_number(records_, summary.attempts, 1);
   append_number(records_, summary.request.cls, 1);
   append_number(records_, summary.request.tenant, 2);
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -19,7 +19,7 @@
   const auto& counters = core.counters();
   out << "taken=" << counters.admitted << " open=" << core.open() << " attempts=" << counters.attempts
       << " served=" << counters.served << " shed=" << counters.rejected << " failed=" << counters.failed
-      << " timed_out=" << counters.timed_out << " broken=" << counters.broken
+      << " timed_out=" << counters.timed_out << " broken=" << counters.interrupted
       << " gone=" << counters.client_disconnected;
   for (const auto& [outcome, count] : counters.outcomes)
     out << " attempt_" << outcome_names[static_cast<int>(outcome)] << "=" << count;
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 // The state in the metrics; none if the client had gone, which the metrics do not count.
-std::optional<metrics::RequestState> metrics_state(core::Ending ending) {
+std::optional<metrics::RequestState> metrics_state(core::CompletionStatus ending) {
   switch (ending) {
-    case core::Ending::served: return metrics::RequestState::answered;
-    case core::Ending::rejected: return metrics::RequestState::deferred;
-    case core::Ending::client_disconnected: return std::nullopt;
+    case core::CompletionStatus::served: return metrics::RequestState::answered;
+    case core::CompletionStatus::rejected: return metrics::RequestState::deferred;
+    case core::CompletionStatus::client_disconnected: return std::nullopt;
     default: return metrics::RequestState::errored;
   }
 }
@@ -26,14 +26,14 @@
   return cache_hint.known && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
 }
 
-std::string_view name_of(core::Ending ending) {
+std::string_view name_of(core::CompletionStatus ending) {
   switch (ending) {
-    case core::Ending::served: return "served";
-    case core::Ending::rejected: return "rejected";
-    case core::Ending::failed: return "failed";
-    case core::Ending::timed_out: return "timed out";
-    case core::Ending::broken: return "interrupted";
-    case core::Ending::client_disconnected: break;
+    case core::CompletionStatus::served: return "served";
+    case core::CompletionStatus::rejected: return "rejected";
+    case core::CompletionStatus::failed: return "failed";
+    case core::CompletionStatus::timed_out: return "timed out";
+    case core::CompletionStatus::interrupted: return "interrupted";
+    case core::CompletionStatus::client_disconnected: break;
   }
   return "cancelled by the client";
 }
@@ -74,7 +74,7 @@
 // Logs at most one line a second for each ending; with log level debug, all of them.
 void RequestRecorder::log_without_answer(const core::RequestSummary& summary) {
   using logging::field;
-  const std::string_view ending = name_of(summary.ending);
+  const std::string_view ending = name_of(summary.status);
   const bool due = log_limiter_.due(net::now_us(), ending);
   if (!due && !logging::writes_debug()) return;
   const Time took_ms = (summary.ended - summary.arrived) / milliseconds(1);
@@ -87,11 +87,12 @@
 }
 
 void RequestRecorder::record(const core::RequestSummary& summary) {
-  if (const auto state = metrics_state(summary.ending)) metrics_.count_request(summary.request.cls, *state);
-  if (summary.ending != core::Ending::served) log_without_answer(summary);
+  if (const auto state = metrics_state(summary.status)) metrics_.count_request(summary.request.cls, *state);
+  if (summary.status != core::CompletionStatus::served) log_without_answer(summary);
   const bool debug_logged = logging::writes_debug();
   if (flow_exporter_ == nullptr && !debug_logged) return;
-  if (debug_logged && summary.ending == core::Ending::served) log_served(summary, replica_name(summary));
+  if (debug_logged && summary.status == core::CompletionStatus::served)
+    log_served(summary, replica_name(summary));
   if (flow_exporter_ == nullptr) return;
   const net::EndpointEntry* endpoint =
       summary.attempts == 0 ? nullptr : endpoints_.find(summary.last_replica);
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -14,7 +14,7 @@
 
 core::RequestSummary served() {
   core::RequestSummary summary;
-  summary.ending = core::Ending::served;
+  summary.status = core::CompletionStatus::served;
   summary.arrived = kStart;
   summary.first_event = kStart + milliseconds(120);
   summary.ended = kStart + seconds(2);
@@ -27,9 +27,9 @@
   return summary;
 }
 
-core::RequestSummary ended_as(core::Ending ending) {
+core::RequestSummary ended_as(core::CompletionStatus ending) {
   core::RequestSummary summary;
-  summary.ending = ending;
+  summary.status = ending;
   summary.arrived = kStart;
   summary.ended = kStart + kSecond;
   return summary;
@@ -40,8 +40,9 @@
 TEST_CASE("flows: a template and records are written as the committed message, and the next one counts on") {
   net::FlowWriter writer(42);
   writer.add(served(), "replica-7");
-  for (const auto ending : {core::Ending::rejected, core::Ending::failed, core::Ending::timed_out,
-                            core::Ending::broken, core::Ending::client_disconnected}) {
+  for (const auto ending :
+       {core::CompletionStatus::rejected, core::CompletionStatus::failed, core::CompletionStatus::timed_out,
+        core::CompletionStatus::interrupted, core::CompletionStatus::client_disconnected}) {
     writer.add(ended_as(ending), "");
   }
   check_written(kFile, "with-template",
--- a/tests/net/flows.cpp
+++ b/tests/net/flows.cpp
@@ -109,13 +109,13 @@
   REQUIRE(records.size() == 2);
   const auto value = [&](std::size_t i, unsigned id) { return Collector::number(records[i].at(id)); };
   CHECK(value(0, 152) <= value(0, 153));
-  CHECK(value(0, 1001) == static_cast<unsigned>(core::Ending::served));
+  CHECK(value(0, 1001) == static_cast<unsigned>(core::CompletionStatus::served));
   CHECK(value(0, 1005) == 40);
   CHECK(value(0, 1006) == 2);
   CHECK(value(0, 1007) == 16);
   CHECK(value(0, 2) == 4);  // the delta, the usage, the terminal event and the report's comment
   CHECK(records[0].at(1009) == "s-01");
-  CHECK(value(1, 1001) == static_cast<unsigned>(core::Ending::rejected));
+  CHECK(value(1, 1001) == static_cast<unsigned>(core::CompletionStatus::rejected));
   CHECK(value(1, 1002) == 1);
   CHECK(value(1, 2) == 0);
 }
