--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -79,9 +79,9 @@
 // What became of one request, for counters and flow records. Times are microseconds on the core's clock.
 struct RequestSummary {
   CompletionStatus status = CompletionStatus::served;
-  Time arrived = 0;
-  Time first_event = 0;  // 0: no answer began
-  Time ended = 0;
+  Time arrived_at = 0;
+  Time first_event_at = 0;  // 0: no answer began
+  Time ended_at = 0;
   unsigned attempts = 0;  // that were launched
   ReplicaId last_replica = 0;
   std::uint16_t model = 0;   // that the last attempt requested; 0: there is no catalogue
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -60,7 +60,7 @@
   description.id = id;
   if (dependencies_.affinity_table != nullptr)
     description.cache_hint = dependencies_.affinity_table->recall(arrived, description);
-  request.summary.arrived = arrived;
+  request.summary.arrived_at = arrived;
   request.summary.request = description;
   request.summary.external_id = request.arrival.external_id;
   ++counters_.admitted;
@@ -128,7 +128,7 @@
 // The answer begins with the first event that is passed on; no other attempt is made after it.
 void RequestManager::begin_answer(ActiveRequest& request) {
   const Time started = now();
-  request.summary.first_event = started;
+  request.summary.first_event_at = started;
   request.arrival.payload.reset();  // the body, which takes most of the memory, is not needed again
   if (dependencies_.affinity_table != nullptr) {
     request.expectation =
@@ -355,7 +355,7 @@
   requests_.erase(found);  // first: the reply may bring the client's next request
   count_completion(answer.status);
   request.summary.status = answer.status;
-  request.summary.ended = now();
+  request.summary.ended_at = now();
   deliver(*request.reply, answer);
   if (dependencies_.on_request_end) dependencies_.on_request_end(request.summary);
 }
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -75,9 +75,9 @@
 }  // namespace
 
 void FlowWriter::add(const core::RequestSummary& summary, std::string_view replica) {
-  const Time to_first_event = summary.first_event == 0 ? 0 : summary.first_event - summary.arrived;
-  append_number(records_, to_milliseconds(summary.arrived), 8);
-  append_number(records_, to_milliseconds(summary.ended), 8);
+  const Time to_first_event = summary.first_event_at == 0 ? 0 : summary.first_event_at - summary.arrived_at;
+  append_number(records_, to_milliseconds(summary.arrived_at), 8);
+  append_number(records_, to_milliseconds(summary.ended_at), 8);
   append_number(records_, summary.bytes, 8);
   append_number(records_, summary.events, 8);
   append_number(records_, static_cast<std::uint64_t>(summary.status), 1);
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -77,7 +77,7 @@
   const std::string_view ending = name_of(summary.status);
   const bool due = log_limiter_.due(net::now_us(), ending);
   if (!due && !logging::writes_debug()) return;
-  const Time took_ms = (summary.ended - summary.arrived) / milliseconds(1);
+  const Time took_ms = (summary.ended_at - summary.arrived_at) / milliseconds(1);
   logging::Line(due ? logging::Level::info : logging::Level::debug, "request")
           .with("request_number", summary.request.id)
       << "request " << field("request", summary.external_id) << " ended: " << field("ending", ending) << ", "
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -15,9 +15,9 @@
 core::RequestSummary served() {
   core::RequestSummary summary;
   summary.status = core::CompletionStatus::served;
-  summary.arrived = kStart;
-  summary.first_event = kStart + milliseconds(120);
-  summary.ended = kStart + seconds(2);
+  summary.arrived_at = kStart;
+  summary.first_event_at = kStart + milliseconds(120);
+  summary.ended_at = kStart + seconds(2);
   summary.attempts = 2;
   summary.events = 40;
   summary.bytes = 12'345;
@@ -30,8 +30,8 @@
 core::RequestSummary ended_as(core::CompletionStatus ending) {
   core::RequestSummary summary;
   summary.status = ending;
-  summary.arrived = kStart;
-  summary.ended = kStart + kSecond;
+  summary.arrived_at = kStart;
+  summary.ended_at = kStart + kSecond;
   return summary;
 }
 
