--- a/src/core/active_request.hpp
+++ b/src/core/active_request.hpp
@@ -39,7 +39,7 @@
   bool answer_started() const { return has_started(attempt_state); }
 
   Reply* reply = nullptr;  // not owned; valid until the final call
-  Arrival arrival;
+  IncomingRequest arrival;
   RequestSummary summary;
   TimerQueue::Handle deadline_timer;
 
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -43,11 +43,11 @@
 struct StreamEvent {
   EventKind kind = EventKind::unknown;
   std::string text;          // delta: the text; stop: the reason; error: the message; unknown: the name
-  std::string last_text;     // stop: the text that came in the same frame
+  std::string final_text;    // stop: the text that came in the same frame
   Usage usage;               // start and usage, and stop where `has_usage` says so
   bool has_usage = false;    // stop: `usage` came in the same frame
   std::string model;         // the model's name, where the frame carries it; else empty
-  std::string raw;           // the frame, byte for byte, as the replica sent it
+  std::string raw_frame;     // the frame, byte for byte, as the replica sent it
   std::string_view dialect;  // the name of the frame's dialect; refers to static storage
 };
 
@@ -57,14 +57,14 @@
 };
 
 // A request as a client's connection hands it in.
-struct Arrival {
+struct IncomingRequest {
   Request request;  // its id is assigned by the core
   std::shared_ptr<const Payload> payload;
   std::string external_id = {};  // the client's name for the request, for the log
 };
 
 // Why a request ended without an answer although an attempt may have run.
-enum class Failure { upstream, timed_out };
+enum class FailureReason { upstream, timed_out };
 
 // How a request ended.
 enum class CompletionStatus {
--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -15,37 +15,38 @@
 
 namespace thornwick::core {
 
-// The client's end of one request. Exactly one final call is made (finish, break_off, reject, reject_for or
-// fail), and none after it; a request whose client has gone gets no final call. Implementations may call back
-// into the RequestManager from a final call, for instance with the client's next request.
+// The client's end of one request. Exactly one final call is made (finish, abort_answer, reject,
+// reject_over_limit or fail), and none after it; a request whose client has gone gets no final call.
+// Implementations may call back into the RequestManager from a final call, for instance with the client's
+// next request.
 class Reply {
  public:
   virtual ~Reply() = default;
   // Called once, before the first event. `model` is the catalogue's number of the model that serves the
   // request (0: there is no catalogue). `allowance` is the remaining quota of the client, valid during the
   // call (null: no limit applies).
-  virtual void served_by(std::uint16_t /*model*/, const Allowance* /*allowance*/) {}
+  virtual void begin_answer(std::uint16_t /*model*/, const Allowance* /*allowance*/) {}
   // Passes on one event of the answer, in the order in which the replica sent them.
-  virtual void event(const StreamEvent& event) = 0;
+  virtual void send_event(const StreamEvent& event) = 0;
   // Final: the answer is complete.
   virtual void finish() = 0;
   // Final: a part of the answer was passed on, and the rest will not follow.
-  virtual void break_off() = 0;
+  virtual void abort_answer() = 0;
   // Final: no attempt has run, so that the client may repeat the request. `retry_after` is the advised wait
   // before a repeat (0: none is advised).
   virtual void reject(Time retry_after) = 0;
   // Final: there is no answer, and an attempt may have run. `retry_after` as in reject.
-  virtual void fail(Failure why, Time retry_after) = 0;
+  virtual void fail(FailureReason why, Time retry_after) = 0;
   // Whether the client is still connected, as far as its connection shows at this moment. If not, the request
   // is given up, and nothing more is called.
   virtual bool client_connected() { return true; }
   // Final: the request exceeds the limit that the allowance names, and no attempt has run. `retry_after` is
   // the time until the request fits within the limit (0: never).
-  virtual void reject_for(const Allowance& /*allowance*/, Time retry_after) { reject(retry_after); }
+  virtual void reject_over_limit(const Allowance& /*allowance*/, Time retry_after) { reject(retry_after); }
 };
 
 // Carries attempts and probes to the replicas. An attempt reports through RequestManager::attempt_event and
-// attempt_ended, possibly during launch; a probe through RequestManager::probed.
+// attempt_ended, possibly during launch; a probe through RequestManager::probe_ended.
 class UpstreamTransport {
  public:
   virtual ~UpstreamTransport() = default;
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -50,7 +50,7 @@
 
 // ---------------------------------------------------------------- clients
 
-RequestId RequestManager::admit(Arrival arrival, Reply& reply) {
+RequestId RequestManager::admit(IncomingRequest arrival, Reply& reply) {
   const Time arrived = now();
   const RequestId id = ++last_id_;
   ActiveRequest& request = requests_[id];
@@ -83,7 +83,7 @@
 
 // Avoids work whose result nobody reads. The loop may not have reported a closed connection yet, because
 // unread bytes precede the end of file or because it is handling another event.
-bool RequestManager::still_wanted(AttemptId attempt) {
+bool RequestManager::client_is_waiting(AttemptId attempt) {
   const ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return false;
   if (request->reply->client_connected()) return true;
@@ -116,12 +116,12 @@
     request->has_usage = true;
   }
   if (event.kind == EventKind::delta) request->answer_characters += static_cast<double>(event.text.size());
-  request->answer_characters += static_cast<double>(event.last_text.size());
+  request->answer_characters += static_cast<double>(event.final_text.size());
   request->attempt_state = state_after(request->attempt_state, event.kind);
   if (!had_started && request->answer_started()) begin_answer(*request);
   ++request->summary.events;
-  request->summary.bytes += event.raw.size();
-  request->reply->event(event);
+  request->summary.bytes += event.raw_frame.size();
+  request->reply->send_event(event);
   apply_actions();
 }
 
@@ -136,7 +136,7 @@
   }
   decider_->on_first_token(started, request.attempt.request_id, request.attempt.number, request.replica,
                            started - request.attempt_sent);
-  request.reply->served_by(request.model, request.allowance.get());
+  request.reply->begin_answer(request.model, request.allowance.get());
 }
 
 void RequestManager::attempt_ended(AttemptId attempt, Outcome outcome, std::span<const float> report) {
@@ -193,7 +193,7 @@
   report_result(request, written ? outcome : Outcome::not_sent, fate, {});
 }
 
-void RequestManager::probed(ReplicaId replica, bool alive, std::span<const float> report) {
+void RequestManager::probe_ended(ReplicaId replica, bool alive, std::span<const float> report) {
   decider_->on_probe_result(now(), replica, alive, report);
   apply_actions();
 }
@@ -374,11 +374,11 @@
 void RequestManager::deliver(Reply& reply, const FinalAnswer& answer) {
   switch (answer.status) {
     case CompletionStatus::served: return reply.finish();
-    case CompletionStatus::interrupted: return reply.break_off();
-    case CompletionStatus::failed: return reply.fail(Failure::upstream, answer.retry_after);
-    case CompletionStatus::timed_out: return reply.fail(Failure::timed_out, answer.retry_after);
+    case CompletionStatus::interrupted: return reply.abort_answer();
+    case CompletionStatus::failed: return reply.fail(FailureReason::upstream, answer.retry_after);
+    case CompletionStatus::timed_out: return reply.fail(FailureReason::timed_out, answer.retry_after);
     case CompletionStatus::rejected:
-      if (answer.rejection != nullptr) return reply.reject_for(*answer.rejection, answer.retry_after);
+      if (answer.rejection != nullptr) return reply.reject_over_limit(*answer.rejection, answer.retry_after);
       return reply.reject(answer.retry_after);
     case CompletionStatus::client_disconnected: return;
   }
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -61,7 +61,7 @@
 
   // Takes a request and assigns its id. `reply` has to stay valid until its final call or
   // client_disconnected; that call may be made before this function returns.
-  RequestId admit(Arrival arrival, Reply& reply);
+  RequestId admit(IncomingRequest arrival, Reply& reply);
   // The client has left: the attempt is abandoned, and the reply is not called again.
   void client_disconnected(RequestId request_id);
   // The client reads too slowly: the core stops reading the replica's answer.
@@ -73,10 +73,10 @@
 
   void attempt_event(AttemptId attempt, const StreamEvent& event);
   void attempt_ended(AttemptId attempt, Outcome outcome, std::span<const float> report = {});
-  void probed(ReplicaId replica, bool alive, std::span<const float> report);
+  void probe_ended(ReplicaId replica, bool alive, std::span<const float> report);
   // Whether the client still waits for the attempt. The transport checks it before it writes the first byte,
   // which may be long after the launch. False: the client has gone, and the attempt is abandoned on return.
-  [[nodiscard]] bool still_wanted(AttemptId attempt);
+  [[nodiscard]] bool client_is_waiting(AttemptId attempt);
 
   // Events from discovery, the peers and the clock.
 
@@ -86,9 +86,9 @@
 
   const Counters& counters() const { return counters_; }
   // Requests without a final answer.
-  std::size_t open() const { return requests_.size(); }
+  std::size_t open_requests() const { return requests_.size(); }
   // Pending timers.
-  std::size_t timers() const { return timers_.size(); }
+  std::size_t pending_timers() const { return timers_.size(); }
   const Decider& decider() const { return *decider_; }
   // Hands the state of a predecessor to the decider.
   void learn(const LearnedState& learned_state) { decider_->learn(learned_state); }
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -114,13 +114,13 @@
 
 // ---------------------------------------------------------------- outcomes
 
-void ClientRequest::event(const core::StreamEvent& event) {
+void ClientRequest::send_event(const core::StreamEvent& event) {
   if (first_at == 0 && event.kind != core::EventKind::comment) first_at = day->now();
 }
 void ClientRequest::finish() { day->on_answered(*this); }
-void ClientRequest::break_off() { day->on_interrupted(*this); }
+void ClientRequest::abort_answer() { day->on_interrupted(*this); }
 void ClientRequest::reject(Time retry_after) { day->on_rejected(*this, retry_after); }
-void ClientRequest::fail(core::Failure, Time retry_after) { day->on_rejected(*this, retry_after); }
+void ClientRequest::fail(core::FailureReason, Time retry_after) { day->on_rejected(*this, retry_after); }
 
 void DaySimulation::on_answered(ClientRequest& request) {
   const PlannedRequest& plan = request.plan;
--- a/src/emulator/day_entities.hpp
+++ b/src/emulator/day_entities.hpp
@@ -20,11 +20,11 @@
 // One request of a client with all its tries. It is the payload and the reply of its current try, and lives
 // until the outcome is final.
 struct ClientRequest : core::Payload, core::Reply {
-  void event(const core::StreamEvent& event) override;
+  void send_event(const core::StreamEvent& event) override;
   void finish() override;
-  void break_off() override;
+  void abort_answer() override;
   void reject(Time retry_after) override;
-  void fail(core::Failure why, Time retry_after) override;
+  void fail(core::FailureReason why, Time retry_after) override;
 
   DaySimulation* day = nullptr;
   Handle handle = 0;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -170,7 +170,7 @@
   result_.totals.timed_out += counters.timed_out;
   result_.totals.broken += counters.interrupted;
   result_.totals.gone += counters.client_disconnected;
-  result_.totals.open += router.core->open();
+  result_.totals.open += router.core->open_requests();
 }
 
 // ---------------------------------------------------------------- timers and probes
@@ -186,7 +186,7 @@
 
 void DaySimulation::probe(const EmulatedRouter& router, ReplicaId replica_id) {
   const auto found = replica_index_.find(replica_id);
-  if (found != replica_index_.end()) router.core->probed(replica_id, replicas_[found->second].up, {});
+  if (found != replica_index_.end()) router.core->probe_ended(replica_id, replicas_[found->second].up, {});
 }
 
 // ---------------------------------------------------------------- discovery
--- a/src/fronts/messages.cpp
+++ b/src/fronts/messages.cpp
@@ -38,7 +38,7 @@
   StreamEvent read(std::string raw) override {
     StreamEvent event;
     const Frame frame = read_frame(raw);
-    event.raw = std::move(raw);
+    event.raw_frame = std::move(raw);
     if (!frame.has_data && frame.name.empty()) {
       event.kind = EventKind::comment;
       event.text = frame.comment;
@@ -112,7 +112,7 @@
       case EventKind::start: write_start(event.usage, out); break;
       case EventKind::delta: write_text(event.text, out); break;
       case EventKind::stop:
-        if (!event.last_text.empty()) write_text(event.last_text, out);
+        if (!event.final_text.empty()) write_text(event.final_text, out);
         reason_ = to_messages_reason(event.text);
         close_block(out);
         break;
--- a/src/fronts/platform.cpp
+++ b/src/fronts/platform.cpp
@@ -25,7 +25,7 @@
   StreamEvent read(std::string raw) override {
     StreamEvent event;
     const Frame frame = read_frame(raw);
-    event.raw = std::move(raw);
+    event.raw_frame = std::move(raw);
     if (!frame.has_data) {
       event.kind = frame.name.empty() ? EventKind::comment : EventKind::unknown;
       event.text = frame.name.empty() ? frame.comment : frame.name;
@@ -59,7 +59,7 @@
       // The last piece of text may bring the reason with it.
       if (const auto reason = text_at(json, "/choices/0/finish_reason"); !reason.empty()) {
         event.kind = EventKind::stop;
-        event.last_text = std::exchange(event.text, reason);
+        event.final_text = std::exchange(event.text, reason);
       }
     }
   }
@@ -77,7 +77,7 @@
       case EventKind::delta: return choice_event("{\"content\":" + json_text(event.text) + "}", "null");
       case EventKind::stop:
         return choice_event(
-                   event.last_text.empty() ? "{}" : "{\"content\":" + json_text(event.last_text) + "}",
+                   event.final_text.empty() ? "{}" : "{\"content\":" + json_text(event.final_text) + "}",
                    json_text(event.text)) +
                (event.has_usage ? usage_event(event.usage) : std::string());
       case EventKind::usage: return usage_event(event.usage);
--- a/src/net/downstream_answers.cpp
+++ b/src/net/downstream_answers.cpp
@@ -44,8 +44,9 @@
   return dialect.error(Rejection::overloaded, "no box serves " + allowance.what + " now");
 }
 
-ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::Failure failure) {
-  if (failure == core::Failure::timed_out) return dialect.error(Rejection::timed_out, "no answer in time");
+ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::FailureReason failure) {
+  if (failure == core::FailureReason::timed_out)
+    return dialect.error(Rejection::timed_out, "no answer in time");
   return dialect.error(Rejection::failed, "the answer failed");
 }
 
--- a/src/net/downstream_answers.hpp
+++ b/src/net/downstream_answers.hpp
@@ -24,7 +24,7 @@
                                      Time retry_after);
 
 // The request has failed or timed out; it may have run.
-fronts::ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::Failure failure);
+fronts::ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::FailureReason failure);
 
 // The request is malformed or cannot be used.
 fronts::ErrorAnswer bad_request_answer(const fronts::Dialect& dialect, const http::BadMessage& bad);
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -136,7 +136,7 @@
   if (head.method == "GET" && path == "/health/ready") return answer_health();
   if (path != dialect().path()) throw BadMessage(kStatusNotFound, "no such path");
   if (head.method != "POST") throw BadMessage(kStatusMethodNotAllowed, "not a POST");
-  core::Arrival arrival = read_arrival();
+  core::IncomingRequest arrival = read_arrival();
   if (!has_room_for_request()) return reject_for_overload();
   admit(std::move(arrival), *head.find("X-Request-ID"));
 }
@@ -148,7 +148,7 @@
   on_answered();
 }
 
-core::Arrival DownstreamServer::Connection::read_arrival() {
+core::IncomingRequest DownstreamServer::Connection::read_arrival() {
   auto call = std::make_shared<fronts::Call>();
   call->dialect = &dialect();
   call->head = reader_.head();
@@ -162,7 +162,7 @@
          owner_.router_lifecycle().admits_requests(now_us());
 }
 
-void DownstreamServer::Connection::admit(core::Arrival arrival, const std::string& request_id) {
+void DownstreamServer::Connection::admit(core::IncomingRequest arrival, const std::string& request_id) {
   // A request with the id of one that is in flight must not run a second time, whoever sends it.
   if (!owner_.shared_admission_.open_ids.insert(request_id).second) {
     throw BadMessage(kStatusConflict, "this id has a request in work");
@@ -179,18 +179,18 @@
 
 // ---------------------------------------------------------------- core::Reply
 
-void DownstreamServer::Connection::served_by(std::uint16_t model, const Allowance* allowance) {
+void DownstreamServer::Connection::begin_answer(std::uint16_t model, const Allowance* allowance) {
   if (model != 0 && owner_.options_.model_name) {
     extra_headers_.push_back({"X-Served-Model", owner_.options_.model_name(model)});
   }
   if (allowance != nullptr) add_limit_headers(*allowance);
 }
 
-void DownstreamServer::Connection::event(const core::StreamEvent& event) {
+void DownstreamServer::Connection::send_event(const core::StreamEvent& event) {
   // An event from a replica of the client's own dialect is forwarded byte for byte.
   const bool same = event.dialect == dialect().name();
   if (!same && !writer_) writer_ = dialect().writer(request_id_);
-  const std::string bytes = same ? event.raw : writer_->write(event);
+  const std::string bytes = same ? event.raw_frame : writer_->write(event);
   if (bytes.empty()) return;
   drop_keep_while_draining();
   std::string out;
@@ -207,7 +207,7 @@
   on_answered();
 }
 
-void DownstreamServer::Connection::break_off() {
+void DownstreamServer::Connection::abort_answer() {
   end_request();
   close_after_sending();
 }
@@ -217,7 +217,7 @@
   on_answered();
 }
 
-void DownstreamServer::Connection::reject_for(const Allowance& allowance, Time retry_after) {
+void DownstreamServer::Connection::reject_over_limit(const Allowance& allowance, Time retry_after) {
   if (allowance.rejected == Allowance::Rejection::over) add_limit_headers(allowance);
   // No Retry-After for a request that is too long: a retry would be too long as well.
   const bool too_long = allowance.rejected == Allowance::Rejection::too_long;
@@ -225,7 +225,7 @@
   on_answered();
 }
 
-void DownstreamServer::Connection::fail(core::Failure failure, Time retry_after) {
+void DownstreamServer::Connection::fail(core::FailureReason failure, Time retry_after) {
   answer(failure_answer(dialect(), failure), retry_after);
   on_answered();
 }
--- a/src/net/downstream_connection.hpp
+++ b/src/net/downstream_connection.hpp
@@ -35,13 +35,13 @@
   void close(std::string_view reason);
 
   // core::Reply
-  void served_by(std::uint16_t model, const Allowance* allowance) override;
-  void event(const core::StreamEvent& event) override;
+  void begin_answer(std::uint16_t model, const Allowance* allowance) override;
+  void send_event(const core::StreamEvent& event) override;
   void finish() override;
-  void break_off() override;
+  void abort_answer() override;
   void reject(Time retry_after) override;
-  void reject_for(const Allowance& allowance, Time retry_after) override;
-  void fail(core::Failure failure, Time retry_after) override;
+  void reject_over_limit(const Allowance& allowance, Time retry_after) override;
+  void fail(core::FailureReason failure, Time retry_after) override;
   bool client_connected() override;
 
  private:
@@ -58,9 +58,9 @@
   bool on_body();
   void on_whole_request();
   void answer_health();
-  core::Arrival read_arrival();
+  core::IncomingRequest read_arrival();
   bool has_room_for_request() const;
-  void admit(core::Arrival arrival, const std::string& request_id);
+  void admit(core::IncomingRequest arrival, const std::string& request_id);
 
   // Answering.
   void add_limit_headers(const Allowance& allowance);
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -116,7 +116,7 @@
 }
 
 void UpstreamPool::Connection::write_attempt() {
-  if (!owner_.core_->still_wanted(attempt_)) return;
+  if (!owner_.core_->client_is_waiting(attempt_)) return;
   // The connection may come up in the loop's round in which the attempt's deadline passes. The connection
   // itself can be reused.
   if (now_us() >= deadline_)
@@ -293,7 +293,7 @@
   } else {
     close(reason);
   }
-  if (job == Job::probe) return owner_.core_->probed(replica_, outcome == Outcome::served, report);
+  if (job == Job::probe) return owner_.core_->probe_ended(replica_, outcome == Outcome::served, report);
   owner_.core_->attempt_ended(attempt_, outcome, report);
 }
 
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -51,7 +51,7 @@
   const EndpointEntry* entry = endpoints_.find(replica);
   Acquired acquired;
   if (entry != nullptr && entry->address) acquired = acquire(*entry);
-  if (acquired.connection == nullptr) return core_->probed(replica, false, {});
+  if (acquired.connection == nullptr) return core_->probe_ended(replica, false, {});
   ++counters_.probes;
   acquired.connection->carry_probe();
 }
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -17,10 +17,10 @@
   static constexpr std::string_view outcome_names[] = {"served",         "error", "full",      "timed_out",
                                                        "connect_failed", "reset", "cancelled", "not_sent"};
   const auto& counters = core.counters();
-  out << "taken=" << counters.admitted << " open=" << core.open() << " attempts=" << counters.attempts
-      << " served=" << counters.served << " shed=" << counters.rejected << " failed=" << counters.failed
-      << " timed_out=" << counters.timed_out << " broken=" << counters.interrupted
-      << " gone=" << counters.client_disconnected;
+  out << "taken=" << counters.admitted << " open=" << core.open_requests()
+      << " attempts=" << counters.attempts << " served=" << counters.served << " shed=" << counters.rejected
+      << " failed=" << counters.failed << " timed_out=" << counters.timed_out
+      << " broken=" << counters.interrupted << " gone=" << counters.client_disconnected;
   for (const auto& [outcome, count] : counters.outcomes)
     out << " attempt_" << outcome_names[static_cast<int>(outcome)] << "=" << count;
 }
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -49,7 +49,7 @@
 };
 
 void shut_down(RunningRouter& running) {
-  logging::info("main") << "shutting down: " << running.node.core().open() << " requests in flight";
+  logging::info("main") << "shutting down: " << running.node.core().open_requests() << " requests in flight";
   running.node.shut_down();
 }
 
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -142,7 +142,7 @@
     now_ = end;
   }
   Time clock() const { return now_; }
-  std::size_t open() const { return core_->open(); }
+  std::size_t open() const { return core_->open_requests(); }
   int draw(int below) { return boost::random::uniform_int_distribution<int>(0, below - 1)(dice_); }
   Units tallies() const {
     Units sum = 0;
@@ -163,15 +163,15 @@
   struct Reply final : core::Reply {
     Reply(World& its, std::size_t at) : world(its), place(at) {}
     Answer& answer() { return world.answers[place]; }
-    void served_by(std::uint16_t model, const Allowance*) override { answer().model = model; }
-    void event(const core::StreamEvent&) override { ++answer().events; }
+    void begin_answer(std::uint16_t model, const Allowance*) override { answer().model = model; }
+    void send_event(const core::StreamEvent&) override { ++answer().events; }
     void finish() override { answer().over = answer().served = true; }
-    void break_off() override { answer().over = answer().broken = true; }
+    void abort_answer() override { answer().over = answer().broken = true; }
     void reject(Time back) override {
       answer().over = answer().overload_rejected = true, answer().retry_after = back;
     }
-    void fail(core::Failure, Time) override { answer().over = answer().failed = true; }
-    void reject_for(const Allowance& why, Time back) override {
+    void fail(core::FailureReason, Time) override { answer().over = answer().failed = true; }
+    void reject_over_limit(const Allowance& why, Time back) override {
       answer().over = true, answer().rejected = why, answer().retry_after = back;
     }
     World& world;
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -34,14 +34,14 @@
   void watch() override {}
   void fetch() override {}
   void send(std::uint32_t, const std::string&) override {}
-  void event(const StreamEvent& passed_on) override { events += passed_on.text; }
+  void send_event(const StreamEvent& passed_on) override { events += passed_on.text; }
   void finish() override { ++finished; }
-  void break_off() override { ++broken; }
+  void abort_answer() override { ++broken; }
   void reject(Time advised_wait) override {
     ++rejected;
     retry_after = advised_wait;
   }
-  void fail(Failure, Time advised_wait) override {
+  void fail(FailureReason, Time advised_wait) override {
     ++failed;
     retry_after = advised_wait;
   }
@@ -98,7 +98,7 @@
   environment.advance_to(core, start + seconds(5) + kDeadlineSlack);
   CHECK(environment.answers() == 1);
   CHECK(environment.retry_after > 0);
-  CHECK(core.open() == 0);
+  CHECK(core.open_requests() == 0);
 }
 
 TEST_CASE("an attempt without an answer is abandoned at the deadline, before the one final answer") {
@@ -181,7 +181,7 @@
   // 3 x 0.46 x 5 x 2 requests, with the capacity at the beginning of the window; there is only one router.
   CHECK(environment.launched >= 13);
   CHECK(environment.launched <= 14);
-  CHECK(core.open() == 0);
+  CHECK(core.open_requests() == 0);
   CHECK(environment.rejected + environment.failed == 200 - environment.launched);
 }
 
@@ -207,16 +207,16 @@
     environment.list_replicas(core, 3);
     environment.admit(core);
     const AttemptId attempt = environment.attempts.back();
-    CHECK(core.still_wanted(attempt));
+    CHECK(core.client_is_waiting(attempt));
     environment.connected = false;
-    CHECK_FALSE(core.still_wanted(attempt));
+    CHECK_FALSE(core.client_is_waiting(attempt));
     CHECK(environment.attempts.empty());
   }
-  CHECK(core.open() == 0);
+  CHECK(core.open_requests() == 0);
   CHECK(core.counters().client_disconnected == 1);
   CHECK(environment.answers() == 0);
   environment.advance_to(core, environment.time + seconds(6));
-  CHECK(core.timers() == 0);
+  CHECK(core.pending_timers() == 0);
 }
 
 // Requests of an unsafe class must not run twice. A rejection tells the client that its request did not run.
@@ -267,5 +267,5 @@
   }
   environment.advance_to(
       core, environment.time + seconds(10));  // later than the timers of the routing policy itself
-  CHECK(core.timers() == 0);
+  CHECK(core.pending_timers() == 0);
 }
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -80,7 +80,7 @@
     CHECK(whole.load->metrics().no_connection == 0);
     CHECK(result.totals.served == whole.node->core().counters().served);
     CHECK(result.tries == whole.node->core().counters().admitted);
-    CHECK(whole.node->core().open() == 0);
+    CHECK(whole.node->core().open_requests() == 0);
     CHECK(result.totals.broken == 0);
     CHECK(whole.installation->metrics().done >= result.totals.served);
     CHECK(result.cached_tokens > 0);
@@ -105,7 +105,7 @@
   std::uint64_t ended = 0;
   for (const auto& cls : result.classes) ended += cls.served + cls.given_up;
   CHECK(ended == result.turns);
-  CHECK(whole.node->core().open() == 0);
+  CHECK(whole.node->core().open_requests() == 0);
 }
 
 TEST_CASE("clients without a router end and report it") {
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -110,7 +110,7 @@
   events.push_back(event_of(EventKind::comment, "a comment"));
   events.push_back(event_of(EventKind::delta, "one \"two\"\n"));
   events.push_back(event_of(EventKind::stop, "length"));
-  events.back().last_text = "three";
+  events.back().final_text = "three";
   events.push_back(event_of(EventKind::usage));
   events.back().usage = {40, 12, 16};
   events.push_back(event_of(EventKind::unknown, "novelty"));
@@ -128,7 +128,7 @@
 std::string fields_of_event(const core::StreamEvent& event) {
   std::ostringstream line;
   line << "  kind " << static_cast<int>(event.kind) << ", text '" << event.text << "', last text '"
-       << event.last_text << "', model '" << event.model << "', usage " << event.usage.prompt << " "
+       << event.final_text << "', model '" << event.model << "', usage " << event.usage.prompt << " "
        << event.usage.generated << " " << event.usage.cached << ", has usage " << event.has_usage << "\n";
   return line.str();
 }
