--- a/src/core/discovery_schedule.cpp
+++ b/src/core/discovery_schedule.cpp
@@ -50,7 +50,7 @@
 
 DiscoverySchedule::DiscoverySchedule(const Options& options, Chance chance)
     : options_(options), chance_(std::move(chance)) {
-  if (options.pushed) {
+  if (options.uses_local_agent) {
     period_ = kAgentPeriod;
     congested_period_ = kAgentPeriod;
     return;
@@ -77,15 +77,15 @@
 }
 
 DiscoverySchedule::Call DiscoverySchedule::begin_call(Time now) {
-  Call call{.begun = now, .limit = now + kLimit};
-  if (options_.pushed) {
-    call.wait = kAgentWait;
-    call.next = now + kAgentWait + kAgentTry;
+  Call call{.started_at = now, .give_up_at = now + kLimit};
+  if (options_.uses_local_agent) {
+    call.max_wait = kAgentWait;
+    call.next_call_at = now + kAgentWait + kAgentTry;
   } else if (renewing_) {
-    call.wait = std::clamp(spread_, kMinWait, kMaxWait);
-    call.next = after_silence(now, call.wait);
+    call.max_wait = std::clamp(spread_, kMinWait, kMaxWait);
+    call.next_call_at = after_silence(now, call.max_wait);
   } else {
-    call.next = from_beginning(now, in_time() ? kEarlyPart : kCongestedPart, 1, congested_period_);
+    call.next_call_at = from_beginning(now, in_time() ? kEarlyPart : kCongestedPart, 1, congested_period_);
   }
   renewing_ = false;
   return call;
@@ -93,15 +93,15 @@
 
 Time DiscoverySchedule::on_call_failed(Time now, const Call& call) {
   renewing_ = false;
-  if (options_.pushed) return now + period_;
+  if (options_.uses_local_agent) return now + period_;
   // A subscription broke. The subscriptions of all routers may have broken at the same moment.
-  if (call.wait > 0) return now + random_part_of(spread_);
+  if (call.max_wait > 0) return now + random_part_of(spread_);
   // A longer pause empties a queue in which every call fails because it waits and is then repeated. A call
   // that is rejected at once needs no longer pause, because it costs discovery nothing.
-  const bool congested = now - call.begun >= kCongestedAfter;
-  if (congested) return std::max(now, call.next);
-  if (in_time()) return std::max(now, from_beginning(call.begun, kEarlyPart, 1, period_));
-  return std::max(now, from_beginning(call.begun, 1, kLatePart, period_));
+  const bool congested = now - call.started_at >= kCongestedAfter;
+  if (congested) return std::max(now, call.next_call_at);
+  if (in_time()) return std::max(now, from_beginning(call.started_at, kEarlyPart, 1, period_));
+  return std::max(now, from_beginning(call.started_at, 1, kLatePart, period_));
 }
 
 // When the next call begins if a subscription falls silent. The subscriptions of all routers may do so at the
--- a/src/core/discovery_schedule.hpp
+++ b/src/core/discovery_schedule.hpp
@@ -52,7 +52,7 @@
     std::uint32_t routers = 1;
     // Whether calls go to an agent on this machine, to which discovery pushes the list. They cost nothing, so
     // they are short and frequent: an agent that was silent may not answer a waiting call once it is back.
-    bool pushed = false;
+    bool uses_local_agent = false;
   };
   // Returns random numbers, uniform in [0, 1).
   using Chance = std::function<double()>;
@@ -63,10 +63,10 @@
   Time first_call_time(Time now) const { return now + random_part_of(spread_); }
 
   struct Call {
-    Time begun = 0;
-    Time wait = 0;   // how long discovery may wait for a change; 0: it answers with the list as it is
-    Time next = 0;   // when the next call begins if there is no answer by then
-    Time limit = 0;  // when the call is given up
+    Time started_at = 0;
+    Time max_wait = 0;      // how long discovery may wait for a change; 0: it answers with the list as it is
+    Time next_call_at = 0;  // when the next call begins if there is no answer by then
+    Time give_up_at = 0;    // when the call is given up
   };
   // Begins a call and returns its times. A call waits for a change of the list only if it is the first one
   // after a complete answer; every other call asks for the list as it is.
--- a/src/core/interfaces.hpp
+++ b/src/core/interfaces.hpp
@@ -72,7 +72,7 @@
  public:
   virtual ~Discovery() = default;
   // Subscribes to changes of the list of replicas.
-  virtual void watch() = 0;
+  virtual void subscribe() = 0;
   // Asks for the whole list once.
   virtual void fetch() = 0;
 };
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -269,7 +269,7 @@
     case ActionKind::set_timer:
       timers_.set(std::max(action.time, now()), {.token = action.token, .attempt = {}});
       return;
-    case ActionKind::watch_endpoints: return dependencies_.discovery.watch();
+    case ActionKind::watch_endpoints: return dependencies_.discovery.subscribe();
     case ActionKind::fetch_endpoints: return dependencies_.discovery.fetch();
     case ActionKind::probe: return dependencies_.upstream.probe(action.replica);
     case ActionKind::message_peer: return dependencies_.peers.send(action.token, action.message);
--- a/src/emulator/emulated_router.cpp
+++ b/src/emulator/emulated_router.cpp
@@ -17,7 +17,7 @@
 
 void EmulatedRouter::probe(ReplicaId replica_id) { day_.probe(*this, replica_id); }
 
-void EmulatedRouter::watch() { day_.request_endpoint_list(*this); }
+void EmulatedRouter::subscribe() { day_.request_endpoint_list(*this); }
 
 void EmulatedRouter::send(std::uint32_t rank, const std::string& message) {
   day_.send_peer_message(*this, rank, message);
--- a/src/emulator/emulated_router.hpp
+++ b/src/emulator/emulated_router.hpp
@@ -35,8 +35,8 @@
   void pause_reading(core::AttemptId) override {}
   void resume_reading(core::AttemptId) override {}
   void probe(ReplicaId replica_id) override;
-  void watch() override;
-  void fetch() override { watch(); }
+  void subscribe() override;
+  void fetch() override { subscribe(); }
   void send(std::uint32_t rank, const std::string& message) override;
 
  private:
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -64,11 +64,11 @@
 void DiscoveryClient::send_request(Scope scope) {
   ++counters_.calls;
   const DiscoveryCall call{.number = counters_.calls, .plan = schedule_.begin_call(now_us())};
-  call_at(call.plan.next);
+  call_at(call.plan.next_call_at);
   limit_calls_out(core::DiscoverySchedule::kMaxCallsInFlight - 1);
   auto connection = take_connection();
   if (!connection) return fail(call, {.kind = CallFailureKind::no_connection});
-  connection->begin(call, request_text(scope, call.plan.wait));
+  connection->begin(call, request_text(scope, call.plan.max_wait));
   calls_out_.push_back(std::move(connection));
 }
 
@@ -167,7 +167,7 @@
   if (!failure.detail.empty()) line << " (" << logging::field("detail", failure.detail) << ")";
   describe_call(line, call);
   if (call.number == counters_.calls) call_at(schedule_.on_call_failed(now_us(), call.plan));
-  if (!options_.calls.pushed) callbacks_.failed();
+  if (!options_.calls.uses_local_agent) callbacks_.failed();
 }
 
 void DiscoveryClient::schedule_after_list(const DiscoveryCall& call, std::uint64_t revision_before) {
@@ -193,7 +193,7 @@
 
 // Adds the fields of the call: its number, its address and how long it took.
 void DiscoveryClient::describe_call(logging::Line& line, const DiscoveryCall& call) const {
-  const Time took_ms = (now_us() - call.plan.begun) / milliseconds(1);
+  const Time took_ms = (now_us() - call.plan.started_at) / milliseconds(1);
   line << ", call " << logging::field("call", call.number) << " to "
        << logging::field("discovery", options_.address) << " took " << logging::field("took_ms", took_ms)
        << " ms";
@@ -213,7 +213,7 @@
 // only older ones for `max_old_list_time`.
 bool DiscoveryClient::is_too_old(simdjson::dom::element list) {
   const auto revision = read_revision(list);
-  const bool older = options_.calls.pushed && has_revision_ && revision && *revision < revision_;
+  const bool older = options_.calls.uses_local_agent && has_revision_ && revision && *revision < revision_;
   if (!older) {
     old_since_ = 0;
     return false;
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -42,7 +42,7 @@
   reader_ = MessageReader(MessageReader::Kind::answer, kMaxListBytes);
   body_.clear();
   // Without this timeout a call to a discovery that has vanished would never end.
-  timeout_.start(call.plan.limit - now_us(), [this] { fail({.kind = CallFailureKind::timed_out}); });
+  timeout_.start(call.plan.give_up_at - now_us(), [this] { fail({.kind = CallFailureKind::timed_out}); });
   if (connected_) return stream_.write(std::move(request));
   request_ = std::move(request);
 }
--- a/src/net/endpoint_table.hpp
+++ b/src/net/endpoint_table.hpp
@@ -68,7 +68,7 @@
   std::string list() const;
 
   // Does nothing: the schedule keeps a watch open by itself.
-  void watch() override {}
+  void subscribe() override {}
   void fetch() override { client_.fetch(); }
 
   // Calls discovery at another address from now on. The table stays until the new address has sent its whole
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -79,7 +79,7 @@
   options.kinds = config_.names.kinds;
   options.calls.max_poll_interval = settings.max_poll_interval;
   options.calls.routers = settings.group_size;
-  options.calls.pushed = !settings.discovery_by_polling;
+  options.calls.uses_local_agent = !settings.discovery_by_polling;
   options.seed = settings.seed;
   options.max_old_list_time = settings.max_poll_interval;
   return options;
--- a/tests/core/discovery_schedule.cpp
+++ b/tests/core/discovery_schedule.cpp
@@ -80,14 +80,14 @@
     router.list_time = now;
     router.schedule->on_call_answered();
     Call& renewal = add_call(router);  // at once
-    renewal.renewal = now + renewal.plan.wait;
+    renewal.renewal = now + renewal.plan.max_wait;
   }
   Call& add_call(Router& router) {
     if (router.calls.size() >= DiscoverySchedule::kMaxCallsInFlight)
       router.calls.erase(router.calls.begin() + 1);
     router.latest = ++last_number;
     router.calls.push_back({.number = router.latest, .plan = router.schedule->begin_call(now)});
-    router.next = router.calls.back().plan.next;
+    router.next = router.calls.back().plan.next_call_at;
     return router.calls.back();
   }
   void begin(Router& router) {
@@ -143,7 +143,7 @@
       if (call.renewal && now >= *call.renewal) return answer(router);
     }
     for (std::size_t i = router.calls.size(); i-- > 0;) {
-      if (now >= router.calls[i].plan.limit) fail(router, router.calls[i].number);
+      if (now >= router.calls[i].plan.give_up_at) fail(router, router.calls[i].number);
     }
     if (now >= router.next) begin(router);
   }
@@ -285,9 +285,9 @@
 }
 
 TEST_CASE("an agent on the same machine is called again soon after any failure") {
-  DiscoverySchedule schedule({.routers = 300, .pushed = true}, [] { return 0.5; });
+  DiscoverySchedule schedule({.routers = 300, .uses_local_agent = true}, [] { return 0.5; });
   CHECK(schedule.first_call_time(0) == 0);
   const auto call = schedule.begin_call(0);
-  CHECK(call.next < seconds(2));
+  CHECK(call.next_call_at < seconds(2));
   CHECK(schedule.on_call_failed(kSecond, call) <= kSecond + kSecond / 10);
 }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -195,7 +195,7 @@
       if (incarnation == incarnation_) core_->wake();
     });
   }
-  void watch() override { ++watched; }
+  void subscribe() override { ++watched; }
   void fetch() override {}
   void send(std::uint32_t, const std::string&) override {}
   void probe(ReplicaId) override {}
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -31,7 +31,7 @@
   void pause_reading(AttemptId) override {}
   void resume_reading(AttemptId) override {}
   void probe(ReplicaId) override {}
-  void watch() override {}
+  void subscribe() override {}
   void fetch() override {}
   void send(std::uint32_t, const std::string&) override {}
   void send_event(const StreamEvent& passed_on) override { events += passed_on.text; }
