--- a/src/core/drain_tracker.cpp
+++ b/src/core/drain_tracker.cpp
@@ -27,7 +27,7 @@
       observer_(std::move(observer)),
       random_(mix(settings.seed ^ kTimerToken)) {}
 
-void DrainTracker::observe(ReportFate fate, ReplicaId replica) const {
+void DrainTracker::observe(ReportOutcome fate, ReplicaId replica) const {
   if (observer_) observer_(fate, replica);
 }
 
@@ -142,20 +142,20 @@
     pending_reports_.erase(pending);
   const auto known = peer_reports_.find(report.replica);
   if (known != peer_reports_.end() && !is_earlier(known->second.start, report.start)) return;
-  if (!is_listed(report)) return observe(ReportFate::unlisted, report.replica);
+  if (!is_listed(report)) return observe(ReportOutcome::unlisted, report.replica);
   if (known == peer_reports_.end() && peer_reports_.size() >= kMaxKeptReports) return;
   const bool was_in_force = known != peer_reports_.end() && known->second.in_force;
   PeerReport& kept = peer_reports_[report.replica];
   kept = {.start = report.start, .received = now, .until = now + lifetime()};
   set_timer(kept.until);
   if (was_in_force || may_take_out_another(now)) return put_in_force(now, report.replica, kept);
-  observe(ReportFate::held_back, report.replica);
+  observe(ReportOutcome::held_back, report.replica);
   set_timer(*list_received_ + kListIsRenewedFor);
 }
 
 void DrainTracker::put_in_force(Time now, ReplicaId replica, PeerReport& report) {
   report.in_force = true;
-  observe(ReportFate::accepted, replica);
+  observe(ReportOutcome::accepted, replica);
   const Endpoint entry = with_reported_state(listed_.at(replica));
   DeciderDecorator::on_endpoints(now, EndpointUpdate::delta, {&entry, 1});
 }
@@ -214,7 +214,7 @@
       continue;
     }
     due.push_back({.replica = at->first, .start = pending.start});
-    observe(ReportFate::sent, at->first);
+    observe(ReportOutcome::sent, at->first);
     pending.send_at = now + kRepeatAfter;
     at = pending.repeats_left-- > 0 ? std::next(at) : pending_reports_.erase(at);
   }
@@ -244,7 +244,7 @@
       ++at;
       continue;
     }
-    observe(ReportFate::expired, at->first);
+    observe(ReportOutcome::expired, at->first);
     const auto listed = listed_.find(at->first);
     const bool was_in_force = at->second.in_force;
     at = peer_reports_.erase(at);
--- a/src/core/drain_tracker.hpp
+++ b/src/core/drain_tracker.hpp
@@ -52,7 +52,7 @@
   static constexpr std::size_t kMaxKeptReports = 1024;
 
   // What became of a report, for the log.
-  enum class ReportFate {
+  enum class ReportOutcome {
     sent,       // the router's own report went to all peers
     accepted,   // a peer's report takes its replica out of use
     unlisted,   // a peer's report is ignored: the own list does not have this start of the replica as ready
@@ -60,7 +60,7 @@
     expired     // the own list did not confirm a peer's report, and the replica is ready again
   };
   // Called for each report, during the event that the report came with. Must not call the tracker.
-  using Observer = std::function<void(ReportFate fate, ReplicaId replica)>;
+  using Observer = std::function<void(ReportOutcome fate, ReplicaId replica)>;
 
   // `observer` may be empty.
   DrainTracker(std::unique_ptr<Decider> inner, const Settings& settings, Observer observer = {});
@@ -109,7 +109,7 @@
   bool list_is_renewed(Time now) const;
   Time lifetime() const;
   bool is_small_group() const { return settings_.group_size <= kMaxSmallGroup; }
-  void observe(ReportFate fate, ReplicaId replica) const;
+  void observe(ReportOutcome fate, ReplicaId replica) const;
   Endpoint with_reported_state(const Endpoint& entry) const;
   std::vector<DrainReport> take_due_reports(Time now);
   void send_due_reports(Time now);
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -24,7 +24,7 @@
 Level threshold();
 void set_threshold(Level level);
 // Returns whether debug lines are written. Callers check it before they compute fields that are expensive.
-[[nodiscard]] inline bool writes_debug() { return threshold() <= Level::debug; }
+[[nodiscard]] inline bool is_debug_enabled() { return threshold() <= Level::debug; }
 // Sets the format of all later lines. It is `Format::text` until then.
 void set_format(Format format);
 
--- a/src/logging/rate_limiter.hpp
+++ b/src/logging/rate_limiter.hpp
@@ -22,7 +22,7 @@
   //
   // `kind` is kept by reference for the lifetime of the limiter: it must be a string literal, and there must
   // be few of them.
-  [[nodiscard]] bool due(Time now, std::string_view kind) {
+  [[nodiscard]] bool allows(Time now, std::string_view kind) {
     const auto [last_line, is_first] = last_lines_.try_emplace(kind, now);
     if (is_first) return true;
     if (now - last_line->second < kInterval) return false;
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -160,7 +160,7 @@
 
 void DiscoveryClient::fail(const DiscoveryCall& call, const CallFailure& failure) {
   ++counters_.failures;
-  const bool due = log_limiter_.due(now_us(), to_string(failure.kind));
+  const bool due = log_limiter_.allows(now_us(), to_string(failure.kind));
   const auto level = due ? logging::Level::info : logging::Level::debug;
   logging::Line line(level, kLogPart);
   line << "call failed: " << logging::field("reason", to_string(failure.kind));
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -40,7 +40,7 @@
 
 void DownstreamServer::Connection::close(std::string_view reason) {
   if (std::exchange(closed_, true)) return;
-  if (logging::writes_debug()) {
+  if (logging::is_debug_enabled()) {
     const std::string request = state_ == State::busy ? request_id_ : "none";
     logging::debug("downstream") << "connection closed: " << logging::field("reason", reason)
                                  << ", request in flight: " << logging::field("request", request);
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -154,7 +154,7 @@
 void EndpointTable::reject_entry(EntryFault fault, const std::string& uid) {
   ++counters_.bad;
   const std::string_view reason = to_string(fault);
-  if (!log_limiter_.due(now_us(), reason)) return;
+  if (!log_limiter_.allows(now_us(), reason)) return;
   logging::warning("endpoints") << "invalid entry: " << logging::field("replica", uid) << ": " << reason;
 }
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -38,7 +38,7 @@
 
 void UpstreamPool::Connection::close(std::string_view reason) {
   if (std::exchange(closed_, true)) return;
-  if (logging::writes_debug()) {
+  if (logging::is_debug_enabled()) {
     describe_attempt(logging::debug("upstream")) << "connection to " << logging::field("endpoint", endpoint_)
                                                  << " closed: " << logging::field("reason", reason);
   }
@@ -281,7 +281,7 @@
 void UpstreamPool::Connection::finish(Outcome outcome, Reuse reuse, std::string_view reason) {
   const Job job = std::exchange(job_, Job::none);
   if (job == Job::none) return;
-  if (job == Job::attempt && logging::writes_debug()) {
+  if (job == Job::attempt && logging::is_debug_enabled()) {
     describe_attempt(logging::debug("upstream")) << "attempt ended: " << logging::field("reason", reason);
   }
   timeout_.stop();
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -39,8 +39,8 @@
   return settings.may_message_peers && settings.discovery_by_polling && settings.group_size > 1;
 }
 
-std::string_view description_of(core::DrainTracker::ReportFate fate) {
-  using Fate = core::DrainTracker::ReportFate;
+std::string_view description_of(core::DrainTracker::ReportOutcome fate) {
+  using Fate = core::DrainTracker::ReportOutcome;
   switch (fate) {
     case Fate::sent: return "draining or gone: reported to peers";
     case Fate::accepted: return "a peer reports it draining or gone: no more attempts";
@@ -54,8 +54,8 @@
 
 // Logs the fate of each report about a replica.
 core::DrainTracker::Observer report_logger(const net::EndpointTable& endpoints) {
-  return [&endpoints](core::DrainTracker::ReportFate fate, ReplicaId replica) {
-    using Fate = core::DrainTracker::ReportFate;
+  return [&endpoints](core::DrainTracker::ReportOutcome fate, ReplicaId replica) {
+    using Fate = core::DrainTracker::ReportOutcome;
     const auto level = fate == Fate::unlisted ? logging::Level::debug : logging::Level::info;
     logging::Line(level, "drain") << "replica " << logging::field("replica", uid_of(endpoints, replica))
                                   << ": " << description_of(fate);
@@ -83,8 +83,8 @@
     chain.drain_tracker = drain_tracker.get();
     chain.decider = std::move(drain_tracker);
   }
-  chain.decider = tracing::traced(std::move(chain.decider),
-                                  [&endpoints](ReplicaId replica) { return uid_of(endpoints, replica); });
+  chain.decider = tracing::with_tracing(
+      std::move(chain.decider), [&endpoints](ReplicaId replica) { return uid_of(endpoints, replica); });
   return chain;
 }
 
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -75,8 +75,8 @@
 void RequestRecorder::log_without_answer(const core::RequestSummary& summary) {
   using logging::field;
   const std::string_view ending = name_of(summary.status);
-  const bool due = log_limiter_.due(net::now_us(), ending);
-  if (!due && !logging::writes_debug()) return;
+  const bool due = log_limiter_.allows(net::now_us(), ending);
+  if (!due && !logging::is_debug_enabled()) return;
   const Time took_ms = (summary.ended_at - summary.arrived_at) / milliseconds(1);
   logging::Line(due ? logging::Level::info : logging::Level::debug, "request")
           .with("request_number", summary.request.id)
@@ -89,7 +89,7 @@
 void RequestRecorder::record(const core::RequestSummary& summary) {
   if (const auto state = metrics_state(summary.status)) metrics_.count_request(summary.request.cls, *state);
   if (summary.status != core::CompletionStatus::served) log_without_answer(summary);
-  const bool debug_logged = logging::writes_debug();
+  const bool debug_logged = logging::is_debug_enabled();
   if (flow_exporter_ == nullptr && !debug_logged) return;
   if (debug_logged && summary.status == core::CompletionStatus::served)
     log_served(summary, replica_name(summary));
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -115,8 +115,8 @@
 
 }  // namespace
 
-std::unique_ptr<core::Decider> traced(std::unique_ptr<core::Decider> inner, NameOf name_of) {
-  if (!logging::writes_debug()) return inner;
+std::unique_ptr<core::Decider> with_tracing(std::unique_ptr<core::Decider> inner, NameOf name_of) {
+  if (!logging::is_debug_enabled()) return inner;
   return std::make_unique<TracingDecider>(std::move(inner), std::move(name_of));
 }
 
--- a/src/tracing/trace.hpp
+++ b/src/tracing/trace.hpp
@@ -17,6 +17,7 @@
 
 // Returns a decider that traces `inner`. If debug lines are not written at the time of the call, it returns
 // `inner` itself, so that tracing costs nothing; a later change of the threshold has no effect.
-[[nodiscard]] std::unique_ptr<core::Decider> traced(std::unique_ptr<core::Decider> inner, NameOf name_of);
+[[nodiscard]] std::unique_ptr<core::Decider> with_tracing(std::unique_ptr<core::Decider> inner,
+                                                          NameOf name_of);
 
 }  // namespace thornwick::tracing
--- a/tests/net/log_rate_limiter.cpp
+++ b/tests/net/log_rate_limiter.cpp
@@ -5,8 +5,8 @@
 
 TEST_CASE("the rate limiter allows one log line a second for each kind of event") {
   thornwick::logging::RateLimiter seldom;
-  CHECK(seldom.due(5'000'000, "one"));
-  CHECK_FALSE(seldom.due(5'900'000, "one"));
-  CHECK(seldom.due(5'900'000, "two"));
-  CHECK(seldom.due(6'000'000, "one"));
+  CHECK(seldom.allows(5'000'000, "one"));
+  CHECK_FALSE(seldom.allows(5'900'000, "one"));
+  CHECK(seldom.allows(5'900'000, "two"));
+  CHECK(seldom.allows(6'000'000, "one"));
 }
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -125,8 +125,8 @@
   const CapturedErrors errors(scratch.path("trace"));
   const auto before = logging::threshold();
   logging::set_threshold(logging::Level::debug);
-  const auto decider = tracing::traced(std::make_unique<ScriptedDecider>(one_of_each_action()),
-                                       [](ReplicaId id) { return "s-" + std::to_string(id); });
+  const auto decider = tracing::with_tracing(std::make_unique<ScriptedDecider>(one_of_each_action()),
+                                             [](ReplicaId id) { return "s-" + std::to_string(id); });
   tell_every_event(*decider);
   decider->take_actions();
   logging::set_threshold(before);
