--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -22,9 +22,9 @@
 
 // What an answer took, as the replica reports it, in tokens.
 struct Usage {
-  std::uint64_t prompt = 0;
-  std::uint64_t generated = 0;
-  std::uint64_t cached = 0;  // of the prompt, found in the replica's cache
+  std::uint64_t prompt_tokens = 0;
+  std::uint64_t generated_tokens = 0;
+  std::uint64_t cached_tokens = 0;  // of the prompt, found in the replica's cache
 };
 
 enum class EventKind {
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -158,9 +158,9 @@
 void RequestManager::learn_cache_use(const ActiveRequest& request) {
   if (dependencies_.affinity_table == nullptr) return;
   const Usage& usage = request.summary.usage;
-  dependencies_.affinity_table->on_answer_complete(now(), request.arrival.request, request.replica,
-                                                   request.expectation, static_cast<double>(usage.cached),
-                                                   static_cast<double>(usage.generated));
+  dependencies_.affinity_table->on_answer_complete(
+      now(), request.arrival.request, request.replica, request.expectation,
+      static_cast<double>(usage.cached_tokens), static_cast<double>(usage.generated_tokens));
 }
 
 void RequestManager::report_result(ActiveRequest& request, Outcome outcome, RequestFate fate,
@@ -175,9 +175,9 @@
                                       .outcome = outcome,
                                       .elapsed = ended - request.attempt_sent,
                                       .concluded = fate == RequestFate::concluded,
-                                      .cached_tokens = static_cast<double>(usage.cached),
-                                      .prompt_tokens = static_cast<double>(usage.prompt),
-                                      .generated_tokens = static_cast<double>(usage.generated),
+                                      .cached_tokens = static_cast<double>(usage.cached_tokens),
+                                      .prompt_tokens = static_cast<double>(usage.prompt_tokens),
+                                      .generated_tokens = static_cast<double>(usage.generated_tokens),
                                       .has_usage = request.has_usage,
                                       .answer_characters = request.answer_characters,
                                       .report = load});
--- a/src/fronts/messages.cpp
+++ b/src/fronts/messages.cpp
@@ -88,9 +88,10 @@
   void add_counts(Json usage) {
     std::uint64_t value = 0;
     if (usage.at_key("input_tokens").get(value) == simdjson::SUCCESS) uncached_prompt_ = value;
-    if (usage.at_key("output_tokens").get(value) == simdjson::SUCCESS) usage_.generated = value;
-    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.cached = value;
-    usage_.prompt = uncached_prompt_ + usage_.cached;  // input_tokens leaves out what was read from the cache
+    if (usage.at_key("output_tokens").get(value) == simdjson::SUCCESS) usage_.generated_tokens = value;
+    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.cached_tokens = value;
+    usage_.prompt_tokens =
+        uncached_prompt_ + usage_.cached_tokens;  // input_tokens leaves out what was read from the cache
   }
 
   simdjson::dom::parser parser_;
@@ -141,9 +142,10 @@
   }
 
   static std::string usage_json(const core::Usage& usage) {
-    return "{\"input_tokens\":" + std::to_string(usage.prompt - std::min(usage.prompt, usage.cached)) +
-           ",\"cache_read_input_tokens\":" + std::to_string(usage.cached) +
-           ",\"output_tokens\":" + std::to_string(usage.generated) + "}";
+    return "{\"input_tokens\":" +
+           std::to_string(usage.prompt_tokens - std::min(usage.prompt_tokens, usage.cached_tokens)) +
+           ",\"cache_read_input_tokens\":" + std::to_string(usage.cached_tokens) +
+           ",\"output_tokens\":" + std::to_string(usage.generated_tokens) + "}";
   }
 
   void write_start(const core::Usage& usage, std::string& out) {
--- a/src/fronts/platform.cpp
+++ b/src/fronts/platform.cpp
@@ -92,9 +92,9 @@
 
  private:
   static std::string usage_event(const core::Usage& usage) {
-    return R"(data: {"choices":[],"usage":{"prompt_tokens":)" + std::to_string(usage.prompt) +
-           ",\"completion_tokens\":" + std::to_string(usage.generated) +
-           R"(,"prompt_tokens_details":{"cached_tokens":)" + std::to_string(usage.cached) + "}}}\n\n";
+    return R"(data: {"choices":[],"usage":{"prompt_tokens":)" + std::to_string(usage.prompt_tokens) +
+           ",\"completion_tokens\":" + std::to_string(usage.generated_tokens) +
+           R"(,"prompt_tokens_details":{"cached_tokens":)" + std::to_string(usage.cached_tokens) + "}}}\n\n";
   }
 
   std::string choice_event(const std::string& delta, const std::string& reason) const {
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -84,9 +84,9 @@
   append_number(records_, summary.attempts, 1);
   append_number(records_, summary.request.cls, 1);
   append_number(records_, summary.request.tenant, 2);
-  append_number(records_, std::min(summary.usage.prompt, kMax32), 4);
-  append_number(records_, std::min(summary.usage.generated, kMax32), 4);
-  append_number(records_, std::min(summary.usage.cached, kMax32), 4);
+  append_number(records_, std::min(summary.usage.prompt_tokens, kMax32), 4);
+  append_number(records_, std::min(summary.usage.generated_tokens, kMax32), 4);
+  append_number(records_, std::min(summary.usage.cached_tokens, kMax32), 4);
   append_number(records_, clamped(to_first_event, kMax32), 4);
   const auto name = replica.substr(0, kMaxNameBytes);
   append_number(records_, name.size(), 1);
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -57,8 +57,9 @@
           .with("request_number", summary.request.id)
           .with("attempt", summary.attempts)
           .with("request", summary.external_id)
-      << "served by " << field("replica", replica) << ", prompt=" << field("prompt", summary.usage.prompt)
-      << " cached=" << field("cached", summary.usage.cached) << " expected_cached="
+      << "served by " << field("replica", replica)
+      << ", prompt=" << field("prompt", summary.usage.prompt_tokens)
+      << " cached=" << field("cached", summary.usage.cached_tokens) << " expected_cached="
       << field("expected_cached", static_cast<std::uint64_t>(summary.request.cache_hint.tokens))
       << " reason=" << field("reason", choice_reason(summary));
 }
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -21,7 +21,7 @@
   summary.attempts = 2;
   summary.events = 40;
   summary.bytes = 12'345;
-  summary.usage = {.prompt = 900, .generated = 77, .cached = 512};
+  summary.usage = {.prompt_tokens = 900, .generated_tokens = 77, .cached_tokens = 512};
   summary.request.cls = 1;
   summary.request.tenant = 258;
   return summary;
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -128,8 +128,9 @@
 std::string fields_of_event(const core::StreamEvent& event) {
   std::ostringstream line;
   line << "  kind " << static_cast<int>(event.kind) << ", text '" << event.text << "', last text '"
-       << event.final_text << "', model '" << event.model << "', usage " << event.usage.prompt << " "
-       << event.usage.generated << " " << event.usage.cached << ", has usage " << event.has_usage << "\n";
+       << event.final_text << "', model '" << event.model << "', usage " << event.usage.prompt_tokens << " "
+       << event.usage.generated_tokens << " " << event.usage.cached_tokens << ", has usage "
+       << event.has_usage << "\n";
   return line.str();
 }
 
