--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -42,7 +42,7 @@
       fronts_({.config = config_, .router_lifecycle = lifecycle_, .names = names_, .metrics = metrics_}),
       admin_commands_(lifecycle_, {.metrics = [this] { return metrics(); },
                                    .phase_changed = [this](PhaseChange reason) { phase_changed(reason); }}),
-      drain_watcher_(lifecycle_, [this] { return core_->open() > 0 || fronts_.has_connections(); }),
+      drain_watcher_(lifecycle_, [this] { return core_->open_requests() > 0 || fronts_.has_connections(); }),
       handover_({.config = config_,
                  .router_lifecycle = lifecycle_,
                  .endpoints = endpoints_,
@@ -168,7 +168,7 @@
 
 void Node::phase_changed(PhaseChange reason) {
   logging::info("main") << lifecycle::name_of(lifecycle_.phase()) << ": " << to_string(reason) << ", "
-                        << core_->open() << " requests in flight";
+                        << core_->open_requests() << " requests in flight";
   fronts_.phase_changed();
 }
 
@@ -223,7 +223,7 @@
 }
 
 std::string Node::metrics() const {
-  return metrics_.text({.in_flight = core_->open(),
+  return metrics_.text({.in_flight = core_->open_requests(),
                         .replicas = endpoints_.listed(),
                         .ejected_replicas = core_->ejected().size()});
 }
