--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -22,9 +22,9 @@
 
 // What an answer took, as the replica reports it, in tokens.
 struct Usage {
-  std::uint64_t prompt = 0;
-  std::uint64_t generated = 0;
-  std::uint64_t cached = 0;  // of the prompt, found in the replica's cache
+  std::uint64_t prompt_tokens = 0;
+  std::uint64_t generated_tokens = 0;
+  std::uint64_t cached_tokens = 0;  // of the prompt, found in the replica's cache
 };
 
 enum class EventKind {
@@ -43,11 +43,11 @@
 struct StreamEvent {
   EventKind kind = EventKind::unknown;
   std::string text;          // delta: the text; stop: the reason; error: the message; unknown: the name
-  std::string last_text;     // stop: the text that came in the same frame
+  std::string final_text;    // stop: the text that came in the same frame
   Usage usage;               // start and usage, and stop where `has_usage` says so
   bool has_usage = false;    // stop: `usage` came in the same frame
   std::string model;         // the model's name, where the frame carries it; else empty
-  std::string raw;           // the frame, byte for byte, as the replica sent it
+  std::string raw_frame;     // the frame, byte for byte, as the replica sent it
   std::string_view dialect;  // the name of the frame's dialect; refers to static storage
 };
 
@@ -57,31 +57,31 @@
 };
 
 // A request as a client's connection hands it in.
-struct Arrival {
+struct IncomingRequest {
   Request request;  // its id is assigned by the core
   std::shared_ptr<const Payload> payload;
   std::string external_id = {};  // the client's name for the request, for the log
 };
 
 // Why a request ended without an answer although an attempt may have run.
-enum class Failure { upstream, timed_out };
+enum class FailureReason { upstream, timed_out };
 
 // How a request ended.
-enum class Ending {
-  served,     // the client has a complete answer
-  rejected,   // nothing ran, and the client may repeat
-  failed,     // no attempt succeeded
-  timed_out,  // no answer began before the deadline
-  broken,     // the answer ended in the middle
+enum class CompletionStatus {
+  served,       // the client has a complete answer
+  rejected,     // nothing ran, and the client may repeat
+  failed,       // no attempt succeeded
+  timed_out,    // no answer began before the deadline
+  interrupted,  // the answer ended in the middle
   client_disconnected
 };
 
 // What became of one request, for counters and flow records. Times are microseconds on the core's clock.
 struct RequestSummary {
-  Ending ending = Ending::served;
-  Time arrived = 0;
-  Time first_event = 0;  // 0: no answer began
-  Time ended = 0;
+  CompletionStatus status = CompletionStatus::served;
+  Time arrived_at = 0;
+  Time first_event_at = 0;  // 0: no answer began
+  Time ended_at = 0;
   unsigned attempts = 0;  // that were launched
   ReplicaId last_replica = 0;
   std::uint16_t model = 0;   // that the last attempt requested; 0: there is no catalogue
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -50,7 +50,7 @@
 
 // ---------------------------------------------------------------- clients
 
-RequestId RequestManager::admit(Arrival arrival, Reply& reply) {
+RequestId RequestManager::admit(IncomingRequest arrival, Reply& reply) {
   const Time arrived = now();
   const RequestId id = ++last_id_;
   ActiveRequest& request = requests_[id];
@@ -60,7 +60,7 @@
   description.id = id;
   if (dependencies_.affinity_table != nullptr)
     description.cache_hint = dependencies_.affinity_table->recall(arrived, description);
-  request.summary.arrived = arrived;
+  request.summary.arrived_at = arrived;
   request.summary.request = description;
   request.summary.external_id = request.arrival.external_id;
   ++counters_.admitted;
@@ -77,13 +77,13 @@
   if (request == nullptr) return;
   decider_->on_client_disconnected(now(), request_id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
-  conclude(request_id, {.ending = Ending::client_disconnected});
+  conclude(request_id, {.status = CompletionStatus::client_disconnected});
   apply_actions();
 }
 
 // Avoids work whose result nobody reads. The loop may not have reported a closed connection yet, because
 // unread bytes precede the end of file or because it is handling another event.
-bool RequestManager::still_wanted(AttemptId attempt) {
+bool RequestManager::client_is_waiting(AttemptId attempt) {
   const ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return false;
   if (request->reply->client_connected()) return true;
@@ -116,19 +116,19 @@
     request->has_usage = true;
   }
   if (event.kind == EventKind::delta) request->answer_characters += static_cast<double>(event.text.size());
-  request->answer_characters += static_cast<double>(event.last_text.size());
+  request->answer_characters += static_cast<double>(event.final_text.size());
   request->attempt_state = state_after(request->attempt_state, event.kind);
   if (!had_started && request->answer_started()) begin_answer(*request);
   ++request->summary.events;
-  request->summary.bytes += event.raw.size();
-  request->reply->event(event);
+  request->summary.bytes += event.raw_frame.size();
+  request->reply->send_event(event);
   apply_actions();
 }
 
 // The answer begins with the first event that is passed on; no other attempt is made after it.
 void RequestManager::begin_answer(ActiveRequest& request) {
   const Time started = now();
-  request.summary.first_event = started;
+  request.summary.first_event_at = started;
   request.arrival.payload.reset();  // the body, which takes most of the memory, is not needed again
   if (dependencies_.affinity_table != nullptr) {
     request.expectation =
@@ -136,7 +136,7 @@
   }
   decider_->on_first_token(started, request.attempt.request_id, request.attempt.number, request.replica,
                            started - request.attempt_sent);
-  request.reply->served_by(request.model, request.allowance.get());
+  request.reply->begin_answer(request.model, request.allowance.get());
 }
 
 void RequestManager::attempt_ended(AttemptId attempt, Outcome outcome, std::span<const float> report) {
@@ -150,16 +150,17 @@
   if (served) learn_cache_use(*request);
   report_result(*request, outcome, fate, report);
   if (fate == RequestFate::concluded)
-    conclude(attempt.request_id, {.ending = served ? Ending::served : Ending::broken});
+    conclude(attempt.request_id,
+             {.status = served ? CompletionStatus::served : CompletionStatus::interrupted});
   apply_actions();
 }
 
 void RequestManager::learn_cache_use(const ActiveRequest& request) {
   if (dependencies_.affinity_table == nullptr) return;
   const Usage& usage = request.summary.usage;
-  dependencies_.affinity_table->on_answer_complete(now(), request.arrival.request, request.replica,
-                                                   request.expectation, static_cast<double>(usage.cached),
-                                                   static_cast<double>(usage.generated));
+  dependencies_.affinity_table->on_answer_complete(
+      now(), request.arrival.request, request.replica, request.expectation,
+      static_cast<double>(usage.cached_tokens), static_cast<double>(usage.generated_tokens));
 }
 
 void RequestManager::report_result(ActiveRequest& request, Outcome outcome, RequestFate fate,
@@ -174,9 +175,9 @@
                                       .outcome = outcome,
                                       .elapsed = ended - request.attempt_sent,
                                       .concluded = fate == RequestFate::concluded,
-                                      .cached_tokens = static_cast<double>(usage.cached),
-                                      .prompt_tokens = static_cast<double>(usage.prompt),
-                                      .generated_tokens = static_cast<double>(usage.generated),
+                                      .cached_tokens = static_cast<double>(usage.cached_tokens),
+                                      .prompt_tokens = static_cast<double>(usage.prompt_tokens),
+                                      .generated_tokens = static_cast<double>(usage.generated_tokens),
                                       .has_usage = request.has_usage,
                                       .answer_characters = request.answer_characters,
                                       .report = load});
@@ -192,7 +193,7 @@
   report_result(request, written ? outcome : Outcome::not_sent, fate, {});
 }
 
-void RequestManager::probed(ReplicaId replica, bool alive, std::span<const float> report) {
+void RequestManager::probe_ended(ReplicaId replica, bool alive, std::span<const float> report) {
   decider_->on_probe_result(now(), replica, alive, report);
   apply_actions();
 }
@@ -241,8 +242,9 @@
   decider_->on_client_disconnected(now(), id);
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
   // A request that never ran is rejected rather than failed, so that its client may repeat it.
-  const Ending ending = request->may_have_run ? Ending::timed_out : Ending::rejected;
-  conclude(id, {.ending = ending, .retry_after = retry_after_});
+  const CompletionStatus status =
+      request->may_have_run ? CompletionStatus::timed_out : CompletionStatus::rejected;
+  conclude(id, {.status = status, .retry_after = retry_after_});
 }
 
 // ---------------------------------------------------------------- the routing policy's actions
@@ -267,7 +269,7 @@
     case ActionKind::set_timer:
       timers_.set(std::max(action.time, now()), {.token = action.token, .attempt = {}});
       return;
-    case ActionKind::watch_endpoints: return dependencies_.discovery.watch();
+    case ActionKind::watch_endpoints: return dependencies_.discovery.subscribe();
     case ActionKind::fetch_endpoints: return dependencies_.discovery.fetch();
     case ActionKind::probe: return dependencies_.upstream.probe(action.replica);
     case ActionKind::message_peer: return dependencies_.peers.send(action.token, action.message);
@@ -325,11 +327,12 @@
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr || request->answer_started()) return;
   if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
-  FinalAnswer answer{.ending = Ending::rejected, .retry_after = action.time};
+  FinalAnswer answer{.status = CompletionStatus::rejected, .retry_after = action.time};
   if (is_rejection(action.allowance)) {
     answer.rejection = action.allowance;
   } else if (action.kind == ActionKind::fail) {
-    answer.ending = now() >= request->arrival.request.deadline ? Ending::timed_out : Ending::failed;
+    answer.status =
+        now() >= request->arrival.request.deadline ? CompletionStatus::timed_out : CompletionStatus::failed;
   }
   request->summary.refusal = action.refusal;
   conclude(action.id, answer);
@@ -350,34 +353,34 @@
   timers_.cancel(request.deadline_timer);
   timers_.cancel(request.attempt_timer);
   requests_.erase(found);  // first: the reply may bring the client's next request
-  count_ending(answer.ending);
-  request.summary.ending = answer.ending;
-  request.summary.ended = now();
+  count_completion(answer.status);
+  request.summary.status = answer.status;
+  request.summary.ended_at = now();
   deliver(*request.reply, answer);
   if (dependencies_.on_request_end) dependencies_.on_request_end(request.summary);
 }
 
-void RequestManager::count_ending(Ending ending) {
-  switch (ending) {
-    case Ending::served: ++counters_.served; break;
-    case Ending::rejected: ++counters_.rejected; break;
-    case Ending::failed: ++counters_.failed; break;
-    case Ending::timed_out: ++counters_.timed_out; break;
-    case Ending::broken: ++counters_.broken; break;
-    case Ending::client_disconnected: ++counters_.client_disconnected; break;
+void RequestManager::count_completion(CompletionStatus status) {
+  switch (status) {
+    case CompletionStatus::served: ++counters_.served; break;
+    case CompletionStatus::rejected: ++counters_.rejected; break;
+    case CompletionStatus::failed: ++counters_.failed; break;
+    case CompletionStatus::timed_out: ++counters_.timed_out; break;
+    case CompletionStatus::interrupted: ++counters_.interrupted; break;
+    case CompletionStatus::client_disconnected: ++counters_.client_disconnected; break;
   }
 }
 
 void RequestManager::deliver(Reply& reply, const FinalAnswer& answer) {
-  switch (answer.ending) {
-    case Ending::served: return reply.finish();
-    case Ending::broken: return reply.break_off();
-    case Ending::failed: return reply.fail(Failure::upstream, answer.retry_after);
-    case Ending::timed_out: return reply.fail(Failure::timed_out, answer.retry_after);
-    case Ending::rejected:
-      if (answer.rejection != nullptr) return reply.reject_for(*answer.rejection, answer.retry_after);
+  switch (answer.status) {
+    case CompletionStatus::served: return reply.finish();
+    case CompletionStatus::interrupted: return reply.abort_answer();
+    case CompletionStatus::failed: return reply.fail(FailureReason::upstream, answer.retry_after);
+    case CompletionStatus::timed_out: return reply.fail(FailureReason::timed_out, answer.retry_after);
+    case CompletionStatus::rejected:
+      if (answer.rejection != nullptr) return reply.reject_over_limit(*answer.rejection, answer.retry_after);
       return reply.reject(answer.retry_after);
-    case Ending::client_disconnected: return;
+    case CompletionStatus::client_disconnected: return;
   }
 }
 
--- a/src/fronts/messages.cpp
+++ b/src/fronts/messages.cpp
@@ -38,7 +38,7 @@
   StreamEvent read(std::string raw) override {
     StreamEvent event;
     const Frame frame = read_frame(raw);
-    event.raw = std::move(raw);
+    event.raw_frame = std::move(raw);
     if (!frame.has_data && frame.name.empty()) {
       event.kind = EventKind::comment;
       event.text = frame.comment;
@@ -88,9 +88,10 @@
   void add_counts(Json usage) {
     std::uint64_t value = 0;
     if (usage.at_key("input_tokens").get(value) == simdjson::SUCCESS) uncached_prompt_ = value;
-    if (usage.at_key("output_tokens").get(value) == simdjson::SUCCESS) usage_.generated = value;
-    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.cached = value;
-    usage_.prompt = uncached_prompt_ + usage_.cached;  // input_tokens leaves out what was read from the cache
+    if (usage.at_key("output_tokens").get(value) == simdjson::SUCCESS) usage_.generated_tokens = value;
+    if (usage.at_key("cache_read_input_tokens").get(value) == simdjson::SUCCESS) usage_.cached_tokens = value;
+    usage_.prompt_tokens =
+        uncached_prompt_ + usage_.cached_tokens;  // input_tokens leaves out what was read from the cache
   }
 
   simdjson::dom::parser parser_;
@@ -112,7 +113,7 @@
       case EventKind::start: write_start(event.usage, out); break;
       case EventKind::delta: write_text(event.text, out); break;
       case EventKind::stop:
-        if (!event.last_text.empty()) write_text(event.last_text, out);
+        if (!event.final_text.empty()) write_text(event.final_text, out);
         reason_ = to_messages_reason(event.text);
         close_block(out);
         break;
@@ -141,9 +142,10 @@
   }
 
   static std::string usage_json(const core::Usage& usage) {
-    return "{\"input_tokens\":" + std::to_string(usage.prompt - std::min(usage.prompt, usage.cached)) +
-           ",\"cache_read_input_tokens\":" + std::to_string(usage.cached) +
-           ",\"output_tokens\":" + std::to_string(usage.generated) + "}";
+    return "{\"input_tokens\":" +
+           std::to_string(usage.prompt_tokens - std::min(usage.prompt_tokens, usage.cached_tokens)) +
+           ",\"cache_read_input_tokens\":" + std::to_string(usage.cached_tokens) +
+           ",\"output_tokens\":" + std::to_string(usage.generated_tokens) + "}";
   }
 
   void write_start(const core::Usage& usage, std::string& out) {
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -75,18 +75,18 @@
 }  // namespace
 
 void FlowWriter::add(const core::RequestSummary& summary, std::string_view replica) {
-  const Time to_first_event = summary.first_event == 0 ? 0 : summary.first_event - summary.arrived;
-  append_number(records_, to_milliseconds(summary.arrived), 8);
-  append_number(records_, to_milliseconds(summary.ended), 8);
+  const Time to_first_event = summary.first_event_at == 0 ? 0 : summary.first_event_at - summary.arrived_at;
+  append_number(records_, to_milliseconds(summary.arrived_at), 8);
+  append_number(records_, to_milliseconds(summary.ended_at), 8);
   append_number(records_, summary.bytes, 8);
   append_number(records_, summary.events, 8);
-  append_number(records_, static_cast<std::uint64_t>(summary.ending), 1);
+  append_number(records_, static_cast<std::uint64_t>(summary.status), 1);
   append_number(records_, summary.attempts, 1);
   append_number(records_, summary.request.priority_class, 1);
   append_number(records_, summary.request.tenant, 2);
-  append_number(records_, std::min(summary.usage.prompt, kMax32), 4);
-  append_number(records_, std::min(summary.usage.generated, kMax32), 4);
-  append_number(records_, std::min(summary.usage.cached, kMax32), 4);
+  append_number(records_, std::min(summary.usage.prompt_tokens, kMax32), 4);
+  append_number(records_, std::min(summary.usage.generated_tokens, kMax32), 4);
+  append_number(records_, std::min(summary.usage.cached_tokens, kMax32), 4);
   append_number(records_, clamped(to_first_event, kMax32), 4);
   const auto name = replica.substr(0, kMaxNameBytes);
   append_number(records_, name.size(), 1);
--- a/tests/compat/flows.cpp
+++ b/tests/compat/flows.cpp
@@ -14,24 +14,24 @@
 
 core::RequestSummary served() {
   core::RequestSummary summary;
-  summary.ending = core::Ending::served;
-  summary.arrived = kStart;
-  summary.first_event = kStart + milliseconds(120);
-  summary.ended = kStart + seconds(2);
+  summary.status = core::CompletionStatus::served;
+  summary.arrived_at = kStart;
+  summary.first_event_at = kStart + milliseconds(120);
+  summary.ended_at = kStart + seconds(2);
   summary.attempts = 2;
   summary.events = 40;
   summary.bytes = 12'345;
-  summary.usage = {.prompt = 900, .generated = 77, .cached = 512};
+  summary.usage = {.prompt_tokens = 900, .generated_tokens = 77, .cached_tokens = 512};
   summary.request.priority_class = 1;
   summary.request.tenant = 258;
   return summary;
 }
 
-core::RequestSummary ended_as(core::Ending ending) {
+core::RequestSummary ended_as(core::CompletionStatus ending) {
   core::RequestSummary summary;
-  summary.ending = ending;
-  summary.arrived = kStart;
-  summary.ended = kStart + kSecond;
+  summary.status = ending;
+  summary.arrived_at = kStart;
+  summary.ended_at = kStart + kSecond;
   return summary;
 }
 
@@ -40,8 +40,9 @@
 TEST_CASE("flows: a template and records are written as the committed message, and the next one counts on") {
   net::FlowWriter writer(42);
   writer.add(served(), "replica-7");
-  for (const auto ending : {core::Ending::rejected, core::Ending::failed, core::Ending::timed_out,
-                            core::Ending::broken, core::Ending::client_disconnected}) {
+  for (const auto ending :
+       {core::CompletionStatus::rejected, core::CompletionStatus::failed, core::CompletionStatus::timed_out,
+        core::CompletionStatus::interrupted, core::CompletionStatus::client_disconnected}) {
     writer.add(ended_as(ending), "");
   }
   check_written(kFile, "with-template",
