--- a/src/budgets/account.hpp
+++ b/src/budgets/account.hpp
@@ -16,9 +16,9 @@
 struct Account {
   std::string key;  // "budget|member|model|class"
   bool hard = true;
-  Limit limit;                          // with a quota store only its rule counts
-  DurabilityMark mark;                  // used with a journal only
-  QuotaStore::Place store_account = 0;  // of the quota store, if there is one
+  Limit limit;                                 // with a quota store only its rule counts
+  DurabilityMark mark;                         // used with a journal only
+  QuotaStore::AccountIndex store_account = 0;  // of the quota store, if there is one
 };
 
 // The accounts of one request. AccountDirectory owns them; their addresses stay as they are.
--- a/src/budgets/quota_store.hpp
+++ b/src/budgets/quota_store.hpp
@@ -14,7 +14,7 @@
 // are 0 or more; times are wall-clock times in microseconds since 1970, durations in microseconds.
 class QuotaStore {
  public:
-  using Place = std::uint32_t;  // of an account, in the order of opening from 0 on
+  using AccountIndex = std::uint32_t;  // of an account, in the order of opening from 0 on
 
   struct QuotaStatus {
     Units left = 0;                   // of the whole limit, as far as this router knows
@@ -25,14 +25,14 @@
 
   virtual ~QuotaStore() = default;
   // `key` is the same on all routers.
-  virtual Place open(const std::string& key, const Rule& rule) = 0;
-  virtual void change(Place place, const Rule& rule) = 0;
+  virtual AccountIndex open(const std::string& key, const Rule& rule) = 0;
+  virtual void change(AccountIndex account, const Rule& rule) = 0;
   // Takes from what is leased to this router. False: nothing was taken, and more is asked for.
-  [[nodiscard]] virtual bool reserve(Place place, Units units, Time wall_time) = 0;
+  [[nodiscard]] virtual bool reserve(AccountIndex account, Units units, Time wall_time) = 0;
   // Ends a reservation made at `reserved_at`; with `reserved` 0 it charges what was not reserved.
-  virtual void settle(Place place, Units reserved, Units used, Time reserved_at, Time wall_time) = 0;
-  // `wanted` is what `retry_after` and `awaiting_lease` are about.
-  virtual QuotaStatus quota_status(Place place, Units wanted, Time wall_time) = 0;
+  virtual void settle(AccountIndex account, Units reserved, Units used, Time reserved_at, Time wall_time) = 0;
+  // `requested` is what `retry_after` and `awaiting_lease` are about.
+  virtual QuotaStatus quota_status(AccountIndex account, Units requested, Time wall_time) = 0;
 };
 
 }  // namespace thornwick::budgets
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -48,7 +48,7 @@
   grant.used = static_cast<Units>(static_cast<double>(grant.reserved) * random_.between(0.2, 1));
   grant.reserved_at = cluster_.local_time(router);
   replication::ReplicationNode& node = cluster_.node(router);
-  const bool granted = node.quota_client().reserve(static_cast<QuotaLeaseClient::Place>(grant.account),
+  const bool granted = node.quota_client().reserve(static_cast<QuotaLeaseClient::AccountIndex>(grant.account),
                                                    grant.reserved, grant.reserved_at);
   node.pump(grant.reserved_at);
   if (!granted) {
@@ -68,7 +68,7 @@
   if (cluster_.suspended(grant.router)) return cluster_.defer(grant.router, [this, grant] { settle(grant); });
   cluster_.node(grant.router)
       .quota_client()
-      .settle(static_cast<QuotaLeaseClient::Place>(grant.account), grant.reserved, grant.used,
+      .settle(static_cast<QuotaLeaseClient::AccountIndex>(grant.account), grant.reserved, grant.used,
               grant.reserved_at, cluster_.local_time(grant.router));
 }
 
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -25,36 +25,36 @@
     for (const Account& account : accounts_) quota_client_->open(account.key, account.rule);
   }
 
-  Place open(const std::string& key, const budgets::Rule& rule) override {
+  AccountIndex open(const std::string& key, const budgets::Rule& rule) override {
     accounts_.push_back({key, rule});
     if (quota_client_ != nullptr) {
       quota_client_->open(key, rule);
       on_use_();
     }
-    return static_cast<Place>(accounts_.size() - 1);
+    return static_cast<AccountIndex>(accounts_.size() - 1);
   }
 
-  void change(Place place, const budgets::Rule& rule) override {
+  void change(AccountIndex place, const budgets::Rule& rule) override {
     accounts_.at(place).rule = rule;
     if (quota_client_ == nullptr) return;
     quota_client_->change(place, rule);
     on_use_();
   }
 
-  bool reserve(Place place, budgets::Units units, Time wall) override {
+  bool reserve(AccountIndex place, budgets::Units units, Time wall) override {
     if (quota_client_ == nullptr) return false;
     const bool granted = quota_client_->reserve(place, units, wall);
     on_use_();
     return granted;
   }
 
-  void settle(Place place, budgets::Units reserved, budgets::Units used, Time at, Time wall) override {
+  void settle(AccountIndex place, budgets::Units reserved, budgets::Units used, Time at, Time wall) override {
     if (quota_client_ == nullptr) return;
     quota_client_->settle(place, reserved, used, at, wall);
     on_use_();
   }
 
-  QuotaStatus quota_status(Place place, budgets::Units wanted, Time wall) override {
+  QuotaStatus quota_status(AccountIndex place, budgets::Units wanted, Time wall) override {
     if (quota_client_ != nullptr) return quota_client_->quota_status(place, wanted, wall);
     return {.left = accounts_.at(place).rule.amount,
             .reset = 0,
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -69,7 +69,7 @@
   return line;
 }
 
-void QuotaLeaseClient::add_account(Place place, Channel& channel, LeaseRequest& request) {
+void QuotaLeaseClient::add_account(AccountIndex place, Channel& channel, LeaseRequest& request) {
   Account& account = accounts_[place];
   for (auto& [window, lease] : account.leases) {
     request.lines.push_back(request_line(account, window, lease));
@@ -91,7 +91,7 @@
                        .lines = {}};
   for (std::size_t i = 0; i < channel.accounts.size(); ++i) {
     if (request.lines.size() + kMostWindows > kMostLines) break;
-    const Place place = channel.accounts[channel.next_account % channel.accounts.size()];
+    const AccountIndex place = channel.accounts[channel.next_account % channel.accounts.size()];
     ++channel.next_account;
     prepare_windows(accounts_[place]);
     if (i < kUnchangedAccounts || should_report(accounts_[place])) add_account(place, channel, request);
@@ -136,7 +136,7 @@
   if (!channel.has_majority) {
     dependencies_.write_log(Severity::info,
                             "a majority of the replicas of ledger " + std::to_string(ledger) + " answers");
-    for (const Place place : channel.accounts) accounts_[place].overdrawn = 0;
+    for (const AccountIndex place : channel.accounts) accounts_[place].overdrawn = 0;
   }
   channel.has_majority = true;
   const double safe_part = 1 - options_.clock_bound;
@@ -169,7 +169,7 @@
   channel.is_new = true;
   channel.lease_until = 0;
   channel.due_at = now_;
-  for (const Place place : channel.accounts) {
+  for (const AccountIndex place : channel.accounts) {
     for (auto& [window, lease] : accounts_[place].leases) {
       lease.granted = 0;
       lease.used = 0;
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -51,8 +51,8 @@
   return lease.in_hand() < target_in_hand(account) / 2;
 }
 
-QuotaLeaseClient::Place QuotaLeaseClient::open(const std::string& key, const budgets::Rule& rule) {
-  const auto place = static_cast<Place>(accounts_.size());
+QuotaLeaseClient::AccountIndex QuotaLeaseClient::open(const std::string& key, const budgets::Rule& rule) {
+  const auto place = static_cast<AccountIndex>(accounts_.size());
   Account& account = accounts_.emplace_back();
   account.key = key;
   account.rule = rule;
@@ -62,7 +62,7 @@
   return place;
 }
 
-void QuotaLeaseClient::change(Place place, const budgets::Rule& rule) {
+void QuotaLeaseClient::change(AccountIndex place, const budgets::Rule& rule) {
   Account& account = accounts_.at(place);
   if (rule.span != account.rule.span) account.leases.clear();
   account.rule = rule;
@@ -76,7 +76,7 @@
 }
 
 // While a request is in flight, the next one is sent right after its response.
-void QuotaLeaseClient::request_update(Place place, Urgency urgency) {
+void QuotaLeaseClient::request_update(AccountIndex place, Urgency urgency) {
   Account& account = accounts_[place];
   account.is_changed = true;
   if (urgency != Urgency::at_once) return;
@@ -88,7 +88,7 @@
   next_ = std::min(next_, channel.due_at);
 }
 
-bool QuotaLeaseClient::reserve(Place place, Units units, Time wall) {
+bool QuotaLeaseClient::reserve(AccountIndex place, Units units, Time wall) {
   now_ = std::max(now_, wall);
   Account& account = accounts_.at(place);
   const Channel& channel = channels_[account.ledger];
@@ -122,7 +122,7 @@
   return true;
 }
 
-void QuotaLeaseClient::settle(Place place, Units reserved, Units used, Time at, Time wall) {
+void QuotaLeaseClient::settle(AccountIndex place, Units reserved, Units used, Time at, Time wall) {
   now_ = std::max(now_, wall);
   Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, at));
@@ -134,7 +134,7 @@
   request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_request);
 }
 
-QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(Place place, Units wanted, Time wall) {
+QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(AccountIndex place, Units wanted, Time wall) {
   const Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, wall));
   const bool known = found != account.leases.end() && found->second.known;
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -57,11 +57,11 @@
   };
   QuotaLeaseClient(QuotaLeaseOptions options, Dependencies dependencies, Time now);
 
-  Place open(const std::string& key, const budgets::Rule& rule) override;
-  void change(Place place, const budgets::Rule& rule) override;
-  bool reserve(Place place, Units units, Time wall) override;
-  void settle(Place place, Units reserved, Units used, Time at, Time wall) override;
-  QuotaStatus quota_status(Place place, Units wanted, Time wall) override;
+  AccountIndex open(const std::string& key, const budgets::Rule& rule) override;
+  void change(AccountIndex place, const budgets::Rule& rule) override;
+  bool reserve(AccountIndex place, Units units, Time wall) override;
+  void settle(AccountIndex place, Units reserved, Units used, Time at, Time wall) override;
+  QuotaStatus quota_status(AccountIndex place, Units wanted, Time wall) override;
 
   void tick(Time now);
   // When the next tick() is due.
@@ -131,7 +131,7 @@
     bool is_changed = true;  // has use to report, or quota to request
   };
   struct RequestedWindow {
-    Place place = 0;
+    AccountIndex place = 0;
     std::int64_t window = 0;
   };
   // This router's session with one ledger.
@@ -149,7 +149,7 @@
     std::vector<RequestedWindow> requested_windows;  // of the request in flight, in its order
     std::size_t target = 0;  // counter; modulo the size of `replica_routers` the receiver of requests
     std::vector<std::size_t> replica_routers;
-    std::vector<Place> accounts;
+    std::vector<AccountIndex> accounts;
     std::size_t next_account = 0;  // counter; modulo the number of accounts the first one of the next request
   };
   // When an account's change is sent to the ledger.
@@ -163,14 +163,14 @@
   bool is_short(const Account& account, const HeldLease& lease) const;
   bool is_within_lease(const Channel& channel) const;
   bool reserve_overdraft(const Channel& channel, Account& account, HeldLease& lease, Units units);
-  void request_update(Place place, Urgency urgency);
+  void request_update(AccountIndex place, Urgency urgency);
   static LeaseRequestLine describe(const Account& account, std::int64_t window);
 
   // Lease requests and responses.
   void prepare_windows(Account& account) const;
   bool should_report(const Account& account) const;
   LeaseRequestLine request_line(Account& account, std::int64_t window, HeldLease& lease) const;
-  void add_account(Place place, Channel& channel, LeaseRequest& request);
+  void add_account(AccountIndex place, Channel& channel, LeaseRequest& request);
   void request_leases(std::size_t ledger);
   void send_request(std::size_t ledger, const LeaseRequest& request);
   void on_response(std::size_t ledger, const LeaseResponse& response);
