--- a/src/budgets/account.hpp
+++ b/src/budgets/account.hpp
@@ -28,9 +28,9 @@
 struct Denial {
   std::string account;
   Units limit = 0;
-  Units left = 0;
+  Units remaining = 0;
   std::optional<Time> retry_after;  // microseconds; none: so much is never there
-  Time reset = 0;                   // microseconds until all of the limit is there again
+  Time reset_after = 0;             // microseconds until all of the limit is there again
   // There is room within the limit, but the journal or the quota store has not confirmed it yet.
   bool awaiting_store = false;
 };
--- a/src/budgets/account_backend.cpp
+++ b/src/budgets/account_backend.cpp
@@ -9,7 +9,7 @@
 // Microseconds: about as long as a journal that is behind takes to make a record durable.
 constexpr Time kJournalRetryAfter = seconds(1);
 
-// Whether `left` holds a request back for longer than `right`; without a time to retry it is for ever.
+// Whether `remaining` holds a request back for longer than `right`; without a time to retry it is for ever.
 bool outlasts(const Denial& left, const Denial& right) {
   if (!left.retry_after) return true;
   return right.retry_after && *left.retry_after > *right.retry_after;
@@ -34,7 +34,7 @@
 }
 
 LocalBackend::Coverage LocalBackend::coverage_of(Account& account, Units amount, Time wall_time) {
-  if (account.limit.left(wall_time) < amount) return Coverage::over_limit;
+  if (account.limit.remaining(wall_time) < amount) return Coverage::over_limit;
   if (journal_ == nullptr) return Coverage::granted;
   const bool covered = account.mark.covers(account.limit, amount, block_of(account), *journal_, wall_time);
   return covered ? Coverage::granted : Coverage::awaiting_journal;
@@ -44,8 +44,8 @@
   Denial denial;
   denial.account = account.key;
   denial.limit = account.limit.rule().amount;
-  denial.left = std::max<Units>(0, account.limit.left(wall_time));
-  denial.reset = account.limit.until_full(wall_time);
+  denial.remaining = std::max<Units>(0, account.limit.remaining(wall_time));
+  denial.reset_after = account.limit.until_full(wall_time);
   denial.awaiting_store = coverage == Coverage::awaiting_journal;
   denial.retry_after = denial.awaiting_store ? kJournalRetryAfter : account.limit.until(amount, wall_time);
   return denial;
@@ -84,7 +84,7 @@
 }
 
 AccountStatus LocalBackend::status(Account& account, Time wall_time) {
-  return {std::max<Units>(0, account.limit.left(wall_time)), account.limit.until_full(wall_time)};
+  return {std::max<Units>(0, account.limit.remaining(wall_time)), account.limit.until_full(wall_time)};
 }
 
 void LocalBackend::on_rule_changed(Account& account, Time wall_time) {
@@ -110,9 +110,9 @@
   Denial denial;
   denial.account = account.key;
   denial.limit = account.limit.rule().amount;
-  denial.left = status.left;
+  denial.remaining = status.remaining;
   denial.retry_after = status.retry_after;
-  denial.reset = status.reset;
+  denial.reset_after = status.reset_after;
   denial.awaiting_store = status.awaiting_lease;
   return denial;
 }
@@ -154,7 +154,7 @@
 
 AccountStatus StoreBackend::status(Account& account, Time wall_time) {
   const QuotaStore::QuotaStatus status = store_.quota_status(account.store_account, 0, wall_time);
-  return {status.left, status.reset};
+  return {status.remaining, status.reset_after};
 }
 
 }  // namespace thornwick::budgets
--- a/src/budgets/account_backend.hpp
+++ b/src/budgets/account_backend.hpp
@@ -18,8 +18,8 @@
 };
 
 struct AccountStatus {
-  Units left = 0;
-  Time reset = 0;  // microseconds until all of the limit is there again
+  Units remaining = 0;
+  Time reset_after = 0;  // microseconds until all of the limit is there again
 };
 
 // Amounts are from 0 to kMostUnits; times are wall-clock times in microseconds since 1970.
--- a/src/budgets/accounts.cpp
+++ b/src/budgets/accounts.cpp
@@ -81,10 +81,10 @@
   for (Account* account : *accounts) {
     const AccountStatus status = backend_->status(*account, wall_time);
     const Units limit = account->limit.rule().amount;
-    const double ratio = ratio_left(status.left, limit);
+    const double ratio = ratio_left(status.remaining, limit);
     if (!account->hard || ratio >= tightest_ratio) continue;
     tightest_ratio = ratio;
-    tightest = {true, account->key, limit, status.left, status.reset};
+    tightest = {true, account->key, limit, status.remaining, status.reset_after};
   }
   return tightest;
 }
@@ -103,7 +103,7 @@
   for (const auto& [key, account] : directory_.active()) {
     Limit& limit = account->limit;
     summaries.push_back(
-        {key, limit.rule().amount, limit.left(wall_time), limit.until_full(wall_time), account->hard});
+        {key, limit.rule().amount, limit.remaining(wall_time), limit.until_full(wall_time), account->hard});
   }
   return summaries;
 }
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -37,8 +37,8 @@
   bool any = false;  // false: no hard limit applies, and the rest means nothing
   std::string account;
   Units limit = 0;
-  Units left = 0;
-  Time reset = 0;  // microseconds until all of it is there again
+  Units remaining = 0;
+  Time reset_after = 0;  // microseconds until all of it is there again
 };
 
 // Requests, unless said otherwise.
@@ -86,8 +86,8 @@
   struct Summary {
     std::string key;
     Units limit = 0;
-    Units left = 0;  // below 0: overdrawn
-    Time reset = 0;
+    Units remaining = 0;  // below 0: overdrawn
+    Time reset_after = 0;
     bool hard = true;
   };
   // Sorted by key; without accounts of budgets that are gone.
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -52,8 +52,8 @@
   auto allowance = std::make_shared<Allowance>();
   allowance->rejected = Allowance::Rejection::over;
   allowance->limit = in_tokens(denial.limit);
-  allowance->left = in_tokens(denial.left);
-  allowance->reset = denial.reset;
+  allowance->left = in_tokens(denial.remaining);
+  allowance->reset = denial.reset_after;
   allowance->what = denial.account;
   own_actions_.push_back({.kind = ActionKind::reject,
                           .id = id,
@@ -67,8 +67,8 @@
   if (!status.any) return {};
   auto allowance = std::make_shared<Allowance>();
   allowance->limit = in_tokens(status.limit);
-  allowance->left = in_tokens(status.left);
-  allowance->reset = status.reset;
+  allowance->left = in_tokens(status.remaining);
+  allowance->reset = status.reset_after;
   allowance->what = status.account;
   return allowance;
 }
--- a/src/budgets/durability_mark.cpp
+++ b/src/budgets/durability_mark.cpp
@@ -21,14 +21,14 @@
 bool DurabilityMark::covers(Limit& current, Units amount, Units block, const Journal& journal,
                             Time wall_time) {
   accept_durable(journal);
-  return current.left(wall_time) - amount >= durable_.left(wall_time) - std::max(block, amount);
+  return current.remaining(wall_time) - amount >= durable_.remaining(wall_time) - std::max(block, amount);
 }
 
 void DurabilityMark::advance(const std::string& key, Limit& current, Units block, Journal& journal,
                              Time wall_time) {
   accept_durable(journal);
   if (pending_) return;
-  const Units left_to_mark = current.left(wall_time) - durable_.left(wall_time);
+  const Units left_to_mark = current.remaining(wall_time) - durable_.remaining(wall_time);
   if (left_to_mark >= kBlocksLeftAtNextMark * block) return;
   Limit ahead = current;
   ahead.take(kBlocksAhead * block, wall_time);
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -37,9 +37,9 @@
 
 Limit::Limit(const Rule& rule, const LimitState& state, Time wall_time)
     : rule_(rule),
-      left_(std::min(rule.amount, sum_of(rule.amount, sum_of(state.left, -state.amount)))),
-      updated_at_(state.at) {
-  if (rule_.span != Span::bucket) updated_at_ = window_start(state.at, length_of(rule_.span));
+      remaining_(std::min(rule.amount, sum_of(rule.amount, sum_of(state.remaining, -state.amount)))),
+      updated_at_(state.updated_at) {
+  if (rule_.span != Span::bucket) updated_at_ = window_start(state.updated_at, length_of(rule_.span));
   advance_to(wall_time);
 }
 
@@ -48,7 +48,7 @@
 void Limit::advance_to(Time wall_time) {
   if (rule_.span != Span::bucket) {
     const Time current_window = window_start(wall_time, length_of(rule_.span));
-    if (current_window > updated_at_) left_ = rule_.amount;
+    if (current_window > updated_at_) remaining_ = rule_.amount;
     updated_at_ = current_window;
     return;
   }
@@ -58,33 +58,33 @@
   }
   const Wide refill = static_cast<Wide>(wall_time - updated_at_) * rule_.per_s + refill_remainder_;
   updated_at_ = wall_time;
-  left_ = static_cast<Units>(std::min<Wide>(rule_.amount, left_ + refill / kSecond));
-  refill_remainder_ = left_ >= rule_.amount ? 0 : static_cast<Time>(refill % kSecond);
+  remaining_ = static_cast<Units>(std::min<Wide>(rule_.amount, remaining_ + refill / kSecond));
+  refill_remainder_ = remaining_ >= rule_.amount ? 0 : static_cast<Time>(refill % kSecond);
 }
 
-Units Limit::left(Time wall_time) {
+Units Limit::remaining(Time wall_time) {
   advance_to(wall_time);
-  return left_;
+  return remaining_;
 }
 
 void Limit::take(Units units, Time wall_time) {
   advance_to(wall_time);
-  left_ = sum_of(left_, -std::max<Units>(0, units));
+  remaining_ = sum_of(remaining_, -std::max<Units>(0, units));
 }
 
 void Limit::give_back(Units units, Time wall_time, Time taken_at) {
   advance_to(wall_time);
   if (rule_.span != Span::bucket && window_start(taken_at, length_of(rule_.span)) != updated_at_) return;
-  left_ = std::min(rule_.amount, sum_of(left_, std::max<Units>(0, units)));
+  remaining_ = std::min(rule_.amount, sum_of(remaining_, std::max<Units>(0, units)));
 }
 
 std::optional<Time> Limit::until(Units units, Time wall_time) {
   advance_to(wall_time);
-  if (left_ >= units) return 0;
+  if (remaining_ >= units) return 0;
   if (units > rule_.amount) return std::nullopt;
   if (rule_.span != Span::bucket) return updated_at_ + length_of(rule_.span) - wall_time;
   if (rule_.per_s <= 0) return std::nullopt;
-  const Wide missing = static_cast<Wide>(units - left_) * kSecond - refill_remainder_;
+  const Wide missing = static_cast<Wide>(units - remaining_) * kSecond - refill_remainder_;
   const Wide time = (missing + rule_.per_s - 1) / rule_.per_s;  // rounded up
   return static_cast<Time>(std::min<Wide>(time, kMostUnits));
 }
@@ -93,7 +93,7 @@
 
 LimitState Limit::state(Time wall_time) {
   advance_to(wall_time);
-  return {rule_.amount, left_, rule_.span == Span::bucket ? wall_time : updated_at_};
+  return {rule_.amount, remaining_, rule_.span == Span::bucket ? wall_time : updated_at_};
 }
 
 }  // namespace thornwick::budgets
--- a/src/budgets/limit.hpp
+++ b/src/budgets/limit.hpp
@@ -35,8 +35,8 @@
 struct LimitState {
   // Of the rule at that time: under a rule that has changed since, what was used counts, not what was left.
   Units amount = 0;
-  Units left = 0;
-  Time at = 0;  // when `left` was true; a window's beginning
+  Units remaining = 0;
+  Time updated_at = 0;  // when `remaining` was true; a window's beginning
   bool operator==(const LimitState&) const = default;
 };
 
@@ -50,7 +50,7 @@
 
   const Rule& rule() const { return rule_; }
   // Below 0: overdrawn. Never above the rule's amount.
-  Units left(Time wall_time);
+  Units remaining(Time wall_time);
   // Takes, whatever is left. `units` is 0 or more.
   void take(Units units, Time wall_time);
   // Gives back what was taken at `taken_at`; of an earlier window there is nothing to give back to.
@@ -65,7 +65,7 @@
   void advance_to(Time wall_time);
 
   Rule rule_;
-  Units left_ = 0;
+  Units remaining_ = 0;
   Time updated_at_ = 0;        // bucket: up to when it is refilled; window: its beginning
   Time refill_remainder_ = 0;  // bucket: refill that makes no whole unit yet, in millionths of a unit
 };
--- a/src/budgets/quota_store.hpp
+++ b/src/budgets/quota_store.hpp
@@ -17,8 +17,8 @@
   using AccountIndex = std::uint32_t;  // of an account, in the order of opening from 0 on
 
   struct QuotaStatus {
-    Units left = 0;                   // of the whole limit, as far as this router knows
-    Time reset = 0;                   // until all of it is there again
+    Units remaining = 0;              // of the whole limit, as far as this router knows
+    Time reset_after = 0;             // until all of it is there again
     std::optional<Time> retry_after;  // until so much may be there; none: never
     bool awaiting_lease = false;      // so much is left, but not leased to this router yet
   };
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -56,8 +56,8 @@
 
   QuotaStatus quota_status(AccountIndex place, budgets::Units wanted, Time wall) override {
     if (quota_client_ != nullptr) return quota_client_->quota_status(place, wanted, wall);
-    return {.left = accounts_.at(place).rule.amount,
-            .reset = 0,
+    return {.remaining = accounts_.at(place).rule.amount,
+            .reset_after = 0,
             .retry_after = kRetryAfter,
             .awaiting_lease = true};
   }
--- a/src/persistence/quota_records.cpp
+++ b/src/persistence/quota_records.cpp
@@ -20,13 +20,13 @@
 }  // namespace
 
 std::string encode(const budgets::LimitState& state) {
-  return pack_record(LimitRecord{.amount = state.amount, .left = state.left, .at = state.at});
+  return pack_record(LimitRecord{.amount = state.amount, .left = state.remaining, .at = state.updated_at});
 }
 
 std::optional<budgets::LimitState> decode_limit(std::string_view bytes) {
   const auto record = unpack_record<LimitRecord>(bytes);
   if (!record || !is_plausible(*record)) return std::nullopt;
-  return budgets::LimitState{.amount = record->amount, .left = record->left, .at = record->at};
+  return budgets::LimitState{.amount = record->amount, .remaining = record->left, .updated_at = record->at};
 }
 
 }  // namespace thornwick::persistence
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -141,8 +141,8 @@
   const Units left =
       known ? std::max<Units>(0, found->second.available + found->second.in_hand()) : account.rule.amount;
   budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
-  QuotaStatus status{.left = left,
-                     .reset = limit.until_full(wall),
+  QuotaStatus status{.remaining = left,
+                     .reset_after = limit.until_full(wall),
                      .retry_after = limit.until(wanted, wall),
                      .awaiting_lease = left >= wanted};
   // A lease in flight, and a refill, take a moment to arrive at this router.
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -34,8 +34,8 @@
 Json account_json(std::string_view key, const budgets::LimitState& state) {
   return {{"account", key},
           {"limit", budgets::in_tokens(state.amount)},
-          {"left", budgets::in_tokens(state.left)},
-          {"at_ms", state.at / milliseconds(1)}};
+          {"left", budgets::in_tokens(state.remaining)},
+          {"at_ms", state.updated_at / milliseconds(1)}};
 }
 
 // ---------------------------------------------------------------- show
@@ -84,8 +84,8 @@
       throw CommandError(ExitStatus::failure, change.path + " has no account '" + change.account + "'");
     const auto units = static_cast<budgets::Units>(std::llround(change.tokens * budgets::kUnitsPerToken));
     const bool grant = change.kind == ChangeKind::grant;
-    state->left = std::min(state->amount, grant ? budgets::sum_of(state->left, units) : units);
-    state->at = wall_now();
+    state->remaining = std::min(state->amount, grant ? budgets::sum_of(state->remaining, units) : units);
+    state->updated_at = wall_now();
     file.apply({{persistence::kQuotaTable, change.account, persistence::encode(*state)}});
     std::cout << account_json(change.account, *state).dump() << '\n';
     return 0;
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -68,8 +68,8 @@
       const Time at =
           kStart - kStart % 60'000'000 + *rc::gen::inRange<Time>(0, 60'000'000);  // to and fro within it
       const Units units = *rc::gen::inRange<Units>(0, 100'000);
-      if (limit.left(at) >= units) limit.take(units, at), taken += units;
-      RC_ASSERT(limit.left(at) == amount - taken);
+      if (limit.remaining(at) >= units) limit.take(units, at), taken += units;
+      RC_ASSERT(limit.remaining(at) == amount - taken);
     }
     RC_ASSERT(taken <= amount);
   });
@@ -85,11 +85,11 @@
       const Time before = at - at % 60'000'000;
       at += *rc::gen::inRange<Time>(-200'000'000, 200'000'000);
       const Time now = at - at % 60'000'000;
-      const Units left = limit.left(at);
+      const Units left = limit.remaining(at);
       if (now > before) given += amount;
       latest = std::max(latest, now);
       limit.take(left, at);
-      RC_ASSERT(limit.left(at) == 0);
+      RC_ASSERT(limit.remaining(at) == 0);
       RC_ASSERT(now > before || left == 0 || i == 0);
     }
   });
@@ -104,7 +104,7 @@
     for (int i = 0; i < 100; ++i) {
       at += *rc::gen::inRange<Time>(0, 50'000);
       const Units units = *rc::gen::inRange<Units>(0, 20'000);
-      if (limit.left(at) >= units) limit.take(units, at), taken += units;
+      if (limit.remaining(at) >= units) limit.take(units, at), taken += units;
       const double most =
           static_cast<double>(burst) + static_cast<double>(per_s) * static_cast<double>(at - kStart) / 1e6;
       RC_ASSERT(static_cast<double>(taken) <= most + 1e-6);
@@ -113,8 +113,8 @@
   // A thousandth of a unit each microsecond: after 10^6 small steps nothing of it is lost.
   Limit slow({Span::bucket, 10'000, 1000}, kStart);
   slow.take(10'000, kStart);
-  for (Time at = kStart; at <= kStart + 1'000'000; at += 7) slow.left(at);
-  CHECK(slow.left(kStart + 1'000'000) == 1000);
+  for (Time at = kStart; at <= kStart + 1'000'000; at += 7) slow.remaining(at);
+  CHECK(slow.remaining(kStart + 1'000'000) == 1000);
 }
 
 TEST_CASE("the time until there is room is true: not a microsecond sooner, and then it is there") {
@@ -129,9 +129,9 @@
     const auto wait = limit.until(wanted, at);
     RC_ASSERT(wait.has_value());
     Limit then = limit;
-    RC_ASSERT(then.left(at + *wait) >= wanted);
+    RC_ASSERT(then.remaining(at + *wait) >= wanted);
     Limit sooner = limit;
-    if (*wait > 0) RC_ASSERT(sooner.left(at + *wait - 1) < wanted);
+    if (*wait > 0) RC_ASSERT(sooner.remaining(at + *wait - 1) < wanted);
     RC_ASSERT(!limit.until(amount + 1, at).has_value());
   });
 }
@@ -141,14 +141,14 @@
   limit.take(kMostUnits, kStart);
   limit.take(kMostUnits, kStart);
   limit.take(kMostUnits, kStart);
-  CHECK(limit.left(kStart) == -kMostUnits);
+  CHECK(limit.remaining(kStart) == -kMostUnits);
   limit.give_back(kMostUnits, kStart, kStart);
   limit.give_back(kMostUnits, kStart, kStart);
   limit.give_back(kMostUnits, kStart, kStart);
-  CHECK(limit.left(kStart) == kMostUnits);
+  CHECK(limit.remaining(kStart) == kMostUnits);
   Limit bucket({Span::bucket, kMostUnits, kMostUnits}, 0);
   bucket.take(kMostUnits, 0);
-  CHECK(bucket.left(std::numeric_limits<Time>::max() / 2) == kMostUnits);
+  CHECK(bucket.remaining(std::numeric_limits<Time>::max() / 2) == kMostUnits);
   CHECK(sum_of(kMostUnits, kMostUnits) == kMostUnits);
   CHECK(product_of(kMostUnits, 1000) == kMostUnits);
 }
@@ -246,11 +246,11 @@
   Accounts accounts(one(per_minute(100)));
   const Grant open = accounts.reserve({}, 60'000, kStart);
   accounts.change(one(per_minute(200)), kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 140'000);
+  CHECK(accounts.quota_status({}, kStart).remaining == 140'000);
   accounts.settle(open.id, 10'000, kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 190'000);
+  CHECK(accounts.quota_status({}, kStart).remaining == 190'000);
   accounts.change(one(per_minute(5)), kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 0);
+  CHECK(accounts.quota_status({}, kStart).remaining == 0);
   CHECK(accounts.reserve({}, 1000, kStart).denial.has_value());
 }
 
@@ -291,8 +291,8 @@
   journal.write(100);
   Accounts after(options, &journal);
   for (const auto& [key, state] : journal.disk) after.restore(key, state);
-  CHECK(after.quota_status({1, 0, 0}, kStart).left == 1'000'000 - 12'345);
-  CHECK(after.quota_status({0, 0, 0}, kStart).left == 1'000'000);
+  CHECK(after.quota_status({1, 0, 0}, kStart).remaining == 1'000'000 - 12'345);
+  CHECK(after.quota_status({0, 0, 0}, kStart).remaining == 1'000'000);
 }
 
 TEST_CASE("a journal whose disk stands still holds grants to one block, and says that it is behind") {
--- a/tests/compat/store.cpp
+++ b/tests/compat/store.cpp
@@ -63,7 +63,8 @@
   entry.cached_size = 850;
   return entry;
 }
-const budgets::LimitState kOverdrawn = {.amount = 1'000'000'000'000, .left = -250, .at = kNow - 1};
+const budgets::LimitState kOverdrawn = {
+    .amount = 1'000'000'000'000, .remaining = -250, .updated_at = kNow - 1};
 
 // All of the content, through the classes that keep it.
 void write_all(const std::string& path) {
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -336,7 +336,7 @@
   CHECK(world.replicas[0].attempts + world.replicas[1].attempts + world.replicas[2].attempts == 1);
   CHECK(world.charged == 100 * budgets::kUnitsPerToken);
   CHECK(world.charged == world.tallies());
-  CHECK(world.quota_service->accounts.quota_status({0, 1, 0}, world.clock()).left ==
+  CHECK(world.quota_service->accounts.quota_status({0, 1, 0}, world.clock()).remaining ==
         320 * budgets::kUnitsPerToken);
   CHECK(world.quota_service->accounts.open() == 0);
 }
@@ -402,7 +402,7 @@
     budgets::Units used = 0;
     for (std::uint16_t m = 0; m < 3; ++m) {
       const auto s = world.quota_service->accounts.quota_status({m, 1, 0}, world.clock());
-      used += s.limit - s.left;
+      used += s.limit - s.remaining;
     }
     // Nothing is forgotten beyond a block for each account, and no more than its blocks ahead is held to be
     // used.
@@ -444,7 +444,7 @@
   // And the accounts say the same: each member's own, and together.
   budgets::Units used = 0;
   for (const auto& line : world.quota_service->accounts.summaries(world.clock())) {
-    if (line.key.starts_with("day|")) used += line.limit - line.left;
+    if (line.key.starts_with("day|")) used += line.limit - line.remaining;
   }
   CHECK(used == world.charged);
 }
--- a/tests/net/models.cpp
+++ b/tests/net/models.cpp
@@ -280,7 +280,7 @@
     persistence::QuotaStateStore journal(state_store.file(), state_store.writer());
     budgets::Accounts accounts(options, &journal);
     journal.load(accounts);
-    const auto quota_status = accounts.quota_status({0, 0, 0}, now).left;
+    const auto quota_status = accounts.quota_status({0, 0, 0}, now).remaining;
     accounts.settle(accounts.reserve({0, 0, 0}, 30'000, now).id, 30'000, now);
     CHECK(accounts.persist_all(now));
     REQUIRE(state_store.writer().drain(std::chrono::seconds(20)));
