--- a/src/budgets/account_directory.cpp
+++ b/src/budgets/account_directory.cpp
@@ -42,7 +42,7 @@
 }
 
 Account& AccountDirectory::open(const std::string& key, const Budget& budget, Time wall_time) {
-  const Rule rule = router_share(options_, budget.rule);
+  const LimitRule rule = router_share(options_, budget.rule);
   const auto restored = restored_.find(key);
   const bool fresh = restored == restored_.end();
   const Limit limit = fresh ? Limit(rule, wall_time) : Limit(rule, restored->second, wall_time);
@@ -82,7 +82,7 @@
   by_key_.clear();
   for (Account& account : accounts_) {
     const Budget* budget = budget_of(account);
-    if (budget == nullptr || budget->rule.span != account.limit.rule().span) {
+    if (budget == nullptr || budget->rule.kind != account.limit.rule().kind) {
       account.key = kGoneKeyPrefix + account.key;
       continue;
     }
--- a/src/budgets/account_directory.hpp
+++ b/src/budgets/account_directory.hpp
@@ -26,7 +26,7 @@
   std::shared_ptr<const AccountSet> accounts_of(const QuotaSubject& subject, Time wall_time);
   // Opens the accounts of all names in the options; none if there are too many combinations.
   void open_all(Time wall_time);
-  // The options have been replaced. Accounts of budgets that stay (same name and span) go on under the new
+  // The options have been replaced. Accounts of budgets that stay (same name and kind) go on under the new
   // rule; the others stay for what is reserved on them, and no new request finds them.
   void on_options_changed(Time wall_time);
   // An account's state before the start of the router; used when the account is opened.
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -66,7 +66,7 @@
   // Opens the accounts of all that the options name, as far as they are few: so a quota store can lease quota
   // before the first request comes.
   void open_all(Time wall_time) { directory_.open_all(wall_time); }
-  // New limits under way: what was used of those that stay (same name and span) remains used. Reservations
+  // New limits under way: what was used of those that stay (same name and kind) remains used. Reservations
   // stay. Throws std::invalid_argument, and then changes nothing, where options make no sense.
   void change(const Options& options, Time wall_time);
 
--- a/src/budgets/budget.cpp
+++ b/src/budgets/budget.cpp
@@ -57,13 +57,13 @@
          key_part(budget.cls, subject.cls, options.classes);
 }
 
-Rule router_share(const Options& options, const Rule& rule) {
+LimitRule router_share(const Options& options, const LimitRule& rule) {
   const auto share_of = [&options](Units total) {
     const Units routers = options.router_count;
     const bool gets_remainder = static_cast<Units>(options.router_index) <= total % routers;
     return total / routers + (gets_remainder ? 1 : 0);
   };
-  return {rule.span, share_of(rule.amount), share_of(rule.per_s)};
+  return {rule.kind, share_of(rule.amount), share_of(rule.per_s)};
 }
 
 }  // namespace thornwick::budgets
--- a/src/budgets/budget.hpp
+++ b/src/budgets/budget.hpp
@@ -21,7 +21,7 @@
   std::uint16_t member = kEach;  // a number, kEach or kAll; so are the next two
   std::uint16_t model = kAll;
   std::uint16_t cls = kAll;
-  Rule rule;
+  LimitRule rule;
   bool hard = true;  // a soft budget refuses nothing: requests beyond it get less weight
   bool operator==(const Budget&) const = default;
 };
@@ -60,6 +60,6 @@
 std::string account_key(const Options& options, const Budget& budget, const QuotaSubject& subject);
 
 // This router's share of a rule. What does not divide evenly goes to the routers with the lowest indices.
-Rule router_share(const Options& options, const Rule& rule);
+LimitRule router_share(const Options& options, const LimitRule& rule);
 
 }  // namespace thornwick::budgets
--- a/src/budgets/durability_mark.cpp
+++ b/src/budgets/durability_mark.cpp
@@ -36,7 +36,7 @@
   if (number != 0) pending_ = Pending{ahead, number};
 }
 
-void DurabilityMark::change_rule(const Rule& rule, Time wall_time) {
+void DurabilityMark::change_rule(const LimitRule& rule, Time wall_time) {
   durable_ = Limit(rule, durable_.state(wall_time), wall_time);
   if (pending_) pending_->limit = Limit(rule, pending_->limit.state(wall_time), wall_time);
 }
--- a/src/budgets/durability_mark.hpp
+++ b/src/budgets/durability_mark.hpp
@@ -27,7 +27,7 @@
   // Appends the next mark once less than a block is left up to the durable one, and none is on its way.
   void advance(const std::string& key, Limit& current, Units block, Journal& journal, Time wall_time);
   // The account's limit has another rule from now on.
-  void change_rule(const Rule& rule, Time wall_time);
+  void change_rule(const LimitRule& rule, Time wall_time);
 
  private:
   struct Pending {
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-Time length_of(Span span) {
-  switch (span) {
-    case Span::bucket: return 0;
-    case Span::minute: return seconds(60);
-    case Span::hour: return seconds(3600);
-    case Span::day: break;
+Time window_length(LimitKind kind) {
+  switch (kind) {
+    case LimitKind::bucket: return 0;
+    case LimitKind::minute: return seconds(60);
+    case LimitKind::hour: return seconds(3600);
+    case LimitKind::day: break;
   }
   return seconds(86'400);
 }
@@ -32,22 +32,23 @@
 Units sum_of(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
 Units product_of(Units left, Units right) { return clamped(static_cast<Wide>(left) * right); }
 
-Limit::Limit(const Rule& rule, Time wall_time)
+Limit::Limit(const LimitRule& rule, Time wall_time)
     : Limit(rule, {rule.amount, rule.amount, wall_time}, wall_time) {}
 
-Limit::Limit(const Rule& rule, const LimitState& state, Time wall_time)
+Limit::Limit(const LimitRule& rule, const LimitState& state, Time wall_time)
     : rule_(rule),
       remaining_(std::min(rule.amount, sum_of(rule.amount, sum_of(state.remaining, -state.amount)))),
       updated_at_(state.updated_at) {
-  if (rule_.span != Span::bucket) updated_at_ = window_start(state.updated_at, length_of(rule_.span));
+  if (rule_.kind != LimitKind::bucket)
+    updated_at_ = window_start(state.updated_at, window_length(rule_.kind));
   advance_to(wall_time);
 }
 
 // After a clock that steps back what is left stays as it is, and time goes on from there. One that steps
 // forwards by mistake gives what that time would have given, once.
 void Limit::advance_to(Time wall_time) {
-  if (rule_.span != Span::bucket) {
-    const Time current_window = window_start(wall_time, length_of(rule_.span));
+  if (rule_.kind != LimitKind::bucket) {
+    const Time current_window = window_start(wall_time, window_length(rule_.kind));
     if (current_window > updated_at_) remaining_ = rule_.amount;
     updated_at_ = current_window;
     return;
@@ -74,7 +75,8 @@
 
 void Limit::give_back(Units units, Time wall_time, Time taken_at) {
   advance_to(wall_time);
-  if (rule_.span != Span::bucket && window_start(taken_at, length_of(rule_.span)) != updated_at_) return;
+  if (rule_.kind != LimitKind::bucket && window_start(taken_at, window_length(rule_.kind)) != updated_at_)
+    return;
   remaining_ = std::min(rule_.amount, sum_of(remaining_, std::max<Units>(0, units)));
 }
 
@@ -82,7 +84,7 @@
   advance_to(wall_time);
   if (remaining_ >= units) return 0;
   if (units > rule_.amount) return std::nullopt;
-  if (rule_.span != Span::bucket) return updated_at_ + length_of(rule_.span) - wall_time;
+  if (rule_.kind != LimitKind::bucket) return updated_at_ + window_length(rule_.kind) - wall_time;
   if (rule_.per_s <= 0) return std::nullopt;
   const Wide missing = static_cast<Wide>(units - remaining_) * kSecond - refill_remainder_;
   const Wide time = (missing + rule_.per_s - 1) / rule_.per_s;  // rounded up
@@ -93,7 +95,7 @@
 
 LimitState Limit::state(Time wall_time) {
   advance_to(wall_time);
-  return {rule_.amount, remaining_, rule_.span == Span::bucket ? wall_time : updated_at_};
+  return {rule_.amount, remaining_, rule_.kind == LimitKind::bucket ? wall_time : updated_at_};
 }
 
 }  // namespace thornwick::budgets
--- a/src/budgets/limit.hpp
+++ b/src/budgets/limit.hpp
@@ -20,15 +20,15 @@
 // 1e15 tokens: sums and products are cut here, and below 0 at its negative.
 inline constexpr Units kMostUnits = 1'000'000'000'000'000'000;
 
-enum class Span { bucket, minute, hour, day };
+enum class LimitKind { bucket, minute, hour, day };
 // The length of a window in microseconds; of a bucket 0.
-Time length_of(Span span);
+Time window_length(LimitKind kind);
 
-struct Rule {
-  Span span = Span::minute;
+struct LimitRule {
+  LimitKind kind = LimitKind::minute;
   Units amount = 0;  // of each window; of a bucket its capacity. 0..kMostUnits
   Units per_s = 0;   // of a bucket: its refill each second. 0..kMostUnits
-  bool operator==(const Rule&) const = default;
+  bool operator==(const LimitRule&) const = default;
 };
 
 // What is recorded of a limit when the router stops.
@@ -44,11 +44,11 @@
 class Limit {
  public:
   // Full, as of `wall_time`.
-  Limit(const Rule& rule, Time wall_time);
+  Limit(const LimitRule& rule, Time wall_time);
   // As it was recorded, under a rule that may be another now.
-  Limit(const Rule& rule, const LimitState& state, Time wall_time);
+  Limit(const LimitRule& rule, const LimitState& state, Time wall_time);
 
-  const Rule& rule() const { return rule_; }
+  const LimitRule& rule() const { return rule_; }
   // Below 0: overdrawn. Never above the rule's amount.
   Units remaining(Time wall_time);
   // Takes, whatever is left. `units` is 0 or more.
@@ -64,7 +64,7 @@
  private:
   void advance_to(Time wall_time);
 
-  Rule rule_;
+  LimitRule rule_;
   Units remaining_ = 0;
   Time updated_at_ = 0;        // bucket: up to when it is refilled; window: its beginning
   Time refill_remainder_ = 0;  // bucket: refill that makes no whole unit yet, in millionths of a unit
--- a/src/budgets/quota_store.hpp
+++ b/src/budgets/quota_store.hpp
@@ -25,8 +25,8 @@
 
   virtual ~QuotaStore() = default;
   // `key` is the same on all routers.
-  virtual AccountIndex open(const std::string& key, const Rule& rule) = 0;
-  virtual void change(AccountIndex account, const Rule& rule) = 0;
+  virtual AccountIndex open(const std::string& key, const LimitRule& rule) = 0;
+  virtual void change(AccountIndex account, const LimitRule& rule) = 0;
   // Takes from what is leased to this router. False: nothing was taken, and more is asked for.
   [[nodiscard]] virtual bool reserve(AccountIndex account, Units units, Time wall_time) = 0;
   // Ends a reservation made at `reserved_at`; with `reserved` 0 it charges what was not reserved.
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -57,7 +57,7 @@
   }
   ++cluster_.result().granted;
   const Account& account = cluster_.accounts()[grant.account];
-  const bool bucket = account.rule.span == budgets::Span::bucket;
+  const bool bucket = account.rule.kind == budgets::LimitKind::bucket;
   count(account, bucket ? 0 : grant.reserved_at / kWindow, grant.used);
   cluster_.schedule(cluster_.now() + from_seconds(random_.between(0.05, 4)),
                     [this, grant] { settle(grant); });
@@ -75,7 +75,7 @@
 void ReplicationClients::count(const Account& account, std::int64_t window, Units used) {
   Units& total = used_[{account.key, window}];
   total += used;
-  if (account.rule.span == budgets::Span::bucket) return count_in_bucket(account, used);
+  if (account.rule.kind == budgets::LimitKind::bucket) return count_in_bucket(account, used);
   const auto overdraft = static_cast<Units>(cluster_.options().overdraft * kWindowLimit);
   if (total > kWindowLimit + overdraft * static_cast<Units>(cluster_.size())) {
     cluster_.report_violation(fmt::format("{}, window {}: {} granted, the limit is {}", account.key, window,
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -61,10 +61,10 @@
     : options_(options),
       random_(options.seed, Concern::faults),
       roster_(make_virtual_roster(options)),
-      accounts_({{"minute|a", {budgets::Span::minute, kWindowLimit, 0}},
-                 {"minute|b", {budgets::Span::minute, kWindowLimit, 0}},
-                 {"second|a", {budgets::Span::bucket, kBucketBurst, kBucketRefillPerSecond}},
-                 {kCorrectedAccount, {budgets::Span::day, kWindowLimit, 0}}}),
+      accounts_({{"minute|a", {budgets::LimitKind::minute, kWindowLimit, 0}},
+                 {"minute|b", {budgets::LimitKind::minute, kWindowLimit, 0}},
+                 {"second|a", {budgets::LimitKind::bucket, kBucketBurst, kBucketRefillPerSecond}},
+                 {kCorrectedAccount, {budgets::LimitKind::day, kWindowLimit, 0}}}),
       blocked_(options.routers, std::vector<bool>(options.routers, false)),
       routers_(options.routers) {
   for (auto& router : routers_) {
--- a/src/emulator/replication_cluster.hpp
+++ b/src/emulator/replication_cluster.hpp
@@ -26,7 +26,7 @@
 // An account of the quotas, whose limits all routers enforce together.
 struct Account {
   std::string key;
-  budgets::Rule rule;
+  budgets::LimitRule rule;
 };
 
 // Limits of the accounts, in units.
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -57,13 +57,15 @@
   return static_cast<budgets::Units>(std::llround(tokens)) * budgets::kUnitsPerToken;
 }
 
-budgets::Rule rule_of(const config::BudgetEntry& entry) {
-  using budgets::Span;
-  static const std::map<std::string, Span> spans = {
-      {"second", Span::bucket}, {"minute", Span::minute}, {"hour", Span::hour}, {"day", Span::day}};
-  budgets::Rule rule;
-  rule.span = spans.at(entry.per);
-  const bool is_bucket = rule.span == Span::bucket;
+budgets::LimitRule rule_of(const config::BudgetEntry& entry) {
+  using budgets::LimitKind;
+  static const std::map<std::string, LimitKind> kinds = {{"second", LimitKind::bucket},
+                                                         {"minute", LimitKind::minute},
+                                                         {"hour", LimitKind::hour},
+                                                         {"day", LimitKind::day}};
+  budgets::LimitRule rule;
+  rule.kind = kinds.at(entry.per);
+  const bool is_bucket = rule.kind == LimitKind::bucket;
   rule.per_s = is_bucket ? units_of(entry.tokens) : 0;
   rule.amount = units_of(is_bucket && entry.burst > 0 ? entry.burst : entry.tokens);
   return rule;
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -25,7 +25,7 @@
     for (const Account& account : accounts_) quota_client_->open(account.key, account.rule);
   }
 
-  AccountIndex open(const std::string& key, const budgets::Rule& rule) override {
+  AccountIndex open(const std::string& key, const budgets::LimitRule& rule) override {
     accounts_.push_back({key, rule});
     if (quota_client_ != nullptr) {
       quota_client_->open(key, rule);
@@ -34,7 +34,7 @@
     return static_cast<AccountIndex>(accounts_.size() - 1);
   }
 
-  void change(AccountIndex place, const budgets::Rule& rule) override {
+  void change(AccountIndex place, const budgets::LimitRule& rule) override {
     accounts_.at(place).rule = rule;
     if (quota_client_ == nullptr) return;
     quota_client_->change(place, rule);
@@ -67,7 +67,7 @@
 
   struct Account {
     std::string key;
-    budgets::Rule rule;
+    budgets::LimitRule rule;
   };
 
   budgets::QuotaStore* quota_client_ = nullptr;
--- a/src/replication/ledger.hpp
+++ b/src/replication/ledger.hpp
@@ -58,7 +58,7 @@
 };
 
 struct AccountLedger {
-  std::uint8_t span = 0;  // a budgets::Span
+  std::uint8_t span = 0;  // a budgets::LimitKind
   Units per_s = 0;
   std::map<std::int64_t, WindowLedger> windows;  // by number
   MSGPACK_DEFINE(span, per_s, windows)
--- a/src/replication/ledger_command.hpp
+++ b/src/replication/ledger_command.hpp
@@ -24,19 +24,19 @@
   return static_cast<std::uint32_t>(session >> 32);
 }
 
-// A budgets::Span is a number in messages; a later version may send one that this program does not know.
+// A budgets::LimitKind is a number in messages; a later version may send one that this program does not know.
 inline constexpr bool is_known_span(std::uint8_t span) {
-  return span <= static_cast<std::uint8_t>(budgets::Span::day);
+  return span <= static_cast<std::uint8_t>(budgets::LimitKind::day);
 }
 inline constexpr bool is_bucket(std::uint8_t span) {
-  return span == static_cast<std::uint8_t>(budgets::Span::bucket);
+  return span == static_cast<std::uint8_t>(budgets::LimitKind::bucket);
 }
 
 // One session's report on one window of one account, and its request for quota. `used` is a sum since the
 // session began, so that a repeated request changes nothing.
 struct LeaseRequestLine {
   std::string key;
-  std::uint8_t span = 0;    // a budgets::Span
+  std::uint8_t span = 0;    // a budgets::LimitKind
   Units amount = 0;         // of the rule
   Units per_s = 0;          // of the rule
   std::int64_t window = 0;  // number of the calendar window; 0 for a bucket
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -111,7 +111,7 @@
 // Guards the ledger against a client's clock that is far ahead: its windows would displace the current ones.
 bool LedgerReplica::is_window_far_ahead(const LeaseRequestLine& line) const {
   if (!is_known_span(line.span) || is_bucket(line.span)) return false;
-  const Time length = budgets::length_of(static_cast<budgets::Span>(line.span));
+  const Time length = budgets::window_length(static_cast<budgets::LimitKind>(line.span));
   return line.window > now_ / length + kMostWindowsAhead;
 }
 
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -28,7 +28,7 @@
   const std::int64_t current = window_of(account, now_);
   account.leases.try_emplace(current);
   if (!is_bucket_rule(account)) {
-    const Time length = budgets::length_of(account.rule.span);
+    const Time length = budgets::window_length(account.rule.kind);
     const Time remaining = length - now_ % length;
     if (remaining < std::min(kNextWindowAhead, length / kNextWindowDivisor)) {
       account.leases.try_emplace(current + 1);
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -31,7 +31,7 @@
 // ---------------------------------------------------------------- accounts
 
 std::int64_t QuotaLeaseClient::window_of(const Account& account, Time wall) {
-  return is_bucket_rule(account) ? 0 : wall / budgets::length_of(account.rule.span);
+  return is_bucket_rule(account) ? 0 : wall / budgets::window_length(account.rule.kind);
 }
 
 Units QuotaLeaseClient::block_of(const Account& account) const {
@@ -51,7 +51,8 @@
   return lease.in_hand() < target_in_hand(account) / 2;
 }
 
-QuotaLeaseClient::AccountIndex QuotaLeaseClient::open(const std::string& key, const budgets::Rule& rule) {
+QuotaLeaseClient::AccountIndex QuotaLeaseClient::open(const std::string& key,
+                                                      const budgets::LimitRule& rule) {
   const auto place = static_cast<AccountIndex>(accounts_.size());
   Account& account = accounts_.emplace_back();
   account.key = key;
@@ -62,9 +63,9 @@
   return place;
 }
 
-void QuotaLeaseClient::change(AccountIndex place, const budgets::Rule& rule) {
+void QuotaLeaseClient::change(AccountIndex place, const budgets::LimitRule& rule) {
   Account& account = accounts_.at(place);
-  if (rule.span != account.rule.span) account.leases.clear();
+  if (rule.kind != account.rule.kind) account.leases.clear();
   account.rule = rule;
   request_update(place, Urgency::at_once);
 }
@@ -155,7 +156,7 @@
 LeaseRequestLine QuotaLeaseClient::describe(const Account& account, std::int64_t window) {
   LeaseRequestLine line;
   line.key = account.key;
-  line.span = static_cast<std::uint8_t>(account.rule.span);
+  line.span = static_cast<std::uint8_t>(account.rule.kind);
   line.amount = account.rule.amount;
   line.per_s = account.rule.per_s;
   line.window = window;
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -57,8 +57,8 @@
   };
   QuotaLeaseClient(QuotaLeaseOptions options, Dependencies dependencies, Time now);
 
-  AccountIndex open(const std::string& key, const budgets::Rule& rule) override;
-  void change(AccountIndex place, const budgets::Rule& rule) override;
+  AccountIndex open(const std::string& key, const budgets::LimitRule& rule) override;
+  void change(AccountIndex place, const budgets::LimitRule& rule) override;
   bool reserve(AccountIndex place, Units units, Time wall) override;
   void settle(AccountIndex place, Units reserved, Units used, Time at, Time wall) override;
   QuotaStatus quota_status(AccountIndex place, Units wanted, Time wall) override;
@@ -120,7 +120,7 @@
   // One account, and its leases of all windows in use.
   struct Account {
     std::string key;
-    budgets::Rule rule;
+    budgets::LimitRule rule;
     std::size_t ledger = 0;
     std::map<std::int64_t, HeldLease> leases;  // by window, three at most
     Units typical_request = 0;                 // the largest recent one, decaying
@@ -156,7 +156,9 @@
   enum class Urgency : std::uint8_t { with_next_request, at_once };
 
   // Accounts.
-  static bool is_bucket_rule(const Account& account) { return account.rule.span == budgets::Span::bucket; }
+  static bool is_bucket_rule(const Account& account) {
+    return account.rule.kind == budgets::LimitKind::bucket;
+  }
   static std::int64_t window_of(const Account& account, Time wall);
   Units block_of(const Account& account) const;
   Units target_in_hand(const Account& account) const;
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -24,7 +24,7 @@
 
 Budget per_minute(Units tokens, bool hard = true) {
   Budget b;
-  b.name = "minute", b.rule = {Span::minute, tokens * kUnitsPerToken, 0}, b.hard = hard;
+  b.name = "minute", b.rule = {LimitKind::minute, tokens * kUnitsPerToken, 0}, b.hard = hard;
   return b;
 }
 
@@ -62,7 +62,7 @@
 TEST_CASE("a window gives its amount once, whatever the clock does") {
   holds("within one window", [] {
     const Units amount = *rc::gen::inRange<Units>(0, 1'000'000);
-    Limit limit({Span::minute, amount, 0}, kStart);
+    Limit limit({LimitKind::minute, amount, 0}, kStart);
     Units taken = 0;
     for (int i = 0; i < 50; ++i) {
       const Time at =
@@ -78,7 +78,7 @@
 TEST_CASE("a clock that steps back gives nothing anew, and one that steps on gives one window at the most") {
   holds("steps", [] {
     const Units amount = 1000;
-    Limit limit({Span::minute, amount, 0}, kStart);
+    Limit limit({LimitKind::minute, amount, 0}, kStart);
     Time at = kStart, latest = kStart - kStart % 60'000'000;
     Units given = amount;
     for (int i = 0; i < 40; ++i) {
@@ -98,7 +98,7 @@
 TEST_CASE("a bucket never gives more than its burst and its rate, and loses no fraction") {
   holds("bucket", [] {
     const Units burst = *rc::gen::inRange<Units>(1, 100'000), per_s = *rc::gen::inRange<Units>(0, 100'000);
-    Limit limit({Span::bucket, burst, per_s}, kStart);
+    Limit limit({LimitKind::bucket, burst, per_s}, kStart);
     Time at = kStart;
     Units taken = 0;
     for (int i = 0; i < 100; ++i) {
@@ -111,7 +111,7 @@
     }
   });
   // A thousandth of a unit each microsecond: after 10^6 small steps nothing of it is lost.
-  Limit slow({Span::bucket, 10'000, 1000}, kStart);
+  Limit slow({LimitKind::bucket, 10'000, 1000}, kStart);
   slow.take(10'000, kStart);
   for (Time at = kStart; at <= kStart + 1'000'000; at += 7) slow.remaining(at);
   CHECK(slow.remaining(kStart + 1'000'000) == 1000);
@@ -119,9 +119,10 @@
 
 TEST_CASE("the time until there is room is true: not a microsecond sooner, and then it is there") {
   holds("until", [] {
-    const auto span = *rc::gen::element(Span::bucket, Span::minute, Span::hour, Span::day);
+    const auto span =
+        *rc::gen::element(LimitKind::bucket, LimitKind::minute, LimitKind::hour, LimitKind::day);
     const Units amount = *rc::gen::inRange<Units>(1, 1'000'000);
-    const Rule rule{span, amount, span == Span::bucket ? *rc::gen::inRange<Units>(1, 1000) : 0};
+    const LimitRule rule{span, amount, span == LimitKind::bucket ? *rc::gen::inRange<Units>(1, 1000) : 0};
     Limit limit(rule, kStart);
     const Time at = kStart + *rc::gen::inRange<Time>(0, 100'000'000);
     limit.take(*rc::gen::inRange<Units>(0, 2 * amount), at);
@@ -137,7 +138,7 @@
 }
 
 TEST_CASE("amounts at the edge of what is counted are cut, not wrapped") {
-  Limit limit({Span::day, kMostUnits, kMostUnits}, kStart);
+  Limit limit({LimitKind::day, kMostUnits, kMostUnits}, kStart);
   limit.take(kMostUnits, kStart);
   limit.take(kMostUnits, kStart);
   limit.take(kMostUnits, kStart);
@@ -146,7 +147,7 @@
   limit.give_back(kMostUnits, kStart, kStart);
   limit.give_back(kMostUnits, kStart, kStart);
   CHECK(limit.remaining(kStart) == kMostUnits);
-  Limit bucket({Span::bucket, kMostUnits, kMostUnits}, 0);
+  Limit bucket({LimitKind::bucket, kMostUnits, kMostUnits}, 0);
   bucket.take(kMostUnits, 0);
   CHECK(bucket.remaining(std::numeric_limits<Time>::max() / 2) == kMostUnits);
   CHECK(sum_of(kMostUnits, kMostUnits) == kMostUnits);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -59,7 +59,7 @@
 budgets::Budget daily(const std::string& name, budgets::Units tokens) {
   budgets::Budget b;
   b.name = name;
-  b.rule = {budgets::Span::day, tokens * budgets::kUnitsPerToken, 0};
+  b.rule = {budgets::LimitKind::day, tokens * budgets::kUnitsPerToken, 0};
   return b;
 }
 
--- a/tests/net/models.cpp
+++ b/tests/net/models.cpp
@@ -272,7 +272,7 @@
   };
   budgets::Options options;
   options.members = {"acme"};
-  options.budgets = {{.name = "day", .rule = {budgets::Span::day, 100'000, 0}}};
+  options.budgets = {{.name = "day", .rule = {budgets::LimitKind::day, 100'000, 0}}};
   const Time now = net::now_us();
   const auto left = [&] {
     persistence::StateStore state_store({.path = store, .holder = "n1"}, {},
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -13,7 +13,7 @@
 
 constexpr Time kLease = seconds(6);
 constexpr std::int64_t kWindow = 7;
-constexpr auto kBucketSpan = static_cast<std::uint8_t>(budgets::Span::bucket);
+constexpr auto kBucketSpan = static_cast<std::uint8_t>(budgets::LimitKind::bucket);
 constexpr std::uint8_t kCalendarSpan = 1;
 
 // A request for one window of account "a", whose limit is 1000.
@@ -114,7 +114,7 @@
         .send = [this, router](std::size_t, std::string bytes) { sent_[router].push_back(std::move(bytes)); },
         .write_log = [](Severity, const std::string&) {}};
     clients_[router] = std::make_unique<QuotaLeaseClient>(options, dependencies, now_);
-    clients_[router]->open("b|*|*|*", {budgets::Span::bucket, kBurst, kRefillPerSecond});
+    clients_[router]->open("b|*|*|*", {budgets::LimitKind::bucket, kBurst, kRefillPerSecond});
   }
 
   Command next_command(CommandKind kind) {
