--- a/bench/budgets.cpp
+++ b/bench/budgets.cpp
@@ -18,7 +18,7 @@
   budgets::Options options;
   for (std::size_t i = 0; i < members; ++i) options.members.push_back("member-" + std::to_string(i));
   budgets::LimitRule bucket{budgets::LimitKind::bucket, 1'000'000'000, 1'000'000'000},
-      day{budgets::LimitKind::day, budgets::kMostUnits, 0};
+      day{budgets::LimitKind::day, budgets::kMaxUnits, 0};
   options.budgets = {{.name = "second", .rule = bucket}, {.name = "day", .rule = day}};
   return options;
 }
--- a/src/budgets/account_backend.cpp
+++ b/src/budgets/account_backend.cpp
@@ -45,9 +45,10 @@
   denial.account = account.key;
   denial.limit = account.limit.rule().amount;
   denial.remaining = std::max<Units>(0, account.limit.remaining(wall_time));
-  denial.reset_after = account.limit.until_full(wall_time);
+  denial.reset_after = account.limit.time_until_full(wall_time);
   denial.awaiting_store = coverage == Coverage::awaiting_journal;
-  denial.retry_after = denial.awaiting_store ? kJournalRetryAfter : account.limit.until(amount, wall_time);
+  denial.retry_after =
+      denial.awaiting_store ? kJournalRetryAfter : account.limit.time_until(amount, wall_time);
   return denial;
 }
 
@@ -84,7 +85,7 @@
 }
 
 AccountStatus LocalBackend::status(Account& account, Time wall_time) {
-  return {std::max<Units>(0, account.limit.remaining(wall_time)), account.limit.until_full(wall_time)};
+  return {std::max<Units>(0, account.limit.remaining(wall_time)), account.limit.time_until_full(wall_time)};
 }
 
 void LocalBackend::on_rule_changed(Account& account, Time wall_time) {
--- a/src/budgets/account_backend.hpp
+++ b/src/budgets/account_backend.hpp
@@ -22,7 +22,7 @@
   Time reset_after = 0;  // microseconds until all of the limit is there again
 };
 
-// Amounts are from 0 to kMostUnits; times are wall-clock times in microseconds since 1970.
+// Amounts are from 0 to kMaxUnits; times are wall-clock times in microseconds since 1970.
 class AccountBackend {
  public:
   virtual ~AccountBackend() = default;
--- a/src/budgets/accounts.cpp
+++ b/src/budgets/accounts.cpp
@@ -39,7 +39,7 @@
 }
 
 Grant Accounts::reserve(const QuotaSubject& subject, Units amount, Time wall_time) {
-  amount = std::clamp<Units>(amount, 0, kMostUnits);
+  amount = std::clamp<Units>(amount, 0, kMaxUnits);
   std::shared_ptr<const AccountSet> accounts = directory_.accounts_of(subject, wall_time);
   ReserveResult result = backend_->reserve(*accounts, amount, wall_time);
   metrics_.over_soft += result.soft_overruns;
@@ -52,7 +52,7 @@
   }
   grant.id = ++last_id_;
   reservations_[grant.id] = {std::move(accounts), std::move(result.uncovered), amount, wall_time};
-  metrics_.reserved = sum_of(metrics_.reserved, amount);
+  metrics_.reserved = saturating_sum(metrics_.reserved, amount);
   ++metrics_.granted;
   return grant;
 }
@@ -62,10 +62,10 @@
   if (found == reservations_.end()) return;
   const Reservation reservation = std::move(found->second);
   reservations_.erase(found);
-  used = std::clamp<Units>(used, 0, kMostUnits);
+  used = std::clamp<Units>(used, 0, kMaxUnits);
   backend_->settle(reservation, used, wall_time);
-  metrics_.reserved = sum_of(metrics_.reserved, -reservation.amount);
-  metrics_.charged = sum_of(metrics_.charged, used);
+  metrics_.reserved = saturating_sum(metrics_.reserved, -reservation.amount);
+  metrics_.charged = saturating_sum(metrics_.charged, used);
   if (used > 0) ++metrics_.charges;
 }
 
@@ -102,8 +102,8 @@
   std::vector<Summary> summaries;
   for (const auto& [key, account] : directory_.active()) {
     Limit& limit = account->limit;
-    summaries.push_back(
-        {key, limit.rule().amount, limit.remaining(wall_time), limit.until_full(wall_time), account->hard});
+    summaries.push_back({key, limit.rule().amount, limit.remaining(wall_time),
+                         limit.time_until_full(wall_time), account->hard});
   }
   return summaries;
 }
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -53,7 +53,7 @@
   std::uint64_t shared = 0;   // that found no account of their own
 };
 
-// All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMostUnits.
+// All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMaxUnits.
 class Accounts {
  public:
   // Throws std::invalid_argument where options make no sense. Neither the journal nor the quota store is
--- a/src/budgets/budget.cpp
+++ b/src/budgets/budget.cpp
@@ -40,7 +40,7 @@
   std::set<std::string> names;
   for (const auto& budget : options.budgets) {
     if (!names.insert(budget.name).second) reject("two of the name " + budget.name);
-    if (budget.rule.amount < 0 || budget.rule.amount > kMostUnits || budget.rule.per_s < 0) {
+    if (budget.rule.amount < 0 || budget.rule.amount > kMaxUnits || budget.rule.per_s < 0) {
       reject(budget.name + ": no amount");
     }
   }
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -9,7 +9,7 @@
 
 __extension__ using Wide = __int128;  // for intermediate results
 
-Units clamped(Wide value) { return static_cast<Units>(std::clamp<Wide>(value, -kMostUnits, kMostUnits)); }
+Units clamped(Wide value) { return static_cast<Units>(std::clamp<Wide>(value, -kMaxUnits, kMaxUnits)); }
 
 // Rounds down, before 1970 too.
 Time window_start(Time wall_time, Time length) {
@@ -29,15 +29,16 @@
   return seconds(86'400);
 }
 
-Units sum_of(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
-Units product_of(Units left, Units right) { return clamped(static_cast<Wide>(left) * right); }
+Units saturating_sum(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
+Units saturating_product(Units left, Units right) { return clamped(static_cast<Wide>(left) * right); }
 
 Limit::Limit(const LimitRule& rule, Time wall_time)
     : Limit(rule, {rule.amount, rule.amount, wall_time}, wall_time) {}
 
 Limit::Limit(const LimitRule& rule, const LimitState& state, Time wall_time)
     : rule_(rule),
-      remaining_(std::min(rule.amount, sum_of(rule.amount, sum_of(state.remaining, -state.amount)))),
+      remaining_(
+          std::min(rule.amount, saturating_sum(rule.amount, saturating_sum(state.remaining, -state.amount)))),
       updated_at_(state.updated_at) {
   if (rule_.kind != LimitKind::bucket)
     updated_at_ = window_start(state.updated_at, window_length(rule_.kind));
@@ -70,17 +71,17 @@
 
 void Limit::take(Units units, Time wall_time) {
   advance_to(wall_time);
-  remaining_ = sum_of(remaining_, -std::max<Units>(0, units));
+  remaining_ = saturating_sum(remaining_, -std::max<Units>(0, units));
 }
 
 void Limit::give_back(Units units, Time wall_time, Time taken_at) {
   advance_to(wall_time);
   if (rule_.kind != LimitKind::bucket && window_start(taken_at, window_length(rule_.kind)) != updated_at_)
     return;
-  remaining_ = std::min(rule_.amount, sum_of(remaining_, std::max<Units>(0, units)));
+  remaining_ = std::min(rule_.amount, saturating_sum(remaining_, std::max<Units>(0, units)));
 }
 
-std::optional<Time> Limit::until(Units units, Time wall_time) {
+std::optional<Time> Limit::time_until(Units units, Time wall_time) {
   advance_to(wall_time);
   if (remaining_ >= units) return 0;
   if (units > rule_.amount) return std::nullopt;
@@ -88,10 +89,10 @@
   if (rule_.per_s <= 0) return std::nullopt;
   const Wide missing = static_cast<Wide>(units - remaining_) * kSecond - refill_remainder_;
   const Wide time = (missing + rule_.per_s - 1) / rule_.per_s;  // rounded up
-  return static_cast<Time>(std::min<Wide>(time, kMostUnits));
+  return static_cast<Time>(std::min<Wide>(time, kMaxUnits));
 }
 
-Time Limit::until_full(Time wall_time) { return until(rule_.amount, wall_time).value_or(0); }
+Time Limit::time_until_full(Time wall_time) { return time_until(rule_.amount, wall_time).value_or(0); }
 
 LimitState Limit::state(Time wall_time) {
   advance_to(wall_time);
--- a/src/budgets/limit.hpp
+++ b/src/budgets/limit.hpp
@@ -18,7 +18,7 @@
 inline constexpr Units kUnitsPerToken = 1000;
 inline constexpr double in_tokens(Units units) { return static_cast<double>(units) / kUnitsPerToken; }
 // 1e15 tokens: sums and products are cut here, and below 0 at its negative.
-inline constexpr Units kMostUnits = 1'000'000'000'000'000'000;
+inline constexpr Units kMaxUnits = 1'000'000'000'000'000'000;
 
 enum class LimitKind { bucket, minute, hour, day };
 // The length of a window in microseconds; of a bucket 0.
@@ -26,8 +26,8 @@
 
 struct LimitRule {
   LimitKind kind = LimitKind::minute;
-  Units amount = 0;  // of each window; of a bucket its capacity. 0..kMostUnits
-  Units per_s = 0;   // of a bucket: its refill each second. 0..kMostUnits
+  Units amount = 0;  // of each window; of a bucket its capacity. 0..kMaxUnits
+  Units per_s = 0;   // of a bucket: its refill each second. 0..kMaxUnits
   bool operator==(const LimitRule&) const = default;
 };
 
@@ -56,9 +56,9 @@
   // Gives back what was taken at `taken_at`; of an earlier window there is nothing to give back to.
   void give_back(Units units, Time wall_time, Time taken_at);
   // The time from `wall_time` on until so much is left if nothing else is taken; none: it never will be.
-  std::optional<Time> until(Units units, Time wall_time);
+  std::optional<Time> time_until(Units units, Time wall_time);
   // The time until the limit is full again; 0 where it never will be.
-  Time until_full(Time wall_time);
+  Time time_until_full(Time wall_time);
   LimitState state(Time wall_time);
 
  private:
@@ -70,8 +70,8 @@
   Time refill_remainder_ = 0;  // bucket: refill that makes no whole unit yet, in millionths of a unit
 };
 
-// Sums and products, cut at kMostUnits and its negative.
-Units sum_of(Units left, Units right);
-Units product_of(Units left, Units right);
+// Sums and products, cut at kMaxUnits and its negative.
+Units saturating_sum(Units left, Units right);
+Units saturating_product(Units left, Units right);
 
 }  // namespace thornwick::budgets
--- a/src/budgets/pricing.cpp
+++ b/src/budgets/pricing.cpp
@@ -14,22 +14,22 @@
 }
 
 Units priced(std::uint64_t tokens, Units price) {
-  return product_of(static_cast<Units>(std::min<std::uint64_t>(tokens, kMostUnits)), price);
+  return saturating_product(static_cast<Units>(std::min<std::uint64_t>(tokens, kMaxUnits)), price);
 }
 
 }  // namespace
 
 Units cost_of(std::uint64_t prompt, std::uint64_t cached, std::uint64_t generated, const Price& price) {
   cached = std::min(cached, prompt);
-  const Units input = sum_of(priced(prompt - cached, price.prompt), priced(cached, price.kept));
-  return sum_of(input, priced(generated, price.generated));
+  const Units input = saturating_sum(priced(prompt - cached, price.prompt), priced(cached, price.kept));
+  return saturating_sum(input, priced(generated, price.generated));
 }
 
 Units max_cost_of(const Request& request, const Price& price) {
   const std::uint64_t prompt = whole_tokens(request.prompt_tokens);
   // Prices may make cached tokens dearer than others.
   const Units input = std::max(cost_of(prompt, 0, 0, price), cost_of(prompt, prompt, 0, price));
-  return sum_of(input, cost_of(0, 0, whole_tokens(request.max_tokens), price));
+  return saturating_sum(input, cost_of(0, 0, whole_tokens(request.max_tokens), price));
 }
 
 TokenCounts charged_tokens(const Request& request, const AttemptResult& result) {
--- a/src/budgets/pricing.hpp
+++ b/src/budgets/pricing.hpp
@@ -31,7 +31,7 @@
   bool reported = false;  // by the replica, else estimated
 };
 
-// What so many tokens cost; cut at kMostUnits. More cached tokens than prompt tokens count as the prompt.
+// What so many tokens cost; cut at kMaxUnits. More cached tokens than prompt tokens count as the prompt.
 Units cost_of(std::uint64_t prompt, std::uint64_t cached, std::uint64_t generated, const Price& price);
 // The most that a request may cost, wherever it runs.
 Units max_cost_of(const Request& request, const Price& price);
--- a/src/persistence/quota_records.cpp
+++ b/src/persistence/quota_records.cpp
@@ -13,8 +13,8 @@
 };
 
 bool is_plausible(const LimitRecord& record) {
-  const bool amount_in_range = record.amount >= 0 && record.amount <= budgets::kMostUnits;
-  return amount_in_range && record.left <= record.amount && record.left >= -budgets::kMostUnits;
+  const bool amount_in_range = record.amount >= 0 && record.amount <= budgets::kMaxUnits;
+  return amount_in_range && record.left <= record.amount && record.left >= -budgets::kMaxUnits;
 }
 
 }  // namespace
--- a/src/persistence/quota_records.hpp
+++ b/src/persistence/quota_records.hpp
@@ -11,8 +11,8 @@
 
 std::string encode(const budgets::LimitState& state);
 
-// Nothing if the bytes are no such record, if the amount is outside 0..kMostUnits, or if more is left than
-// the amount or less than -kMostUnits.
+// Nothing if the bytes are no such record, if the amount is outside 0..kMaxUnits, or if more is left than
+// the amount or less than -kMaxUnits.
 [[nodiscard]] std::optional<budgets::LimitState> decode_limit(std::string_view bytes);
 
 }  // namespace thornwick::persistence
--- a/src/replication/ledger.cpp
+++ b/src/replication/ledger.cpp
@@ -15,9 +15,9 @@
 // Refills are products of two 64-bit numbers.
 __extension__ using Wide = __int128;
 
-Units clamped(Units value) { return std::clamp<Units>(value, -budgets::kMostUnits, budgets::kMostUnits); }
+Units clamped(Units value) { return std::clamp<Units>(value, -budgets::kMaxUnits, budgets::kMaxUnits); }
 
-bool is_amount(Units value) { return value >= 0 && value <= budgets::kMostUnits; }
+bool is_amount(Units value) { return value >= 0 && value <= budgets::kMaxUnits; }
 
 bool is_valid(const LeaseRequestLine& line) {
   const bool has_key = !line.key.empty() && line.key.size() <= kLongestKey;
@@ -27,7 +27,7 @@
 // Charges what the session used since its previous request. Use beyond its lease (a response that cost more,
 // or an overdraft) is taken from the available quota.
 void charge_used(WindowLedger& window, Lease& lease, Units reported) {
-  const Units used = std::clamp<Units>(reported, lease.used, budgets::kMostUnits);
+  const Units used = std::clamp<Units>(reported, lease.used, budgets::kMaxUnits);
   window.charged = clamped(window.charged + used - lease.used);
   if (used > lease.granted) {
     window.available = clamped(window.available - (used - lease.granted));
@@ -48,7 +48,7 @@
 // Takes quota back, or grants more, until the session has what it requested, as far as the available quota
 // allows.
 void adjust_grant(WindowLedger& window, Lease& lease, const LeaseRequestLine& line) {
-  const Units wanted = std::clamp<Units>(line.requested, 0, budgets::kMostUnits);
+  const Units wanted = std::clamp<Units>(line.requested, 0, budgets::kMaxUnits);
   const Units in_hand = lease.in_hand();
   if (wanted < in_hand) {
     window.available = clamped(window.available + in_hand - wanted);
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -130,8 +130,8 @@
   if (found == account.leases.end()) return;  // its window has long passed
   HeldLease& lease = found->second;
   lease.reserved = std::max<Units>(0, lease.reserved - reserved);
-  lease.used = budgets::sum_of(lease.used, used);
-  account.used_since_request = budgets::sum_of(account.used_since_request, used);
+  lease.used = budgets::saturating_sum(lease.used, used);
+  account.used_since_request = budgets::saturating_sum(account.used_since_request, used);
   request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_request);
 }
 
@@ -143,8 +143,8 @@
       known ? std::max<Units>(0, found->second.available + found->second.in_hand()) : account.rule.amount;
   budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
   QuotaStatus status{.remaining = left,
-                     .reset_after = limit.until_full(wall),
-                     .retry_after = limit.until(wanted, wall),
+                     .reset_after = limit.time_until_full(wall),
+                     .retry_after = limit.time_until(wanted, wall),
                      .awaiting_lease = left >= wanted};
   // A lease in flight, and a refill, take a moment to arrive at this router.
   if (status.retry_after && (status.awaiting_lease || is_bucket_rule(account))) {
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -84,7 +84,8 @@
       throw CommandError(ExitStatus::failure, change.path + " has no account '" + change.account + "'");
     const auto units = static_cast<budgets::Units>(std::llround(change.tokens * budgets::kUnitsPerToken));
     const bool grant = change.kind == ChangeKind::grant;
-    state->remaining = std::min(state->amount, grant ? budgets::sum_of(state->remaining, units) : units);
+    state->remaining =
+        std::min(state->amount, grant ? budgets::saturating_sum(state->remaining, units) : units);
     state->updated_at = wall_now();
     file.apply({{persistence::kQuotaTable, change.account, persistence::encode(*state)}});
     std::cout << account_json(change.account, *state).dump() << '\n';
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -127,31 +127,31 @@
     const Time at = kStart + *rc::gen::inRange<Time>(0, 100'000'000);
     limit.take(*rc::gen::inRange<Units>(0, 2 * amount), at);
     const Units wanted = *rc::gen::inRange<Units>(0, amount + 1);
-    const auto wait = limit.until(wanted, at);
+    const auto wait = limit.time_until(wanted, at);
     RC_ASSERT(wait.has_value());
     Limit then = limit;
     RC_ASSERT(then.remaining(at + *wait) >= wanted);
     Limit sooner = limit;
     if (*wait > 0) RC_ASSERT(sooner.remaining(at + *wait - 1) < wanted);
-    RC_ASSERT(!limit.until(amount + 1, at).has_value());
+    RC_ASSERT(!limit.time_until(amount + 1, at).has_value());
   });
 }
 
 TEST_CASE("amounts at the edge of what is counted are cut, not wrapped") {
-  Limit limit({LimitKind::day, kMostUnits, kMostUnits}, kStart);
-  limit.take(kMostUnits, kStart);
-  limit.take(kMostUnits, kStart);
-  limit.take(kMostUnits, kStart);
-  CHECK(limit.remaining(kStart) == -kMostUnits);
-  limit.give_back(kMostUnits, kStart, kStart);
-  limit.give_back(kMostUnits, kStart, kStart);
-  limit.give_back(kMostUnits, kStart, kStart);
-  CHECK(limit.remaining(kStart) == kMostUnits);
-  Limit bucket({LimitKind::bucket, kMostUnits, kMostUnits}, 0);
-  bucket.take(kMostUnits, 0);
-  CHECK(bucket.remaining(std::numeric_limits<Time>::max() / 2) == kMostUnits);
-  CHECK(sum_of(kMostUnits, kMostUnits) == kMostUnits);
-  CHECK(product_of(kMostUnits, 1000) == kMostUnits);
+  Limit limit({LimitKind::day, kMaxUnits, kMaxUnits}, kStart);
+  limit.take(kMaxUnits, kStart);
+  limit.take(kMaxUnits, kStart);
+  limit.take(kMaxUnits, kStart);
+  CHECK(limit.remaining(kStart) == -kMaxUnits);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  CHECK(limit.remaining(kStart) == kMaxUnits);
+  Limit bucket({LimitKind::bucket, kMaxUnits, kMaxUnits}, 0);
+  bucket.take(kMaxUnits, 0);
+  CHECK(bucket.remaining(std::numeric_limits<Time>::max() / 2) == kMaxUnits);
+  CHECK(saturating_sum(kMaxUnits, kMaxUnits) == kMaxUnits);
+  CHECK(saturating_product(kMaxUnits, 1000) == kMaxUnits);
 }
 
 TEST_CASE("a budget of nothing refuses all but what costs nothing") {
