--- a/src/budgets/account_backend.cpp
+++ b/src/budgets/account_backend.cpp
@@ -25,7 +25,7 @@
 
 Units LocalBackend::block_of(const Account& account) const {
   const auto amount = static_cast<double>(account.limit.rule().amount);
-  return std::max<Units>(1, static_cast<Units>(amount * options_.block_ratio));
+  return std::max<Units>(1, static_cast<Units>(amount * options_.block_fraction));
 }
 
 void LocalBackend::advance_mark(Account& account, Time wall_time) {
--- a/src/budgets/account_directory.cpp
+++ b/src/budgets/account_directory.cpp
@@ -12,7 +12,7 @@
 constexpr const char* kGoneKeyPrefix = "gone|";        // of accounts whose budget is gone
 
 std::uint64_t cache_key(const QuotaSubject& subject) {
-  return std::uint64_t{subject.member} << 32 | std::uint64_t{subject.model} << 16 | subject.cls;
+  return std::uint64_t{subject.member} << 32 | std::uint64_t{subject.model} << 16 | subject.priority_class;
 }
 
 }  // namespace
--- a/src/budgets/accounts.cpp
+++ b/src/budgets/accounts.cpp
@@ -31,7 +31,7 @@
       backend_(make_backend(options_, journal, quota_store)),
       directory_(options_, *backend_) {}
 
-void Accounts::change(const Options& options, Time wall_time) {
+void Accounts::replace_options(const Options& options, Time wall_time) {
   validate(options);
   if (options == options_) return;
   options_ = options;
@@ -42,7 +42,7 @@
   amount = std::clamp<Units>(amount, 0, kMaxUnits);
   std::shared_ptr<const AccountSet> accounts = directory_.accounts_of(subject, wall_time);
   ReserveResult result = backend_->reserve(*accounts, amount, wall_time);
-  metrics_.over_soft += result.soft_overruns;
+  metrics_.over_soft_limit += result.soft_overruns;
   Grant grant;
   grant.weight_factor = result.weight_factor;
   if (result.denial) {
@@ -52,7 +52,7 @@
   }
   grant.id = ++last_id_;
   reservations_[grant.id] = {std::move(accounts), std::move(result.uncovered), amount, wall_time};
-  metrics_.reserved = saturating_sum(metrics_.reserved, amount);
+  metrics_.reserved_units = saturating_sum(metrics_.reserved_units, amount);
   ++metrics_.granted;
   return grant;
 }
@@ -64,9 +64,9 @@
   reservations_.erase(found);
   used = std::clamp<Units>(used, 0, kMaxUnits);
   backend_->settle(reservation, used, wall_time);
-  metrics_.reserved = saturating_sum(metrics_.reserved, -reservation.amount);
-  metrics_.charged = saturating_sum(metrics_.charged, used);
-  if (used > 0) ++metrics_.charges;
+  metrics_.reserved_units = saturating_sum(metrics_.reserved_units, -reservation.amount);
+  metrics_.charged_units = saturating_sum(metrics_.charged_units, used);
+  if (used > 0) ++metrics_.nonzero_charges;
 }
 
 Units Accounts::reserved(ReservationId id) const {
@@ -110,7 +110,7 @@
 
 Metrics Accounts::metrics() const {
   Metrics metrics = metrics_;
-  metrics.shared = directory_.overflows();
+  metrics.on_shared_account = directory_.overflows();
   return metrics;
 }
 
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -46,11 +46,11 @@
   std::uint64_t granted = 0;
   std::uint64_t denied = 0;                 // for want of quota
   std::uint64_t denied_awaiting_store = 0;  // see Denial::awaiting_store
-  std::uint64_t over_soft = 0;
-  std::uint64_t charges = 0;  // above 0
-  Units reserved = 0;         // open now
-  Units charged = 0;          // ever
-  std::uint64_t shared = 0;   // that found no account of their own
+  std::uint64_t over_soft_limit = 0;
+  std::uint64_t nonzero_charges = 0;    // above 0
+  Units reserved_units = 0;             // open now
+  Units charged_units = 0;              // ever
+  std::uint64_t on_shared_account = 0;  // that found no account of their own
 };
 
 // All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMaxUnits.
@@ -68,7 +68,7 @@
   void open_all(Time wall_time) { directory_.open_all(wall_time); }
   // New limits under way: what was used of those that stay (same name and kind) remains used. Reservations
   // stay. Throws std::invalid_argument, and then changes nothing, where options make no sense.
-  void change(const Options& options, Time wall_time);
+  void replace_options(const Options& options, Time wall_time);
 
   [[nodiscard]] Grant reserve(const QuotaSubject& subject, Units amount, Time wall_time);
   // Ends a reservation: `used` is charged, whatever was reserved. An unknown id is ignored.
--- a/src/budgets/budget.cpp
+++ b/src/budgets/budget.cpp
@@ -10,7 +10,7 @@
 constexpr const char* kNoModelName = "-";
 
 bool matches(std::uint16_t wanted, std::uint16_t number) {
-  return wanted == kEach || wanted == kAll || wanted == number;
+  return wanted == kSeparateAccounts || wanted == kSharedAccount || wanted == number;
 }
 
 std::string name_at(const std::vector<std::string>& names, std::size_t index) {
@@ -18,12 +18,12 @@
 }
 
 std::string key_part(std::uint16_t wanted, std::uint16_t number, const std::vector<std::string>& names) {
-  return wanted == kAll ? kAnyName : name_at(names, number);
+  return wanted == kSharedAccount ? kAnyName : name_at(names, number);
 }
 
 std::string model_key_part(std::uint16_t wanted, std::uint16_t number,
                            const std::vector<std::string>& names) {
-  if (wanted == kAll) return kAnyName;
+  if (wanted == kSharedAccount) return kAnyName;
   return number == 0 ? kNoModelName : name_at(names, number - 1u);
 }
 
@@ -36,7 +36,7 @@
     reject("a part beyond the parts");
   }
   if (options.max_accounts == 0) reject("no accounts at all");
-  if (!(options.block_ratio > 0 && options.block_ratio <= 1)) reject("a block outside 0..1");
+  if (!(options.block_fraction > 0 && options.block_fraction <= 1)) reject("a block outside 0..1");
   std::set<std::string> names;
   for (const auto& budget : options.budgets) {
     if (!names.insert(budget.name).second) reject("two of the name " + budget.name);
@@ -48,13 +48,13 @@
 
 bool applies(const Budget& budget, const QuotaSubject& subject) {
   return matches(budget.member, subject.member) && matches(budget.model, subject.model) &&
-         matches(budget.cls, subject.cls);
+         matches(budget.priority_class, subject.priority_class);
 }
 
 std::string account_key(const Options& options, const Budget& budget, const QuotaSubject& subject) {
   return budget.name + "|" + key_part(budget.member, subject.member, options.members) + "|" +
          model_key_part(budget.model, subject.model, options.models) + "|" +
-         key_part(budget.cls, subject.cls, options.classes);
+         key_part(budget.priority_class, subject.priority_class, options.classes);
 }
 
 LimitRule router_share(const Options& options, const LimitRule& rule) {
--- a/src/budgets/budget.hpp
+++ b/src/budgets/budget.hpp
@@ -12,15 +12,16 @@
 namespace thornwick::budgets {
 
 // Values of a budget's member, model and class besides a number.
-inline constexpr std::uint16_t kEach = 0xffff;  // every number has an account of its own
-inline constexpr std::uint16_t kAll = 0xfffe;   // all numbers share one account
+inline constexpr std::uint16_t kSeparateAccounts = 0xffff;  // every number has an account of its own
+inline constexpr std::uint16_t kSharedAccount = 0xfffe;     // all numbers share one account
 
 // One [[budget]] of the operator's file.
 struct Budget {
-  std::string name;              // in logs, headers and tools; unique
-  std::uint16_t member = kEach;  // a number, kEach or kAll; so are the next two
-  std::uint16_t model = kAll;
-  std::uint16_t cls = kAll;
+  std::string name;  // in logs, headers and tools; unique
+  std::uint16_t member =
+      kSeparateAccounts;  // a number, kSeparateAccounts or kSharedAccount; so are the next two
+  std::uint16_t model = kSharedAccount;
+  std::uint16_t priority_class = kSharedAccount;
   LimitRule rule;
   bool hard = true;  // a soft budget refuses nothing: requests beyond it get less weight
   bool operator==(const Budget&) const = default;
@@ -31,7 +32,7 @@
 struct QuotaSubject {
   std::uint16_t member = 0;
   std::uint16_t model = 0;
-  std::uint16_t cls = 0;
+  std::uint16_t priority_class = 0;
 };
 
 struct Options {
@@ -44,7 +45,7 @@
   // `router_count`.
   std::uint32_t router_index = 1;
   std::uint32_t router_count = 1;
-  double block_ratio = 0.02;       // above 0, up to 1: of a limit, what may be granted ahead of the journal
+  double block_fraction = 0.02;    // above 0, up to 1: of a limit, what may be granted ahead of the journal
   double soft_limit_weight = 0.1;  // weight factor of a request beyond a soft limit
   std::size_t max_accounts = 65'536;  // beyond: requests share the last account of their budget
   bool operator==(const Options&) const = default;
--- a/src/budgets/durability_mark.cpp
+++ b/src/budgets/durability_mark.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void DurabilityMark::accept_durable(const Journal& journal) {
-  if (!pending_ || journal.durable() < pending_->number) return;
+  if (!pending_ || journal.last_durable_record() < pending_->number) return;
   durable_ = pending_->limit;
   pending_.reset();
 }
--- a/src/budgets/fair_share.cpp
+++ b/src/budgets/fair_share.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-FairShare::FairShare(const FairOptions& options) : options_(options) {
+FairShare::FairShare(const FairShareOptions& options) : options_(options) {
   for (const double weight : options.weights) {
     if (!(weight > 0) || !std::isfinite(weight))
       throw std::invalid_argument("fair shares: a weight that is not above 0");
--- a/src/budgets/fair_share.hpp
+++ b/src/budgets/fair_share.hpp
@@ -19,7 +19,7 @@
 
 namespace thornwick::budgets {
 
-struct FairOptions {
+struct FairShareOptions {
   std::vector<double> weights;          // of members, by number; beyond: 1. Above 0
   double max_ahead_s = 0.25;            // of the service's tokens that one member may be ahead
   Time idle_after = seconds(1);         // a member that has not asked for so long leaves its share to others
@@ -31,7 +31,7 @@
 class FairShare {
  public:
   // Throws std::invalid_argument where a weight is not above 0.
-  explicit FairShare(const FairOptions& options);
+  explicit FairShare(const FairShareOptions& options);
 
   struct Admission {
     bool admitted = true;
@@ -62,7 +62,7 @@
   void retire_idle_members(Time now);
   void measure_served_rate(Time now);
 
-  FairOptions options_;
+  FairShareOptions options_;
   std::deque<Member> members_;  // by number; addresses stay
   // The active members, who asked last is at the end. Declared after members_: it is destroyed before them.
   boost::intrusive::list<Member> active_;
--- a/src/budgets/journal.hpp
+++ b/src/budgets/journal.hpp
@@ -16,7 +16,7 @@
   // Takes a record and returns its number; 0: it cannot take one now, and the caller offers it again later.
   virtual std::uint64_t append(const std::string& key, const LimitState& state) = 0;
   // Records with this number or a lower one are durable.
-  virtual std::uint64_t durable() const = 0;
+  virtual std::uint64_t last_durable_record() const = 0;
 };
 
 }  // namespace thornwick::budgets
--- a/src/budgets/pricing.cpp
+++ b/src/budgets/pricing.cpp
@@ -21,7 +21,7 @@
 
 Units cost_of(std::uint64_t prompt, std::uint64_t cached, std::uint64_t generated, const Price& price) {
   cached = std::min(cached, prompt);
-  const Units input = saturating_sum(priced(prompt - cached, price.prompt), priced(cached, price.kept));
+  const Units input = saturating_sum(priced(prompt - cached, price.prompt), priced(cached, price.cached));
   return saturating_sum(input, priced(generated, price.generated));
 }
 
--- a/src/budgets/pricing.hpp
+++ b/src/budgets/pricing.hpp
@@ -18,7 +18,7 @@
 // Units for each token.
 struct Price {
   Units prompt = kUnitsPerToken;     // read anew
-  Units kept = kUnitsPerToken;       // of the prompt, found in the replica's cache
+  Units cached = kUnitsPerToken;     // of the prompt, found in the replica's cache
   Units generated = kUnitsPerToken;  // of the answer
   bool operator==(const Price&) const = default;
 };
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -93,7 +93,7 @@
     decider = make_baseline_policy(scenario_.policy, baseline);
   }
   if (scenario_.fair) {
-    budgets::FairOptions shares;
+    budgets::FairShareOptions shares;
     for (const auto& member : scenario_.members) shares.weights.push_back(std::max(kMinShare, member.share));
     router.fair_share = std::make_unique<budgets::FairShare>(shares);
     router.quota_service = std::make_unique<budgets::QuotaService>(budgets::Options{});
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -20,7 +20,7 @@
   const auto& subject = charge.subject;
   logging::info("charge").with("request_number", charge.request_id).with("attempt", charge.attempt + 1)
       << "member=" << field("member", name_at(config.names.tenants, subject.member))
-      << " class=" << field("class", name_at(config.names.classes, subject.cls))
+      << " class=" << field("class", name_at(config.names.classes, subject.priority_class))
       << " model=" << field("model", config.operator_file.catalogue.name_of(subject.model))
       << " replica=" << field("replica", replica_uid) << " prompt=" << field("prompt", charge.tokens.prompt)
       << " cached=" << field("cached", charge.tokens.cached)
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -40,16 +40,16 @@
 std::uint16_t subject_number(const config::BudgetEntry& entry, const std::string& key,
                              const std::string& name, const std::vector<std::string>& names,
                              ErrorLines& errors) {
-  if (name == "each") return budgets::kEach;
-  if (name == "all") return budgets::kAll;
+  if (name == "each") return budgets::kSeparateAccounts;
+  if (name == "all") return budgets::kSharedAccount;
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) errors.add(entry.line, "budget." + key + ": the settings have no '" + name + "'");
   return static_cast<std::uint16_t>(found - names.begin());
 }
 
 std::uint16_t model_number(const std::string& name, const models::Catalogue& catalogue) {
-  if (name == "each") return budgets::kEach;
-  if (name == "all") return budgets::kAll;
+  if (name == "each") return budgets::kSeparateAccounts;
+  if (name == "all") return budgets::kSharedAccount;
   return catalogue.find(name);
 }
 
@@ -76,7 +76,7 @@
   budgets::Budget budget;
   budget.name = entry.name;
   budget.member = subject_number(entry, "member", entry.member, config.names.tenants, errors);
-  budget.cls = subject_number(entry, "class", entry.cls, config.names.classes, errors);
+  budget.priority_class = subject_number(entry, "class", entry.cls, config.names.classes, errors);
   budget.model = model_number(entry.model, config.operator_file.catalogue);
   budget.hard = entry.hard;
   budget.rule = rule_of(entry);
@@ -128,7 +128,7 @@
     options.router_index = 1;
     options.router_count = 1;
   }
-  options.block_ratio = file.block;
+  options.block_fraction = file.block;
   options.soft_limit_weight = file.soft_worth;
   options.max_accounts = file.accounts;
   ErrorLines errors(config.operator_file.path);
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -128,7 +128,7 @@
 
 void DurableState::open_fair_share() {
   if (!config_.operator_file.budgets.fair) return;
-  budgets::FairOptions options;
+  budgets::FairShareOptions options;
   for (const auto& tenant : config_.settings.tenants)
     options.weights.push_back(std::max(kMinShare, tenant.share));
   fair_share_ = std::make_unique<budgets::FairShare>(options);
@@ -141,7 +141,7 @@
 }
 
 void DurableState::budgets_changed(Time now) {
-  quota_service_->accounts.change(budget_options(config_), now);
+  quota_service_->accounts.replace_options(budget_options(config_), now);
   update_prices();
 }
 
@@ -152,10 +152,10 @@
   const auto& metrics = quota_service_->accounts.metrics();
   out << " budget_accounts=" << quota_service_->accounts.size() << " budget_granted=" << metrics.granted
       << " budget_denied=" << metrics.denied << " budget_behind=" << metrics.denied_awaiting_store
-      << " budget_over_soft=" << metrics.over_soft << " budget_charges=" << metrics.charges
-      << " budget_charged=" << metrics.charged / budgets::kUnitsPerToken
-      << " budget_reserved=" << metrics.reserved / budgets::kUnitsPerToken
-      << " budget_shared=" << metrics.shared;
+      << " budget_over_soft=" << metrics.over_soft_limit << " budget_charges=" << metrics.nonzero_charges
+      << " budget_charged=" << metrics.charged_units / budgets::kUnitsPerToken
+      << " budget_reserved=" << metrics.reserved_units / budgets::kUnitsPerToken
+      << " budget_shared=" << metrics.on_shared_account;
 }
 
 void DurableState::log_replicas(const std::function<void(const std::string&)>& line) const {
--- a/src/persistence/quota_state_store.hpp
+++ b/src/persistence/quota_state_store.hpp
@@ -28,7 +28,7 @@
   // Records an account's state. Returns the number that durable() reaches once it is on disk; 0 if it was not
   // accepted, because the writer has no room or the key is empty or too long.
   std::uint64_t append(const std::string& key, const budgets::LimitState& state) override;
-  std::uint64_t durable() const override { return writer_.durable(); }
+  std::uint64_t last_durable_record() const override { return writer_.durable(); }
 
  private:
   const store::File& file_;
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -48,7 +48,7 @@
           {"base", model.base},
           {"context", model.context},
           {"most_answer", model.most_answer},
-          {"price", {{"prompt", price.prompt}, {"kept", price.kept}, {"made", price.generated}}},
+          {"price", {{"prompt", price.prompt}, {"kept", price.cached}, {"made", price.generated}}},
           {"boxes", {{"models", serving.models}, {"groups", serving.groups}, {"uids", serving.uids}}},
           {"fallbacks", fallbacks_json(model)}};
 }
--- a/tests/budgets/fair_share.cpp
+++ b/tests/budgets/fair_share.cpp
@@ -25,7 +25,7 @@
 
 Play play(std::size_t members, const std::vector<double>& weights, const std::vector<double>& demand,
           int seconds, bool fair, std::size_t idle = SIZE_MAX, int idle_from = 0, int idle_to = 0) {
-  FairOptions options;
+  FairShareOptions options;
   options.weights = weights;
   FairShare share(options);
   boost::random::mt19937_64 dice(7);
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -43,7 +43,7 @@
     pending.push_back({key, state});
     return ++taken;
   }
-  std::uint64_t durable() const override { return written; }
+  std::uint64_t last_durable_record() const override { return written; }
   void write(std::size_t count) {
     for (; count > 0 && !pending.empty(); --count) {
       disk[pending.front().first] = pending.front().second;
@@ -167,8 +167,8 @@
     Options options;
     options.members = {"a", "b", "c"}, options.models = {"m", "n"}, options.classes = {"x", "y"};
     Budget each = per_minute(500), model = per_minute(900), all = per_minute(1200);
-    model.name = "model", model.member = kAll, model.model = kEach;
-    all.name = "all", all.member = kAll;
+    model.name = "model", model.member = kSharedAccount, model.model = kSeparateAccounts;
+    all.name = "all", all.member = kSharedAccount;
     options.budgets = {each, model, all};
     Accounts accounts(options);
     struct Open {
@@ -207,7 +207,7 @@
     }
     for (const auto& o : open) accounts.settle(o.id, 0, kStart);
     RC_ASSERT(accounts.open() == 0);
-    RC_ASSERT(accounts.metrics().reserved == 0);
+    RC_ASSERT(accounts.metrics().reserved_units == 0);
   });
 }
 
@@ -240,17 +240,17 @@
   for (std::uint16_t member = 0; member < 1000; ++member)
     accounts.settle(accounts.reserve({member, 0, 0}, 1, kStart).id, 1, kStart);
   CHECK(accounts.size() <= 11);
-  CHECK(accounts.metrics().shared >= 900);
+  CHECK(accounts.metrics().on_shared_account >= 900);
 }
 
 TEST_CASE("new limits keep what was used, and what is open is settled where it was reserved") {
   Accounts accounts(one(per_minute(100)));
   const Grant open = accounts.reserve({}, 60'000, kStart);
-  accounts.change(one(per_minute(200)), kStart);
+  accounts.replace_options(one(per_minute(200)), kStart);
   CHECK(accounts.quota_status({}, kStart).remaining == 140'000);
   accounts.settle(open.id, 10'000, kStart);
   CHECK(accounts.quota_status({}, kStart).remaining == 190'000);
-  accounts.change(one(per_minute(5)), kStart);
+  accounts.replace_options(one(per_minute(5)), kStart);
   CHECK(accounts.quota_status({}, kStart).remaining == 0);
   CHECK(accounts.reserve({}, 1000, kStart).denial.has_value());
 }
@@ -258,7 +258,7 @@
 TEST_CASE("after a kill at any moment no more than one block of a limit is granted twice") {
   holds("kills", [] {
     Options options = one(per_minute(1000));
-    options.block_ratio = 0.05;
+    options.block_fraction = 0.05;
     const Units limit = 1'000'000, block = 50'000;
     SlowJournal journal;
     auto accounts = std::make_unique<Accounts>(options, &journal);
@@ -299,7 +299,7 @@
 TEST_CASE("a journal whose disk stands still holds grants to one block, and says that it is behind") {
   SlowJournal journal;
   Options options = one(per_minute(1000));
-  options.block_ratio = 0.05;
+  options.block_fraction = 0.05;
   Accounts accounts(options, &journal);
   Units granted = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -76,7 +76,7 @@
     pending.emplace_back(key, state);
     return ++taken;
   }
-  std::uint64_t durable() const override { return written; }
+  std::uint64_t last_durable_record() const override { return written; }
   void write() {
     for (; !pending.empty(); pending.pop_front(), ++written)
       disk[pending.front().first] = pending.front().second;
@@ -419,7 +419,7 @@
 TEST_CASE(
     "after 100,000 mixed requests with faults, charges equal the replicas' own counts token for token") {
   budgets::Budget everyone = daily("all", 1'000'000'000);
-  everyone.member = budgets::kAll;
+  everyone.member = budgets::kSharedAccount;
   World world(settings(), two_models(), budgets_of({daily("day", 1'000'000'000), everyone}), nullptr, 7);
   for (int i = 0; i < 8; ++i) world.add_replica("b-" + std::to_string(i), i % 2 == 0 ? "L" : "S");
   world.prompt_of_ = [&](core::AttemptId id) { return 50.0 + static_cast<double>(id.request_id % 200); };
