--- a/bench/budgets.cpp
+++ b/bench/budgets.cpp
@@ -142,7 +142,7 @@
   options.names_of = [&](ReplicaId id) {
     return models::ReplicaNames{"", "m" + std::to_string((id - 1) / 12), 0};
   };
-  options.make = [&](const Settings& s, Time now, models::Number) -> std::unique_ptr<core::Decider> {
+  options.make = [&](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
     return std::make_unique<budgets::AdmissionController>(core::make_routing_policy(s, now), quota_service);
   };
   const double before = bytes_held();
--- a/src/config/models_section.cpp
+++ b/src/config/models_section.cpp
@@ -29,24 +29,25 @@
 }
 
 void read_fallback(const toml::table* table, models::Fallback& fallback, Errors& errors) {
-  static const std::map<std::string, models::When> reasons = {{"missing", models::When::missing},
-                                                              {"overloaded", models::When::overloaded},
-                                                              {"over-budget", models::When::over_budget},
-                                                              {"too-long", models::When::too_long}};
+  static const std::map<std::string, models::FallbackReason> reasons = {
+      {"missing", models::FallbackReason::no_ready_replica},
+      {"overloaded", models::FallbackReason::overloaded},
+      {"over-budget", models::FallbackReason::over_budget},
+      {"too-long", models::FallbackReason::too_long}};
   Section section(table, "model.fallback", errors);
   std::vector<std::string> when = {"missing", "overloaded"};
   double time_left_ms = 0;
-  section.text("to", fallback.to);
+  section.text("to", fallback.target);
   section.list("when", when);
   section.number("time_left_ms", time_left_ms, 0, 3.6e6);
-  fallback.least_left = static_cast<Time>(1000 * time_left_ms);
+  fallback.min_remaining_time = static_cast<Time>(1000 * time_left_ms);
   fallback.line = section.line();
   for (const auto& name : when) {
     const auto found = reasons.find(name);
     if (found == reasons.end()) {
       section.reject("when", "'" + name + "' is none of: missing, overloaded, over-budget, too-long");
     } else {
-      fallback.when |= static_cast<std::uint8_t>(found->second);
+      fallback.reasons |= static_cast<std::uint8_t>(found->second);
     }
   }
 }
@@ -91,7 +92,7 @@
   Section section(table, "alias", errors);
   auto& alias = catalogue.aliases.emplace_back();
   section.text("name", alias.name);
-  section.text("to", alias.to);
+  section.text("to", alias.target);
   alias.line = section.line();
 }
 
@@ -101,7 +102,7 @@
   read_limits(file.table("models"), into, errors);
   for (const auto* table : file.tables("model")) read_model(table, into.models.emplace_back(), errors);
   for (const auto* table : file.tables("alias")) read_alias(table, into, errors);
-  add_faults(models::faults_of(into), errors);
+  add_faults(models::validate(into), errors);
 }
 
 }  // namespace thornwick::config
--- a/src/models/catalogue.cpp
+++ b/src/models/catalogue.cpp
@@ -19,18 +19,19 @@
  public:
   explicit Validator(const Catalogue& catalogue) : catalogue_(catalogue) {}
 
-  std::vector<Fault> run() {
+  std::vector<CatalogueError> run() {
     check_names();
     for (const auto& model : catalogue_.models) check_model(model);
     check_any_name();
     for (const auto& alias : catalogue_.aliases) {
-      if (find(alias.to) == nullptr) {
-        add(alias.line, "alias." + alias.name + ": no model is called '" + alias.to + "'");
+      if (find(alias.target) == nullptr) {
+        add(alias.line, "alias." + alias.name + ": no model is called '" + alias.target + "'");
       }
     }
     check_cycles();
-    std::stable_sort(faults_.begin(), faults_.end(),
-                     [](const Fault& left, const Fault& right) { return left.line < right.line; });
+    std::stable_sort(
+        faults_.begin(), faults_.end(),
+        [](const CatalogueError& left, const CatalogueError& right) { return left.line < right.line; });
     return std::move(faults_);
   }
 
@@ -101,16 +102,16 @@
   // The other model's context must not be smaller; where the request only goes
   // there because it is too long, it has to be larger.
   void check_fallback(const Model& model, const Fallback& fallback) {
-    const std::string key = "model." + model.name + ".fallback." + fallback.to;
-    const Model* to = find(fallback.to);
+    const std::string key = "model." + model.name + ".fallback." + fallback.target;
+    const Model* to = find(fallback.target);
     if (to == nullptr) return add(fallback.line, key + ": no model is called so");
     if (to == &model) return add(fallback.line, key + ": a model cannot take its own place");
-    if (fallback.when == 0) add(fallback.line, key + ".when: never");
+    if (fallback.reasons == 0) add(fallback.line, key + ".when: never");
     if (to->any_name) {
       add(fallback.line, key + ": its boxes would hear the name of '" + model.name + "'");
     }
     const bool smaller = to->context > 0 && (model.context <= 0 || to->context < model.context);
-    const bool only_longer = fallback.when == static_cast<std::uint8_t>(When::too_long);
+    const bool only_longer = fallback.reasons == static_cast<std::uint8_t>(FallbackReason::too_long);
     if (smaller) add(fallback.line, key + ": its context is smaller");
     if (only_longer && !smaller && to->context > 0 && to->context == model.context) {
       add(fallback.line, key + ".when: too-long, and its context is no larger");
@@ -128,11 +129,11 @@
     if (states[&model] != VisitState::unvisited) return;
     states[&model] = VisitState::on_path;
     for (const auto& fallback : model.fallbacks) {
-      const Model* to = find(fallback.to);
+      const Model* to = find(fallback.target);
       if (to == nullptr || to == &model) continue;
       if (states[to] == VisitState::on_path) {
-        add(fallback.line, "model." + model.name + ".fallback." + fallback.to +
-                               ": the chain comes back to '" + fallback.to + "'");
+        add(fallback.line, "model." + model.name + ".fallback." + fallback.target +
+                               ": the chain comes back to '" + fallback.target + "'");
       }
       if (states[to] == VisitState::unvisited) visit(*to, states);
     }
@@ -140,21 +141,21 @@
   }
 
   const Catalogue& catalogue_;
-  std::vector<Fault> faults_;
+  std::vector<CatalogueError> faults_;
 };
 
 }  // namespace
 
-Number Catalogue::find(std::string_view name) const {
+ModelId Catalogue::find(std::string_view name) const {
   for (const auto& alias : aliases) {
-    if (alias.name == name) name = alias.to;
+    if (alias.name == name) name = alias.target;
   }
   for (std::size_t i = 0; i < models.size(); ++i) {
-    if (models[i].name == name && !models[i].gone) return static_cast<Number>(i + 1);
+    if (models[i].name == name && !models[i].gone) return static_cast<ModelId>(i + 1);
   }
   const auto any = std::find_if(models.begin(), models.end(),
                                 [](const Model& model) { return model.any_name && !model.gone; });
-  return any == models.end() ? 0 : static_cast<Number>(any - models.begin() + 1);
+  return any == models.end() ? 0 : static_cast<ModelId>(any - models.begin() + 1);
 }
 
 std::vector<std::string> Catalogue::names() const {
@@ -182,7 +183,7 @@
   return result;
 }
 
-std::vector<Fault> faults_of(const Catalogue& catalogue) { return Validator(catalogue).run(); }
+std::vector<CatalogueError> validate(const Catalogue& catalogue) { return Validator(catalogue).run(); }
 
 bool serves(const Serving& serving, const ReplicaNames& replica) {
   return holds(serving.models, std::string("*")) || holds(serving.models, replica.model) ||
--- a/src/models/catalogue.hpp
+++ b/src/models/catalogue.hpp
@@ -14,16 +14,21 @@
 namespace thornwick::models {
 
 // Numbers of models are their places in the catalogue, from 1 on; 0 is none.
-using Number = std::uint16_t;
+using ModelId = std::uint16_t;
 
 // Why a model's request may go to another one.
-enum class When : std::uint8_t { missing = 1, overloaded = 2, over_budget = 4, too_long = 8 };
+enum class FallbackReason : std::uint8_t {
+  no_ready_replica = 1,
+  overloaded = 2,
+  over_budget = 4,
+  too_long = 8
+};
 
 struct Fallback {
-  std::string to;
-  std::uint8_t when = 0;   // of When, added up
-  Time least_left = 0;     // microseconds that the client must still wait at least
-  std::uint32_t line = 0;  // in the file, for errors
+  std::string target;
+  std::uint8_t reasons = 0;     // of FallbackReason, added up
+  Time min_remaining_time = 0;  // microseconds that the client must still wait at least
+  std::uint32_t line = 0;       // in the file, for errors
 };
 
 // A replica serves a model if one of these lists names it: by discovery's `model` ("*": whatever it is),
@@ -52,7 +57,7 @@
 };
 
 struct Alias {
-  std::string name, to;
+  std::string name, target;
   std::uint32_t line = 0;
 };
 
@@ -71,10 +76,10 @@
 
   bool empty() const { return models.empty(); }
   // By name or alias, or else the one that takes any name; 0: there is none.
-  Number find(std::string_view name) const;
-  const Model& at(Number number) const { return models.at(number - 1u); }
+  ModelId find(std::string_view name) const;
+  const Model& at(ModelId number) const { return models.at(number - 1u); }
   // Empty where there is no such number.
-  std::string name_of(Number number) const {
+  std::string name_of(ModelId number) const {
     return number == 0 || number > models.size() ? std::string() : at(number).name;
   }
   std::vector<std::string> names() const;
@@ -84,13 +89,13 @@
 // is new comes behind. So a number that is on its way means the same before and after.
 Catalogue renumbered(const Catalogue& old, const Catalogue& fresh);
 
-struct Fault {
+struct CatalogueError {
   std::uint32_t line = 0;
   std::string text;  // "model.NAME.key: what is wrong"
 };
 // All that does not fit together: names twice or unknown, cycles, a fallback that holds less, replicas of
 // nobody.
-std::vector<Fault> faults_of(const Catalogue& catalogue);
+std::vector<CatalogueError> validate(const Catalogue& catalogue);
 
 // What discovery tells of a replica beyond its listing.
 struct ReplicaNames {
--- a/src/models/fallback_queue.cpp
+++ b/src/models/fallback_queue.cpp
@@ -4,13 +4,13 @@
 
 namespace thornwick::models {
 
-void FallbackQueue::push_fallbacks_of(const Catalogue& catalogue, Number model, When why) {
+void FallbackQueue::push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason why) {
   const auto& fallbacks = catalogue.at(model).fallbacks;
   for (std::size_t next = fallbacks.size(); next > 0; --next) {
     const Fallback& fallback = fallbacks[next - 1];
-    const Number to = catalogue.find(fallback.to);
-    const bool applies = (fallback.when & static_cast<std::uint8_t>(why)) != 0;
-    if (to != 0 && applies) candidates_.push_front({to, why, fallback.least_left});
+    const ModelId to = catalogue.find(fallback.target);
+    const bool applies = (fallback.reasons & static_cast<std::uint8_t>(why)) != 0;
+    if (to != 0 && applies) candidates_.push_front({to, why, fallback.min_remaining_time});
   }
 }
 
--- a/src/models/fallback_queue.hpp
+++ b/src/models/fallback_queue.hpp
@@ -10,24 +10,24 @@
 namespace thornwick::models {
 
 struct FallbackCandidate {
-  Number model = 0;
-  When why = When::missing;
-  Time least_left = 0;  // microseconds that the client must still wait at least
+  ModelId model = 0;
+  FallbackReason why = FallbackReason::no_ready_replica;
+  Time min_remaining_time = 0;  // microseconds that the client must still wait at least
 };
 
 class FallbackQueue {
  public:
   // No candidate leads to this model any more.
-  void mark_tried(Number model) { tried_.push_back(model); }
+  void mark_tried(ModelId model) { tried_.push_back(model); }
   // The fallbacks of a model that cannot serve the request for that reason, before all that are queued.
-  void push_fallbacks_of(const Catalogue& catalogue, Number model, When why);
+  void push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason why);
   bool empty() const { return candidates_.empty(); }
   // The next candidate whose model was not tried; none is left: nullopt.
   [[nodiscard]] std::optional<FallbackCandidate> pop();
 
  private:
   std::deque<FallbackCandidate> candidates_;
-  std::vector<Number> tried_;
+  std::vector<ModelId> tried_;
 };
 
 }  // namespace thornwick::models
--- a/src/models/placement.cpp
+++ b/src/models/placement.cpp
@@ -48,7 +48,7 @@
   for (auto& set : sets_) set.demand *= kept_ratio;
 }
 
-void Placement::asked(Time now, Number adapter, double work) {
+void Placement::asked(Time now, ModelId adapter, double work) {
   fade(now);
   all_demand_ += work;
   for (auto& set : sets_) {
@@ -161,7 +161,7 @@
   return changed;
 }
 
-const std::vector<Placement::Loaded>& Placement::replicas_of(Number adapter) const {
+const std::vector<Placement::Loaded>& Placement::replicas_of(ModelId adapter) const {
   static const std::vector<Loaded> none;
   for (const auto& set : sets_) {
     if (set.adapter.number == adapter) return set.replicas;
--- a/src/models/placement.hpp
+++ b/src/models/placement.hpp
@@ -33,7 +33,7 @@
   // Adapters by number, in the catalogue's order. Those that stay keep their
   // replicas.
   struct Adapter {
-    Number number = 0;
+    ModelId number = 0;
     std::string name;
     std::size_t min_replicas = 1;
     std::size_t max_replicas = 1'000'000;
@@ -43,7 +43,7 @@
   void set_replicas(Time now, const std::vector<ReplicaId>& replicas);
 
   // Work asked of an adapter (0: of the base model itself).
-  void asked(Time now, Number adapter, double work);
+  void asked(Time now, ModelId adapter, double work);
   // Recomputes which replicas have which adapter; true if that has changed.
   bool update(Time now);
 
@@ -53,7 +53,7 @@
   };
   // By replica id; none for an unknown adapter. Valid until the next call that
   // is not const.
-  const std::vector<Loaded>& replicas_of(Number adapter) const;
+  const std::vector<Loaded>& replicas_of(ModelId adapter) const;
   // How many adapters a replica has loaded.
   std::size_t loaded_on(ReplicaId replica) const;
 
--- a/src/models/pool.hpp
+++ b/src/models/pool.hpp
@@ -20,10 +20,10 @@
 
 class Pool {
  public:
-  Pool(Number model, std::unique_ptr<core::Decider> decider, SlowStartController slow_start)
+  Pool(ModelId model, std::unique_ptr<core::Decider> decider, SlowStartController slow_start)
       : model_(model), decider_(std::move(decider)), slow_start_(std::move(slow_start)) {}
 
-  Number model() const { return model_; }
+  ModelId model() const { return model_; }
   core::Decider& decider() { return *decider_; }
   // Bounds what the pool takes over from other models.
   SlowStartController& slow_start() { return slow_start_; }
@@ -39,7 +39,7 @@
   std::vector<ReplicaId> ready_replicas() const;
 
  private:
-  Number model_;
+  ModelId model_;
   std::unique_ptr<core::Decider> decider_;
   SlowStartController slow_start_;
   bool touched_ = false;
--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -26,7 +26,7 @@
 void Pools::make_missing_pools(Time now) {
   const Catalogue& catalogue = options_.catalogue;
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
-    const auto number = static_cast<Number>(i + 1);
+    const auto number = static_cast<ModelId>(i + 1);
     if (pools_.contains(number)) continue;
     Settings settings = options_.settings;
     settings.seed = mix(settings.seed ^ (number * kSeedStep));
@@ -41,12 +41,12 @@
 
 void Pools::set_adapters() {
   const Catalogue& catalogue = options_.catalogue;
-  std::map<Number, std::vector<Placement::Adapter>> adapters_by_base;
+  std::map<ModelId, std::vector<Placement::Adapter>> adapters_by_base;
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
     const Model& model = catalogue.models[i];
     if (model.base.empty() || model.gone) continue;
     adapters_by_base[catalogue.find(model.base)].push_back(
-        {static_cast<Number>(i + 1), model.name, model.min_replicas, model.max_replicas});
+        {static_cast<ModelId>(i + 1), model.name, model.min_replicas, model.max_replicas});
   }
   const PlacementOptions options{.adapters_per_replica = catalogue.limits.adapters_per_replica};
   for (const auto& [base, adapters] : adapters_by_base) {
@@ -72,14 +72,14 @@
 }
 
 // The model itself unless it is an adapter; 0: the base model is gone.
-Number Pools::base_of(Number model) const {
+ModelId Pools::base_of(ModelId model) const {
   const std::string& base = options_.catalogue.at(model).base;
   return base.empty() ? model : options_.catalogue.find(base);
 }
 
-std::vector<Endpoint> Pools::members_of(Number model_number) const {
+std::vector<Endpoint> Pools::members_of(ModelId model_number) const {
   const Model& model = options_.catalogue.at(model_number);
-  const Number base = model.gone ? Number{0} : base_of(model_number);
+  const ModelId base = model.gone ? ModelId{0} : base_of(model_number);
   if (base == 0) return {};
   std::vector<Endpoint> members;
   const Serving& serving = options_.catalogue.at(base).serving;
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -26,7 +26,7 @@
 
 // Requests, unless said otherwise.
 struct Metrics {
-  std::map<When, std::uint64_t> fallbacks;  // that another model took, by reason
+  std::map<FallbackReason, std::uint64_t> fallbacks;  // that another model took, by reason
   // That no other model took, though there was one to ask:
   std::uint64_t forbidden = 0;    // the client accepts no other
   std::uint64_t no_budget = 0;    // too many were taken by other models lately
@@ -43,7 +43,7 @@
     Catalogue catalogue;
     std::function<ReplicaNames(ReplicaId)> names_of;
     // Makes the decider of a model's pool.
-    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, Number)> make;
+    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, ModelId)> make;
   };
   Pools(Options options, Time now);
 
@@ -62,7 +62,7 @@
 
   const Metrics& metrics() const { return metrics_; }
   // Ready replicas that serve a model now, by id.
-  std::vector<ReplicaId> replicas_of(Number model) const { return pools_.at(model)->ready_replicas(); }
+  std::vector<ReplicaId> replicas_of(ModelId model) const { return pools_.at(model)->ready_replicas(); }
   // Requests without a final answer, or with an attempt in flight.
   std::size_t open() const { return open_.size(); }
 
@@ -89,8 +89,8 @@
   // Pools and their replicas.
   void make_missing_pools(Time now);
   void set_adapters();
-  Number base_of(Number model) const;
-  std::vector<Endpoint> members_of(Number model) const;
+  ModelId base_of(ModelId model) const;
+  std::vector<Endpoint> members_of(ModelId model) const;
   void update_members(Time now, Pool& pool, EndpointUpdate scope);
   void update_placements(Time now);
   void mark_touched(Pool& pool);
@@ -98,8 +98,8 @@
                       const std::function<void(core::Decider&)>& notify);
 
   // Requests.
-  bool is_known(Number model) const { return model != 0 && model <= options_.catalogue.models.size(); }
-  [[nodiscard]] bool try_model(OpenRequest& open, Number model, Origin origin);
+  bool is_known(ModelId model) const { return model != 0 && model <= options_.catalogue.models.size(); }
+  [[nodiscard]] bool try_model(OpenRequest& open, ModelId model, Origin origin);
   [[nodiscard]] bool try_fallbacks(OpenRequest& open);
   void reject(RequestId id, const Request& request, Allowance::Rejection why);
 
@@ -111,9 +111,9 @@
   void on_set_timer(Pool& pool, Action action, std::vector<Action>& actions);
 
   Options options_;
-  std::map<Number, std::unique_ptr<Pool>> pools_;
-  std::map<Number, Placement> placements_;  // of adapters, by their base model
-  std::map<ReplicaId, Endpoint> replicas_;  // all that discovery lists, those that drain included
+  std::map<ModelId, std::unique_ptr<Pool>> pools_;
+  std::map<ModelId, Placement> placements_;  // of adapters, by their base model
+  std::map<ReplicaId, Endpoint> replicas_;   // all that discovery lists, those that drain included
   absl::flat_hash_map<ReplicaId, std::vector<Pool*>> sharing_;  // the pools that a replica is in
   core::OpenRequests<OpenRequest> open_;
   absl::flat_hash_map<std::uint32_t, Timer> timers_;
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -46,7 +46,7 @@
 }
 
 // Hands the request to a model's pool. False: the model cannot serve it, and its fallbacks are queued.
-bool Pools::try_model(OpenRequest& open, Number model_number, Origin origin) {
+bool Pools::try_model(OpenRequest& open, ModelId model_number, Origin origin) {
   const Catalogue& catalogue = options_.catalogue;
   const Model& model = catalogue.at(model_number);
   const double work = work_of(open.request);
@@ -54,14 +54,15 @@
   Pool& pool = *pools_.at(model_number);
   const bool too_long = exceeds_context(model, open.request) || exceeds_answer_limit(model, open.request);
   if (too_long || !pool.has_ready_replica()) {
-    open.fallbacks.push_fallbacks_of(catalogue, model_number, too_long ? When::too_long : When::missing);
+    open.fallbacks.push_fallbacks_of(catalogue, model_number,
+                                     too_long ? FallbackReason::too_long : FallbackReason::no_ready_replica);
     return false;
   }
   if (origin == Origin::own_model) {
     pool.slow_start().own(now_, work);
   } else if (!pool.slow_start().admits(now_, work)) {
     ++metrics_.not_borne;
-    open.fallbacks.push_fallbacks_of(catalogue, model_number, When::overloaded);
+    open.fallbacks.push_fallbacks_of(catalogue, model_number, FallbackReason::overloaded);
     return false;
   }
   open.pool = &pool;
@@ -85,7 +86,7 @@
     return false;
   }
   while (const std::optional<FallbackCandidate> candidate = open.fallbacks.pop()) {
-    if (open.request.due - now_ <= candidate->least_left) {
+    if (open.request.due - now_ <= candidate->min_remaining_time) {
       ++metrics_.no_time;
       continue;
     }
@@ -198,7 +199,7 @@
   const bool over_budget = action.allowance && action.allowance->rejected == Allowance::Rejection::over;
   if (!over_budget) pool.slow_start().rejected(now_);
   if (action.kind == ActionKind::reject) {
-    const When why = over_budget ? When::over_budget : When::overloaded;
+    const FallbackReason why = over_budget ? FallbackReason::over_budget : FallbackReason::overloaded;
     open->fallbacks.push_fallbacks_of(options_.catalogue, pool.model(), why);
     // An attempt in flight is ended before another one begins.
     const bool was_in_flight = open->attempt_in_flight;
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 struct FallbackName {
-  models::When reason;
+  models::FallbackReason reason;
   std::string_view name;
 };
 
@@ -49,10 +49,10 @@
 }
 
 void print_model_counters(const models::Pools& pools, std::ostream& out) {
-  static constexpr FallbackName reasons[] = {{models::When::missing, "missing"},
-                                             {models::When::overloaded, "overloaded"},
-                                             {models::When::over_budget, "over_budget"},
-                                             {models::When::too_long, "too_long"}};
+  static constexpr FallbackName reasons[] = {{models::FallbackReason::no_ready_replica, "missing"},
+                                             {models::FallbackReason::overloaded, "overloaded"},
+                                             {models::FallbackReason::over_budget, "over_budget"},
+                                             {models::FallbackReason::too_long, "too_long"}};
   const auto& metrics = pools.metrics();
   for (const auto& [reason, name] : reasons) {
     const auto found = metrics.fallbacks.find(reason);
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -14,16 +14,16 @@
 using Json = nlohmann::ordered_json;
 
 struct ReasonName {
-  models::When reason;
+  models::FallbackReason reason;
   std::string_view name;
 };
 
 // The names of the reasons whose bits are set.
 Json reasons_json(std::uint8_t reasons) {
-  static constexpr ReasonName names[] = {{models::When::missing, "missing"},
-                                         {models::When::overloaded, "overloaded"},
-                                         {models::When::over_budget, "over-budget"},
-                                         {models::When::too_long, "too-long"}};
+  static constexpr ReasonName names[] = {{models::FallbackReason::no_ready_replica, "missing"},
+                                         {models::FallbackReason::overloaded, "overloaded"},
+                                         {models::FallbackReason::over_budget, "over-budget"},
+                                         {models::FallbackReason::too_long, "too-long"}};
   Json json = Json::array();
   for (const auto& [reason, name] : names) {
     if ((reasons & static_cast<std::uint8_t>(reason)) != 0) json.push_back(name);
@@ -34,9 +34,9 @@
 Json fallbacks_json(const models::Model& model) {
   Json json = Json::array();
   for (const auto& fallback : model.fallbacks) {
-    json.push_back({{"to", fallback.to},
-                    {"when", reasons_json(fallback.when)},
-                    {"time_left_ms", fallback.least_left / milliseconds(1)}});
+    json.push_back({{"to", fallback.target},
+                    {"when", reasons_json(fallback.reasons)},
+                    {"time_left_ms", fallback.min_remaining_time / milliseconds(1)}});
   }
   return json;
 }
@@ -63,7 +63,7 @@
 int check_models(const std::string& path) {
   const config::OperatorFile file = config::read_operator_file(path);
   for (const auto& model : file.catalogue.models) print_line(model_json(model));
-  for (const auto& alias : file.catalogue.aliases) print_line({{"alias", alias.name}, {"to", alias.to}});
+  for (const auto& alias : file.catalogue.aliases) print_line({{"alias", alias.name}, {"to", alias.target}});
   for (const auto& budget : file.budgets.budgets) print_line(budget_json(budget));
   return 0;
 }
--- a/tests/models/catalogue.cpp
+++ b/tests/models/catalogue.cpp
@@ -20,19 +20,19 @@
 
 std::string faults(const Catalogue& c) {
   std::string all;
-  for (const auto& f : faults_of(c)) all += std::to_string(f.line) + " " + f.text + "\n";
+  for (const auto& f : validate(c)) all += std::to_string(f.line) + " " + f.text + "\n";
   return all;
 }
 
-constexpr auto kMissing = static_cast<std::uint8_t>(When::missing),
-               kLong = static_cast<std::uint8_t>(When::too_long);
+constexpr auto kMissing = static_cast<std::uint8_t>(FallbackReason::no_ready_replica),
+               kLong = static_cast<std::uint8_t>(FallbackReason::too_long);
 
-Placement::Adapter adapter(Number number, const std::string& name, std::size_t least = 1,
+Placement::Adapter adapter(ModelId number, const std::string& name, std::size_t least = 1,
                            std::size_t most = 1000) {
   return {number, name, least, most};
 }
 
-std::set<ReplicaId> replicas_of(const Placement& p, Number number) {
+std::set<ReplicaId> replicas_of(const Placement& p, ModelId number) {
   std::set<ReplicaId> all;
   for (const auto& l : p.replicas_of(number)) all.insert(l.replica);
   return all;
@@ -90,11 +90,11 @@
     "agree") {
   REQUIRE(rc::check("placement", [] {
     const auto replicas = *rc::gen::inRange<ReplicaId>(1, 40);
-    const auto adapters = *rc::gen::inRange<Number>(1, 12);
+    const auto adapters = *rc::gen::inRange<ModelId>(1, 12);
     const auto on_box = *rc::gen::inRange<std::size_t>(1, 5);
     Placement one({.adapters_per_replica = on_box}), two({.adapters_per_replica = on_box});
     std::vector<Placement::Adapter> list;
-    for (Number a = 1; a <= adapters; ++a)
+    for (ModelId a = 1; a <= adapters; ++a)
       list.push_back(adapter(a, "adapter-" + std::to_string(a), 1 + a % 3));
     std::vector<ReplicaId> ids;
     for (ReplicaId id = 1; id <= replicas; ++id) ids.push_back(id * 7919);
@@ -140,7 +140,7 @@
 TEST_CASE("a replica that goes moves only what it had") {
   Placement p({.adapters_per_replica = 4});
   std::vector<Placement::Adapter> list;
-  for (Number a = 1; a <= 8; ++a) list.push_back(adapter(a, "adapter-" + std::to_string(a), 2));
+  for (ModelId a = 1; a <= 8; ++a) list.push_back(adapter(a, "adapter-" + std::to_string(a), 2));
   p.set_adapters(list);
   std::vector<ReplicaId> ids;
   for (ReplicaId id = 1; id <= 20; ++id) ids.push_back(id);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -35,9 +35,10 @@
   return m;
 }
 
-constexpr auto kAlways =
-    static_cast<std::uint8_t>(When::missing) | static_cast<std::uint8_t>(When::overloaded) |
-    static_cast<std::uint8_t>(When::over_budget) | static_cast<std::uint8_t>(When::too_long);
+constexpr auto kAlways = static_cast<std::uint8_t>(FallbackReason::no_ready_replica) |
+                         static_cast<std::uint8_t>(FallbackReason::overloaded) |
+                         static_cast<std::uint8_t>(FallbackReason::over_budget) |
+                         static_cast<std::uint8_t>(FallbackReason::too_long);
 
 Catalogue two_models() {
   Catalogue c;
@@ -63,7 +64,7 @@
   return b;
 }
 
-Request request(Number number, double prompt = 100, double most = 100) {
+Request request(ModelId number, double prompt = 100, double most = 100) {
   Request r;
   r.model = number, r.prompt_tokens = prompt, r.max_tokens = most;
   return r;
@@ -126,7 +127,7 @@
   REQUIRE(world.answers[rejected].rejected);
   CHECK(world.answers[rejected].rejected->rejected == Allowance::Rejection::no_replica);
   CHECK(world.answers[rejected].retry_after > 0);
-  CHECK(world.pools->metrics().fallbacks.at(When::missing) == 1);
+  CHECK(world.pools->metrics().fallbacks.at(FallbackReason::no_ready_replica) == 1);
   CHECK(world.pools->metrics().forbidden == 1);
 }
 
@@ -175,7 +176,7 @@
     if (replica.names.model == "L") replica.faults = Faults{.full = 700, .rejected = 200};
   }
   world.start();
-  for (int i = 0; i < 4000; ++i) world.ask(request(static_cast<Number>(1 + i % 3))), world.run(3000);
+  for (int i = 0; i < 4000; ++i) world.ask(request(static_cast<ModelId>(1 + i % 3))), world.run(3000);
   world.run(20'000'000);
   CHECK(world.twice == 0);
   CHECK(world.too_many == 0);
@@ -287,7 +288,7 @@
   c.models = {model("large", {"L"}), model("large-triage", {})};
   c.models[1].base = "large", c.models[1].serving = {}, c.models[1].loading = 8'000'000;
   c.models[1].min_replicas = 2, c.models[1].max_replicas = 4;
-  REQUIRE(faults_of(c).empty());
+  REQUIRE(validate(c).empty());
   World world(settings(), c, {}, nullptr, 1);
   for (int i = 0; i < 8; ++i) world.add_replica("l-" + std::to_string(i), "L");
   world.start();
@@ -389,7 +390,7 @@
   std::uint64_t next = 0;
   int kills = 0;
   for (int i = 0; i < 100'000; ++i) {
-    Request r = request(static_cast<Number>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
+    Request r = request(static_cast<ModelId>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
     r.tenant = static_cast<std::uint16_t>(i % 3);
     world.ask(r);
     world.run(2000);
@@ -428,7 +429,7 @@
   world.start();
   std::uint64_t next = 0;
   for (int i = 0; i < 100'000; ++i) {
-    Request r = request(static_cast<Number>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
+    Request r = request(static_cast<ModelId>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
     r.tenant = static_cast<std::uint16_t>(i % 3), r.cls = static_cast<std::uint8_t>(i % 2);
     world.ask(r);
     world.run(2000);
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -67,7 +67,7 @@
     options.settings = settings_;
     options.catalogue = catalogue_;
     options.names_of = [this](ReplicaId id) { return replicas.at(id - 1).names; };
-    options.make = [this](const Settings& s, Time now, models::Number) -> std::unique_ptr<core::Decider> {
+    options.make = [this](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
       return std::make_unique<budgets::AdmissionController>(core::make_routing_policy(s, now),
                                                             *quota_service);
     };
