--- a/bench/budgets.cpp
+++ b/bench/budgets.cpp
@@ -132,17 +132,17 @@
   for (std::size_t i = 0; i < models; ++i) {
     models::Model m;
     m.name = "m" + std::to_string(i);
-    m.serving.models = {m.name};
+    m.replica_selector.models = {m.name};
     catalogue.models.push_back(m);
   }
   budgets::QuotaService quota_service(limits(1));
   models::Pools::Options options;
   options.settings = settings();
   options.catalogue = catalogue;
-  options.names_of = [&](ReplicaId id) {
-    return models::ReplicaNames{"", "m" + std::to_string((id - 1) / 12), 0};
+  options.identity_of = [&](ReplicaId id) {
+    return models::ReplicaIdentity{"", "m" + std::to_string((id - 1) / 12), 0};
   };
-  options.make = [&](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
+  options.make_decider = [&](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
     return std::make_unique<budgets::AdmissionController>(core::make_routing_policy(s, now), quota_service);
   };
   const double before = bytes_held();
--- a/src/config/budgets_section.cpp
+++ b/src/config/budgets_section.cpp
@@ -12,7 +12,7 @@
 // Whether the catalogue has a model of that name, not just one that takes any name.
 bool has_model(const models::Catalogue& catalogue, const std::string& name) {
   const auto number = catalogue.find(name);
-  return number != 0 && !catalogue.at(number).any_name;
+  return number != 0 && !catalogue.at(number).accepts_any_name;
 }
 
 // `names` has those of the budgets before this one, and gets this one's.
--- a/src/config/models_section.cpp
+++ b/src/config/models_section.cpp
@@ -54,22 +54,22 @@
 
 void read_serving_replicas(const toml::table* table, models::Model& model, Errors& errors) {
   Section section(table, "model.boxes", errors);
-  section.list("models", model.serving.models);
-  section.list("uids", model.serving.uids);
-  section.numbers("groups", model.serving.groups);
+  section.list("models", model.replica_selector.models);
+  section.list("uids", model.replica_selector.uids);
+  section.numbers("groups", model.replica_selector.pod_groups);
 }
 
 void read_model(const toml::table* table, models::Model& model, Errors& errors) {
   Section section(table, "model", errors);
   model.line = section.line();
   section.text("name", model.name);
-  section.text("base", model.base);
-  section.flag("any_name", model.any_name);
-  section.number("context", model.context, 0, 1e9);
-  section.number("most_answer", model.most_answer, 0, 1e9);
+  section.text("base", model.base_model);
+  section.flag("any_name", model.accepts_any_name);
+  section.number("context", model.context_tokens, 0, 1e9);
+  section.number("most_answer", model.max_answer_tokens, 0, 1e9);
   double loading_s = 0;
   section.number("loading_s", loading_s, 0, 3600);
-  model.loading = static_cast<Time>(1e6 * loading_s);
+  model.load_time = static_cast<Time>(1e6 * loading_s);
   section.count("least_boxes", model.min_replicas, 1, 100'000);
   section.count("most_boxes", model.max_replicas, 1, 1'000'000);
   read_serving_replicas(section.table("boxes"), model, errors);
@@ -81,11 +81,11 @@
 
 void read_limits(const toml::table* table, models::Catalogue& catalogue, Errors& errors) {
   Section section(table, "models", errors);
-  section.count("adapters_on_box", catalogue.limits.adapters_per_replica, 1, 10'000);
-  section.number("fallback_part", catalogue.limits.fallback_part, 0, 1);
+  section.count("adapters_on_box", catalogue.limits.max_adapters_per_replica, 1, 10'000);
+  section.number("fallback_part", catalogue.limits.fallback_fraction, 0, 1);
   section.number("fallback_burst", catalogue.limits.fallback_burst, 0, 1e6);
-  section.number("first_part", catalogue.limits.first_part, 0.001, 1);
-  section.number("growth_per_s", catalogue.limits.growth_per_s, 0, 100);
+  section.number("first_part", catalogue.limits.initial_fallback_fraction, 0.001, 1);
+  section.number("growth_per_s", catalogue.limits.fallback_growth_per_s, 0, 100);
 }
 
 void read_alias(const toml::table* table, models::Catalogue& catalogue, Errors& errors) {
--- a/src/models/catalogue.cpp
+++ b/src/models/catalogue.cpp
@@ -67,7 +67,7 @@
 
   void check_any_name() {
     const auto count = std::count_if(catalogue_.models.begin(), catalogue_.models.end(),
-                                     [](const Model& model) { return model.any_name; });
+                                     [](const Model& model) { return model.accepts_any_name; });
     if (count > 1) {
       add(catalogue_.models.back().line, "model.any_name: only one can take what no other is called");
     }
@@ -75,26 +75,26 @@
 
   void check_model(const Model& model) {
     const std::string key = "model." + model.name;
-    if (model.base.empty()) {
-      if (model.serving.empty()) add(model.line, key + ".boxes: nobody serves it");
+    if (model.base_model.empty()) {
+      if (model.replica_selector.empty()) add(model.line, key + ".boxes: nobody serves it");
     } else {
       check_adapter(model, key);
     }
     if (model.min_replicas > model.max_replicas) add(model.line, key + ".least_boxes: more than most_boxes");
-    if (model.context > 0 && model.most_answer > model.context) {
+    if (model.context_tokens > 0 && model.max_answer_tokens > model.context_tokens) {
       add(model.line, key + ".most_answer: more than the context");
     }
     for (const auto& fallback : model.fallbacks) check_fallback(model, fallback);
   }
 
   void check_adapter(const Model& model, const std::string& key) {
-    const Model* base = find(model.base);
+    const Model* base = find(model.base_model);
     if (base == nullptr) {
-      add(model.line, key + ".base: no model is called '" + model.base + "'");
-    } else if (!base->base.empty()) {
-      add(model.line, key + ".base: '" + model.base + "' is an adapter itself");
+      add(model.line, key + ".base: no model is called '" + model.base_model + "'");
+    } else if (!base->base_model.empty()) {
+      add(model.line, key + ".base: '" + model.base_model + "' is an adapter itself");
     }
-    if (!model.serving.empty()) {
+    if (!model.replica_selector.empty()) {
       add(model.line, key + ".boxes: an adapter is served by its base model's boxes");
     }
   }
@@ -107,13 +107,14 @@
     if (to == nullptr) return add(fallback.line, key + ": no model is called so");
     if (to == &model) return add(fallback.line, key + ": a model cannot take its own place");
     if (fallback.reasons == 0) add(fallback.line, key + ".when: never");
-    if (to->any_name) {
+    if (to->accepts_any_name) {
       add(fallback.line, key + ": its boxes would hear the name of '" + model.name + "'");
     }
-    const bool smaller = to->context > 0 && (model.context <= 0 || to->context < model.context);
+    const bool smaller =
+        to->context_tokens > 0 && (model.context_tokens <= 0 || to->context_tokens < model.context_tokens);
     const bool only_longer = fallback.reasons == static_cast<std::uint8_t>(FallbackReason::too_long);
     if (smaller) add(fallback.line, key + ": its context is smaller");
-    if (only_longer && !smaller && to->context > 0 && to->context == model.context) {
+    if (only_longer && !smaller && to->context_tokens > 0 && to->context_tokens == model.context_tokens) {
       add(fallback.line, key + ".when: too-long, and its context is no larger");
     }
   }
@@ -151,10 +152,10 @@
     if (alias.name == name) name = alias.target;
   }
   for (std::size_t i = 0; i < models.size(); ++i) {
-    if (models[i].name == name && !models[i].gone) return static_cast<ModelId>(i + 1);
+    if (models[i].name == name && !models[i].removed) return static_cast<ModelId>(i + 1);
   }
   const auto any = std::find_if(models.begin(), models.end(),
-                                [](const Model& model) { return model.any_name && !model.gone; });
+                                [](const Model& model) { return model.accepts_any_name && !model.removed; });
   return any == models.end() ? 0 : static_cast<ModelId>(any - models.begin() + 1);
 }
 
@@ -164,7 +165,7 @@
   return all;
 }
 
-Catalogue renumbered(const Catalogue& old, const Catalogue& fresh) {
+Catalogue with_stable_ids(const Catalogue& old, const Catalogue& fresh) {
   Catalogue result = fresh;
   result.models.clear();
   const auto find_model = [](const Catalogue& catalogue, const std::string& name) {
@@ -175,7 +176,7 @@
     const auto found = find_model(fresh, old_model.name);
     const bool gone = found == fresh.models.end();
     result.models.push_back(gone ? old_model : *found);
-    result.models.back().gone = gone;
+    result.models.back().removed = gone;
   }
   for (const auto& model : fresh.models) {
     if (find_model(old, model.name) == old.models.end()) result.models.push_back(model);
@@ -185,9 +186,9 @@
 
 std::vector<CatalogueError> validate(const Catalogue& catalogue) { return Validator(catalogue).run(); }
 
-bool serves(const Serving& serving, const ReplicaNames& replica) {
+bool serves(const ReplicaSelector& serving, const ReplicaIdentity& replica) {
   return holds(serving.models, std::string("*")) || holds(serving.models, replica.model) ||
-         holds(serving.uids, replica.uid) || holds(serving.groups, replica.group);
+         holds(serving.uids, replica.uid) || holds(serving.pod_groups, replica.pod_group);
 }
 
 }  // namespace thornwick::models
--- a/src/models/catalogue.hpp
+++ b/src/models/catalogue.hpp
@@ -33,27 +33,27 @@
 
 // A replica serves a model if one of these lists names it: by discovery's `model` ("*": whatever it is),
 // `pod_group`, or its uid.
-struct Serving {
+struct ReplicaSelector {
   std::vector<std::string> models, uids;
-  std::vector<std::int64_t> groups;
-  bool empty() const { return models.empty() && uids.empty() && groups.empty(); }
-  bool operator==(const Serving&) const = default;
+  std::vector<std::int64_t> pod_groups;
+  bool empty() const { return models.empty() && uids.empty() && pod_groups.empty(); }
+  bool operator==(const ReplicaSelector&) const = default;
 };
 
 struct Model {
   std::string name;
-  std::string base;        // of an adapter; empty: a model of its own
-  Serving serving;         // of an adapter: none, its base model's replicas serve it
-  double context = 0;      // tokens of prompt and answer together; 0: not bounded here
-  double most_answer = 0;  // tokens; 0: not bounded here
+  std::string base_model;            // of an adapter; empty: a model of its own
+  ReplicaSelector replica_selector;  // of an adapter: none, its base model's replicas serve it
+  double context_tokens = 0;         // tokens of prompt and answer together; 0: not bounded here
+  double max_answer_tokens = 0;      // tokens; 0: not bounded here
   budgets::Price price;
   std::vector<Fallback> fallbacks;  // tried in this order
-  bool any_name =
-      false;         // takes what no other is called, and the replicas hear the name that the client used
-  Time loading = 0;  // of an adapter: until a replica that has to load it is warm for it
+  bool accepts_any_name =
+      false;           // takes what no other is called, and the replicas hear the name that the client used
+  Time load_time = 0;  // of an adapter: until a replica that has to load it is warm for it
   std::size_t min_replicas = 1, max_replicas = 1'000'000;  // of an adapter: that have it loaded
   std::uint32_t line = 0;
-  bool gone = false;  // it was in an earlier catalogue: what is open of it ends, nothing new begins
+  bool removed = false;  // it was in an earlier catalogue: what is open of it ends, nothing new begins
 };
 
 struct Alias {
@@ -62,11 +62,11 @@
 };
 
 struct Limits {
-  std::size_t adapters_per_replica = 4;  // loaded at once
-  double fallback_part = 0.2;            // of the requests that may go to another model, over time
-  double fallback_burst = 10;            // requests beyond that
-  double first_part = 0.1;               // of what a pool serves of its own: fallback work it gets at first
-  double growth_per_s = 1.0;             // part by which that grows each second while the pool bears it
+  std::size_t max_adapters_per_replica = 4;  // loaded at once
+  double fallback_fraction = 0.2;            // of the requests that may go to another model, over time
+  double fallback_burst = 10;                // requests beyond that
+  double initial_fallback_fraction = 0.1;  // of what a pool serves of its own: fallback work it gets at first
+  double fallback_growth_per_s = 1.0;      // part by which that grows each second while the pool bears it
 };
 
 struct Catalogue {
@@ -87,7 +87,7 @@
 
 // The new catalogue with the old one's numbers: what stays keeps its own, what is gone keeps its place, what
 // is new comes behind. So a number that is on its way means the same before and after.
-Catalogue renumbered(const Catalogue& old, const Catalogue& fresh);
+Catalogue with_stable_ids(const Catalogue& old, const Catalogue& fresh);
 
 struct CatalogueError {
   std::uint32_t line = 0;
@@ -98,10 +98,10 @@
 std::vector<CatalogueError> validate(const Catalogue& catalogue);
 
 // What discovery tells of a replica beyond its listing.
-struct ReplicaNames {
+struct ReplicaIdentity {
   std::string uid, model;
-  std::int64_t group = 0;
+  std::int64_t pod_group = 0;
 };
-bool serves(const Serving& serving, const ReplicaNames& replica);
+bool serves(const ReplicaSelector& serving, const ReplicaIdentity& replica);
 
 }  // namespace thornwick::models
--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -31,8 +31,8 @@
     Settings settings = options_.settings;
     settings.seed = mix(settings.seed ^ (number * kSeedStep));
     // A replica that has to load an adapter is cold meanwhile, whatever it is otherwise.
-    settings.warm_up = std::max(settings.warm_up, catalogue.models[i].loading);
-    auto pool = std::make_unique<Pool>(number, options_.make(settings, now, number),
+    settings.warm_up = std::max(settings.warm_up, catalogue.models[i].load_time);
+    auto pool = std::make_unique<Pool>(number, options_.make_decider(settings, now, number),
                                        SlowStartController(catalogue.limits, settings.warm_up));
     mark_touched(*pool);
     pools_[number] = std::move(pool);
@@ -44,11 +44,11 @@
   std::map<ModelId, std::vector<Placement::Adapter>> adapters_by_base;
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
     const Model& model = catalogue.models[i];
-    if (model.base.empty() || model.gone) continue;
-    adapters_by_base[catalogue.find(model.base)].push_back(
+    if (model.base_model.empty() || model.removed) continue;
+    adapters_by_base[catalogue.find(model.base_model)].push_back(
         {static_cast<ModelId>(i + 1), model.name, model.min_replicas, model.max_replicas});
   }
-  const PlacementOptions options{.adapters_per_replica = catalogue.limits.adapters_per_replica};
+  const PlacementOptions options{.adapters_per_replica = catalogue.limits.max_adapters_per_replica};
   for (const auto& [base, adapters] : adapters_by_base) {
     placements_.try_emplace(base, options).first->second.set_adapters(adapters);
   }
@@ -73,26 +73,26 @@
 
 // The model itself unless it is an adapter; 0: the base model is gone.
 ModelId Pools::base_of(ModelId model) const {
-  const std::string& base = options_.catalogue.at(model).base;
+  const std::string& base = options_.catalogue.at(model).base_model;
   return base.empty() ? model : options_.catalogue.find(base);
 }
 
 std::vector<Endpoint> Pools::members_of(ModelId model_number) const {
   const Model& model = options_.catalogue.at(model_number);
-  const ModelId base = model.gone ? ModelId{0} : base_of(model_number);
+  const ModelId base = model.removed ? ModelId{0} : base_of(model_number);
   if (base == 0) return {};
   std::vector<Endpoint> members;
-  const Serving& serving = options_.catalogue.at(base).serving;
+  const ReplicaSelector& serving = options_.catalogue.at(base).replica_selector;
   for (const auto& [id, listing] : replicas_) {
-    if (serves(serving, options_.names_of(id))) members.push_back(listing);
+    if (serves(serving, options_.identity_of(id))) members.push_back(listing);
   }
-  if (model.base.empty()) return members;
+  if (model.base_model.empty()) return members;
   const auto& loaded_replicas = placements_.at(base).replicas_of(model_number);
   std::erase_if(members, [&](Endpoint& listing) {
     const auto loaded = std::find_if(loaded_replicas.begin(), loaded_replicas.end(),
                                      [&](const auto& entry) { return entry.replica == listing.id; });
     if (loaded == loaded_replicas.end()) return true;
-    if (model.loading > 0) listing.started = std::max(listing.started, loaded->since);
+    if (model.load_time > 0) listing.started = std::max(listing.started, loaded->since);
     return false;
   });
   return members;
@@ -131,11 +131,11 @@
     }
   }
   for (auto& [base, placement] : placements_) {
-    const Serving& serving = options_.catalogue.at(base).serving;
+    const ReplicaSelector& serving = options_.catalogue.at(base).replica_selector;
     std::vector<ReplicaId> ready;
     for (const auto& [id, listing] : replicas_) {
       const bool is_ready = listing.state == EndpointState::ready;
-      if (is_ready && serves(serving, options_.names_of(id))) ready.push_back(id);
+      if (is_ready && serves(serving, options_.identity_of(id))) ready.push_back(id);
     }
     placement.set_replicas(now, ready);
     if (placement.update(now)) ++metrics_.placements;
@@ -150,7 +150,7 @@
     if (!placement.update(now)) continue;
     ++metrics_.placements;
     for (auto& [number, pool] : pools_) {
-      const bool is_adapter = !options_.catalogue.at(number).base.empty();
+      const bool is_adapter = !options_.catalogue.at(number).base_model.empty();
       if (is_adapter && base_of(number) == base) update_members(now, *pool, EndpointUpdate::delta);
     }
   }
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -41,13 +41,13 @@
   struct Options {
     Settings settings;  // of every pool's decider; each gets a seed of its own
     Catalogue catalogue;
-    std::function<ReplicaNames(ReplicaId)> names_of;
+    std::function<ReplicaIdentity(ReplicaId)> identity_of;
     // Makes the decider of a model's pool.
-    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, ModelId)> make;
+    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, ModelId)> make_decider;
   };
   Pools(Options options, Time now);
 
-  // Another catalogue with the old one's numbers (see renumbered). Open requests go on where they are.
+  // Another catalogue with the old one's numbers (see with_stable_ids). Open requests go on where they are.
   void change(Time now, const Catalogue& catalogue);
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override;
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -16,11 +16,11 @@
 double work_of(const Request& request) { return std::max(1.0, request.prompt_tokens + request.max_tokens); }
 
 bool exceeds_context(const Model& model, const Request& request) {
-  return model.context > 0 && work_of(request) > model.context;
+  return model.context_tokens > 0 && work_of(request) > model.context_tokens;
 }
 
 bool exceeds_answer_limit(const Model& model, const Request& request) {
-  return model.most_answer > 0 && request.max_tokens > model.most_answer;
+  return model.max_answer_tokens > 0 && request.max_tokens > model.max_answer_tokens;
 }
 
 }  // namespace
@@ -110,7 +110,7 @@
   if (is_known(request.model)) {
     const Model& model = options_.catalogue.at(request.model);
     allowance->what = model.name;
-    allowance->limit = model.context;
+    allowance->limit = model.context_tokens;
   }
   const Settings& settings = options_.settings;
   Time retry_after = 0;
--- a/src/models/slow_start_controller.cpp
+++ b/src/models/slow_start_controller.cpp
@@ -35,8 +35,9 @@
   own_per_s_ *= std::exp(-seconds / kRateWindowS);
   // It grows while it is used and borne; unused it goes back to where it began.
   if (now >= held_until_) {
-    const double growth = std::pow(1 + limits_.growth_per_s, std::min(1.0, seconds));
-    part_ = asked_ ? std::min(kMaxPart, part_ * growth) : std::max(limits_.first_part, part_ / growth);
+    const double growth = std::pow(1 + limits_.fallback_growth_per_s, std::min(1.0, seconds));
+    part_ = asked_ ? std::min(kMaxPart, part_ * growth)
+                   : std::max(limits_.initial_fallback_fraction, part_ / growth);
   }
   asked_ = false;
   const double warm = warm_part(now);
@@ -55,7 +56,7 @@
 
 void SlowStartController::rejected(Time now) {
   advance_to(now);
-  if (now >= held_until_) part_ = std::max(limits_.first_part / kMinPartDivisor, part_ / 2);
+  if (now >= held_until_) part_ = std::max(limits_.initial_fallback_fraction / kMinPartDivisor, part_ / 2);
   held_until_ = now + kHold;
   level_ = 0;
 }
--- a/src/models/slow_start_controller.hpp
+++ b/src/models/slow_start_controller.hpp
@@ -20,7 +20,7 @@
 class FallbackBudget {
  public:
   explicit FallbackBudget(const Limits& limits) : limits_(limits), saved_(limits.fallback_burst) {}
-  void request() { saved_ = std::min(limits_.fallback_burst, saved_ + limits_.fallback_part); }
+  void request() { saved_ = std::min(limits_.fallback_burst, saved_ + limits_.fallback_fraction); }
   bool spend() {
     if (saved_ < 1) return false;
     saved_ -= 1;
@@ -37,7 +37,7 @@
  public:
   // A replica is warm so long after its start.
   SlowStartController(const Limits& limits, Time warm_up)
-      : limits_(limits), warm_up_(warm_up), part_(limits.first_part) {}
+      : limits_(limits), warm_up_(warm_up), part_(limits.initial_fallback_fraction) {}
 
   void set_replicas(std::span<const Endpoint> ready) { replicas_.assign(ready.begin(), ready.end()); }
   // The pool got a request of its own model.
--- a/src/node/connection_options.cpp
+++ b/src/node/connection_options.cpp
@@ -32,7 +32,7 @@
 // The model's name in requests to replicas. Empty if the name that the client sent is forwarded.
 std::string upstream_model_name(const models::Catalogue& catalogue, std::uint16_t number) {
   const bool known = number > 0 && number <= catalogue.models.size();
-  if (known && catalogue.models[number - 1u].any_name) return {};
+  if (known && catalogue.models[number - 1u].accepts_any_name) return {};
   return catalogue.name_of(number);
 }
 
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -26,8 +26,8 @@
   models::Pools::Options options;
   options.settings = config.settings;
   options.catalogue = config.operator_file.catalogue;
-  options.names_of = [&endpoints](ReplicaId replica) { return replica_names(endpoints, replica); };
-  options.make = [&durable_state](const Settings& settings, Time created, models::ModelId) {
+  options.identity_of = [&endpoints](ReplicaId replica) { return replica_names(endpoints, replica); };
+  options.make_decider = [&durable_state](const Settings& settings, Time created, models::ModelId) {
     return build_policy(settings, created, durable_state);
   };
   return std::make_unique<models::Pools>(std::move(options), now);
--- a/src/node/endpoint_names.hpp
+++ b/src/node/endpoint_names.hpp
@@ -15,7 +15,7 @@
 }
 
 // What a catalogue matches replicas by. Empty where the replica is no longer known.
-inline models::ReplicaNames replica_names(const net::EndpointTable& endpoints, ReplicaId replica) {
+inline models::ReplicaIdentity replica_names(const net::EndpointTable& endpoints, ReplicaId replica) {
   const net::EndpointEntry* entry = endpoints.find(replica);
   if (entry == nullptr) return {};
   return {entry->uid, entry->model, entry->group};
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -43,13 +43,13 @@
 
 Json model_json(const models::Model& model) {
   const auto& price = model.price;
-  const auto& serving = model.serving;
+  const auto& serving = model.replica_selector;
   return {{"model", model.name},
-          {"base", model.base},
-          {"context", model.context},
-          {"most_answer", model.most_answer},
+          {"base", model.base_model},
+          {"context", model.context_tokens},
+          {"most_answer", model.max_answer_tokens},
           {"price", {{"prompt", price.prompt}, {"kept", price.cached}, {"made", price.generated}}},
-          {"boxes", {{"models", serving.models}, {"groups", serving.groups}, {"uids", serving.uids}}},
+          {"boxes", {{"models", serving.models}, {"groups", serving.pod_groups}, {"uids", serving.uids}}},
           {"fallbacks", fallbacks_json(model)}};
 }
 
--- a/tests/models/catalogue.cpp
+++ b/tests/models/catalogue.cpp
@@ -14,7 +14,7 @@
 
 Model plain(const std::string& name, double context = 1000) {
   Model m;
-  m.name = name, m.context = context, m.serving.models = {name};
+  m.name = name, m.context_tokens = context, m.replica_selector.models = {name};
   return m;
 }
 
@@ -46,8 +46,8 @@
   for (std::size_t i = 0; i < c.models.size(); ++i) c.models[i].line = static_cast<std::uint32_t>(10 + i);
   c.models[0].fallbacks = {
       {"b", kMissing, 0, 21}, {"x", kMissing, 0, 22}, {"a", kMissing, 0, 23}, {"c", kLong, 0, 24}};
-  c.models[3].base = "nobody", c.models[3].serving = {};
-  c.models[4].serving = {};
+  c.models[3].base_model = "nobody", c.models[3].replica_selector = {};
+  c.models[4].replica_selector = {};
   c.aliases = {{"b", "a", 30}, {"latest", "z", 31}};
   CHECK(faults(c) ==
         "12 model.a: there are two of this name\n"
@@ -75,14 +75,14 @@
   Catalogue old, fresh;
   old.models = {plain("a"), plain("b"), plain("c")};
   fresh.models = {plain("d"), plain("c"), plain("a", 2000)};
-  const Catalogue all = renumbered(old, fresh);
+  const Catalogue all = with_stable_ids(old, fresh);
   CHECK(all.find("a") == old.find("a"));
   CHECK(all.find("c") == old.find("c"));
   CHECK(all.find("b") == 0);
   CHECK(all.find("d") == 4);
-  CHECK(all.at(all.find("a")).context == 2000);
-  CHECK(all.at(2).gone);
-  CHECK(renumbered(all, old).find("b") == 2);
+  CHECK(all.at(all.find("a")).context_tokens == 2000);
+  CHECK(all.at(2).removed);
+  CHECK(with_stable_ids(all, old).find("b") == 2);
 }
 
 TEST_CASE(
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -29,8 +29,8 @@
 Model model(const std::string& name, std::vector<std::string> served_by) {
   Model m;
   m.name = name;
-  m.serving.models = std::move(served_by);
-  m.context = 32'000;
+  m.replica_selector.models = std::move(served_by);
+  m.context_tokens = 32'000;
   m.price = {1000, 250, 3000};
   return m;
 }
@@ -152,7 +152,7 @@
 
 TEST_CASE("a request longer than the context goes to a model that holds it, or is rejected with the reason") {
   Catalogue c = two_models();
-  c.models[1].context = 128'000;
+  c.models[1].context_tokens = 128'000;
   World world(settings(), c, {}, nullptr, 1);
   world.add_replica("b-1", "L"), world.add_replica("b-2", "S");
   world.start();
@@ -167,7 +167,7 @@
   Catalogue c = two_models();
   c.models.push_back(model("tiny", {"T"}));
   c.models[1].fallbacks = {{"tiny", kAlways, 0, 1}};
-  c.limits.fallback_part = 1, c.limits.first_part = 1;
+  c.limits.fallback_fraction = 1, c.limits.initial_fallback_fraction = 1;
   World world(settings(), c, {}, nullptr, 3);
   for (int i = 0; i < 9; ++i)
     world.add_replica("b-" + std::to_string(i), i % 3 == 0 ? "L" : i % 3 == 1 ? "S" : "T");
@@ -233,7 +233,7 @@
 
 TEST_CASE(
     "the pool that bears a fallback gets more of it, second by second, and less at once when it does not") {
-  SlowStartController bearing({.first_part = 0.1, .growth_per_s = 1}, 6'000'000);
+  SlowStartController bearing({.initial_fallback_fraction = 0.1, .fallback_growth_per_s = 1}, 6'000'000);
   const Endpoint warm{.id = 1}, other{.id = 2};
   const std::vector<Endpoint> replicas = {warm, other};
   bearing.set_replicas(replicas);
@@ -286,7 +286,7 @@
     "time") {
   Catalogue c;
   c.models = {model("large", {"L"}), model("large-triage", {})};
-  c.models[1].base = "large", c.models[1].serving = {}, c.models[1].loading = 8'000'000;
+  c.models[1].base_model = "large", c.models[1].replica_selector = {}, c.models[1].load_time = 8'000'000;
   c.models[1].min_replicas = 2, c.models[1].max_replicas = 4;
   REQUIRE(validate(c).empty());
   World world(settings(), c, {}, nullptr, 1);
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -27,7 +27,7 @@
 class World : core::Clock, core::UpstreamTransport, core::Discovery, core::PeerTransport {
  public:
   struct Replica {
-    models::ReplicaNames names;
+    models::ReplicaIdentity names;
     Endpoint listing;
     Units counted = 0;  // thousandths, by its own count and the stated rule
     std::uint64_t attempts = 0;
@@ -66,8 +66,9 @@
     models::Pools::Options options;
     options.settings = settings_;
     options.catalogue = catalogue_;
-    options.names_of = [this](ReplicaId id) { return replicas.at(id - 1).names; };
-    options.make = [this](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
+    options.identity_of = [this](ReplicaId id) { return replicas.at(id - 1).names; };
+    options.make_decider = [this](const Settings& s, Time now,
+                                  models::ModelId) -> std::unique_ptr<core::Decider> {
       return std::make_unique<budgets::AdmissionController>(core::make_routing_policy(s, now),
                                                             *quota_service);
     };
@@ -96,7 +97,7 @@
     core_->on_endpoints(scope, all);
   }
   void change(const models::Catalogue& fresh) {
-    catalogue_ = models::renumbered(catalogue_, fresh);
+    catalogue_ = models::with_stable_ids(catalogue_, fresh);
     pools->change(now_, catalogue_);
     quota_service->prices.clear();
     for (const auto& m : catalogue_.models) quota_service->prices.push_back(m.price);
