--- a/src/models/pools.cpp
+++ b/src/models/pools.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-void Pools::change(Time now, const Catalogue& catalogue) {
+void Pools::replace_catalogue(Time now, const Catalogue& catalogue) {
   now_ = now;
   options_.catalogue = catalogue;
   fallback_budget_ = FallbackBudget(catalogue.limits);
@@ -138,7 +138,7 @@
       if (is_ready && serves(serving, options_.identity_of(id))) ready.push_back(id);
     }
     placement.set_replicas(now, ready);
-    if (placement.update(now)) ++metrics_.placements;
+    if (placement.update(now)) ++metrics_.placement_changes;
   }
   for (auto& [number, pool] : pools_) update_members(now, *pool, scope);
 }
@@ -148,7 +148,7 @@
   placements_updated_at_ = now;
   for (auto& [base, placement] : placements_) {
     if (!placement.update(now)) continue;
-    ++metrics_.placements;
+    ++metrics_.placement_changes;
     for (auto& [number, pool] : pools_) {
       const bool is_adapter = !options_.catalogue.at(number).base_model.empty();
       if (is_adapter && base_of(number) == base) update_members(now, *pool, EndpointUpdate::delta);
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -28,12 +28,12 @@
 struct Metrics {
   std::map<FallbackReason, std::uint64_t> fallbacks;  // that another model took, by reason
   // That no other model took, though there was one to ask:
-  std::uint64_t forbidden = 0;    // the client accepts no other
-  std::uint64_t no_budget = 0;    // too many were taken by other models lately
-  std::uint64_t not_borne = 0;    // the other pool was cold, full, or had its share of foreign requests
-  std::uint64_t no_time = 0;      // the client waits for too short a time
-  std::uint64_t no_attempts = 0;  // no attempt was left
-  std::uint64_t placements = 0;   // changes of which replica has which adapter
+  std::uint64_t declined_by_client = 0;         // the client accepts no other
+  std::uint64_t fallback_budget_exhausted = 0;  // too many were taken by other models lately
+  std::uint64_t pool_refused = 0;       // the other pool was cold, full, or had its share of foreign requests
+  std::uint64_t too_little_time = 0;    // the client waits for too short a time
+  std::uint64_t no_attempts_left = 0;   // no attempt was left
+  std::uint64_t placement_changes = 0;  // changes of which replica has which adapter
 };
 
 class Pools final : public core::Decider {
@@ -48,7 +48,7 @@
   Pools(Options options, Time now);
 
   // Another catalogue with the old one's numbers (see with_stable_ids). Open requests go on where they are.
-  void change(Time now, const Catalogue& catalogue);
+  void replace_catalogue(Time now, const Catalogue& catalogue);
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override;
   void on_request(Time now, const Request& request) override;
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -61,7 +61,7 @@
   if (origin == Origin::own_model) {
     pool.slow_start().own(now_, work);
   } else if (!pool.slow_start().admits(now_, work)) {
-    ++metrics_.not_borne;
+    ++metrics_.pool_refused;
     open.fallbacks.push_fallbacks_of(catalogue, model_number, FallbackReason::overloaded);
     return false;
   }
@@ -78,20 +78,20 @@
 bool Pools::try_fallbacks(OpenRequest& open) {
   if (open.fallbacks.empty()) return false;
   if (open.request.no_fallback) {
-    ++metrics_.forbidden;
+    ++metrics_.declined_by_client;
     return false;
   }
   if (open.attempts.size() >= options_.settings.max_attempts) {
-    ++metrics_.no_attempts;
+    ++metrics_.no_attempts_left;
     return false;
   }
   while (const std::optional<FallbackCandidate> candidate = open.fallbacks.pop()) {
     if (open.request.due - now_ <= candidate->min_remaining_time) {
-      ++metrics_.no_time;
+      ++metrics_.too_little_time;
       continue;
     }
     if (!fallback_budget_.spend()) {
-      ++metrics_.no_budget;
+      ++metrics_.fallback_budget_exhausted;
       return false;
     }
     if (try_model(open, candidate->model, Origin::other_model)) {
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -58,9 +58,11 @@
     const auto found = metrics.fallbacks.find(reason);
     out << " fallback_" << name << "=" << (found == metrics.fallbacks.end() ? 0 : found->second);
   }
-  out << " fallback_forbidden=" << metrics.forbidden << " fallback_no_budget=" << metrics.no_budget
-      << " fallback_not_borne=" << metrics.not_borne << " fallback_no_time=" << metrics.no_time
-      << " fallback_no_attempts=" << metrics.no_attempts << " adapter_moves=" << metrics.placements;
+  out << " fallback_forbidden=" << metrics.declined_by_client
+      << " fallback_no_budget=" << metrics.fallback_budget_exhausted
+      << " fallback_not_borne=" << metrics.pool_refused << " fallback_no_time=" << metrics.too_little_time
+      << " fallback_no_attempts=" << metrics.no_attempts_left
+      << " adapter_moves=" << metrics.placement_changes;
 }
 
 }  // namespace thornwick::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -195,7 +195,7 @@
   if (pools_ == nullptr || config.operator_file.catalogue.empty()) return;
   config_.operator_file.catalogue =
       models::with_stable_ids(config_.operator_file.catalogue, config.operator_file.catalogue);
-  pools_->change(now, config_.operator_file.catalogue);
+  pools_->replace_catalogue(now, config_.operator_file.catalogue);
   logging::info("models") << "catalogue reloaded: " << config_.operator_file.catalogue.models.size()
                           << " models";
 }
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -128,7 +128,7 @@
   CHECK(world.answers[rejected].rejected->rejected == Allowance::Rejection::no_replica);
   CHECK(world.answers[rejected].retry_after > 0);
   CHECK(world.pools->metrics().fallbacks.at(FallbackReason::no_ready_replica) == 1);
-  CHECK(world.pools->metrics().forbidden == 1);
+  CHECK(world.pools->metrics().declined_by_client == 1);
 }
 
 // A cached list was once handed on as a full one: no module ever asked discovery, and drains were missed.
@@ -226,7 +226,7 @@
       INFO("seed " << seed << ", replica " << b << ": " << worst << " times what it can do");
       CHECK(worst <= 3);
     }
-    CHECK(world.pools->metrics().not_borne > 0);
+    CHECK(world.pools->metrics().pool_refused > 0);
     for (const auto& a : world.answers) CHECK(a.over);
   }
 }
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -98,7 +98,7 @@
   }
   void change(const models::Catalogue& fresh) {
     catalogue_ = models::with_stable_ids(catalogue_, fresh);
-    pools->change(now_, catalogue_);
+    pools->replace_catalogue(now_, catalogue_);
     quota_service->prices.clear();
     for (const auto& m : catalogue_.models) quota_service->prices.push_back(m.price);
   }
