--- a/bench/affinity.cpp
+++ b/bench/affinity.cpp
@@ -131,7 +131,7 @@
     request.prompt_tokens = 5000;
     request.prefix_tokens = 4000;
     request.max_tokens = 100;
-    const CacheHint cache_hint = affinity_table.recall(now, request);
+    const CacheHint cache_hint = affinity_table.find_hint(now, request);
     const ReplicaId replica =
         cache_hint.known ? cache_hint.replica : static_cast<ReplicaId>(1 + request.session % replicas);
     const auto was = affinity_table.on_answer_started(now, request, replica);
--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -16,7 +16,7 @@
   if (options.max_replicas == 0) throw std::invalid_argument("affinity table: no box allowed");
 }
 
-CacheHint AffinityTable::recall(Time now, const Request& request) {
+CacheHint AffinityTable::find_hint(Time now, const Request& request) {
   const auto [match, cached_size] = lookup_.find(request, whole_seconds(now));
   CacheHint hint;
   hint.cached_size = cached_size;
@@ -26,7 +26,7 @@
   hint.tokens = match.expected_tokens();
   hint.confidence = match.confidence;
   hint.known = true;
-  ++metrics_.recalled;
+  ++metrics_.hints;
   return hint;
 }
 
@@ -86,14 +86,14 @@
   Replica& replica = replicas_.at(*slot);
   replica.listed = true;
   replica.state = entry.state;
-  const bool started_later = entry.started > replica.started;
+  const bool started_later = entry.started > replica.started_at;
   // A restarted replica has an empty cache.
   if (known_slot && started_later) replicas_.invalidate_copies(*slot);
-  replica.started = std::max(replica.started, entry.started);
+  replica.started_at = std::max(replica.started_at, entry.started);
   if (!known_slot || started_later) journal_.save_replica(*slot);
 }
 
-void AffinityTable::restored(Time now) {
+void AffinityTable::finish_restore(Time now) {
   recorder_.advance_odometers(now);
   trust_.resume(table_.size());
 }
--- a/src/affinity/affinity_table.hpp
+++ b/src/affinity/affinity_table.hpp
@@ -43,7 +43,7 @@
 
   // The hint for the routing policy; `known` is false if there is none. Its tokens are the expected value:
   // tokens of the copy times the probability that the copy is still there.
-  CacheHint recall(Time now, const Request& request);
+  CacheHint find_hint(Time now, const Request& request);
 
   // The first token of the answer arrived, so the replica has read the prompt and holds a copy from now on.
   // Returns what was expected of its cache before that; the caller keeps it until the answer is complete.
@@ -63,7 +63,7 @@
   // ------------------------------------------------------------ across a stop
 
   // Every later change is offered to this journal, which is not owned; null: to none.
-  void keep_in(Journal* journal) { journal_.set_journal(journal); }
+  void set_journal(Journal* journal) { journal_.set_journal(journal); }
 
   // Restore stored entries before the first request, replicas first. False if the slot or the id is in use,
   // or the table is full. Copies of replicas that were not restored are not valid.
@@ -77,7 +77,7 @@
 
   // Call after the last restored entry: accounts for what happened while this router was down. A clock that
   // was set back counts as no time.
-  void restored(Time now);
+  void finish_restore(Time now);
 
   // ------------------------------------------------------------ for operators
 
@@ -86,7 +86,7 @@
   ReplicaRegistry& replicas() { return replicas_; }
   const ReplicaRegistry& replicas() const { return replicas_; }
   // False from the loss of the fleet's copies until every replica is trusted again.
-  bool trusted() const { return trust_.fleet_trusted(); }
+  bool fleet_trusted() const { return trust_.fleet_trusted(); }
 
  private:
   void on_endpoint(const Endpoint& entry);
--- a/src/affinity/copy_lookup.cpp
+++ b/src/affinity/copy_lookup.cpp
@@ -21,14 +21,14 @@
   if (copy.replica >= replicas_.slots()) return false;
   const Replica& replica = replicas_.at(copy.replica);
   // A time of use in the future was written before the clock was set back: the copy is not old.
-  const std::uint32_t idle_s = now_s > copy.seen ? now_s - copy.seen : 0;
-  return replica.used && replica.epoch == copy.epoch && idle_s <= lifetime_ / 1'000'000;
+  const std::uint32_t idle_s = now_s > copy.last_used_s ? now_s - copy.last_used_s : 0;
+  return replica.in_use && replica.epoch == copy.epoch && idle_s <= lifetime_ / 1'000'000;
 }
 
 double CopyLookup::age_in_tokens(const Copy& copy) const {
   // Both readings wrap. Their difference is right as long as copies age out before their replica has read 137
   // billion tokens.
-  const std::uint32_t reading = odometer_reading(replicas_.at(copy.replica).sent);
+  const std::uint32_t reading = odometer_reading(replicas_.at(copy.replica).sent_tokens);
   const auto units = static_cast<std::int32_t>(reading - copy.odometer);
   return kTokensPerOdometerUnit * std::max(0, units);
 }
--- a/src/affinity/copy_recorder.cpp
+++ b/src/affinity/copy_recorder.cpp
@@ -18,8 +18,8 @@
 Copy CopyRecorder::make_copy(Time now, Slot slot, double tokens) const {
   const Replica& replica = replicas_.at(slot);
   return {.tokens = whole_tokens(tokens),
-          .odometer = odometer_reading(replica.sent),
-          .seen = whole_seconds(now),
+          .odometer = odometer_reading(replica.sent_tokens),
+          .last_used_s = whole_seconds(now),
           .replica = slot,
           .epoch = replica.epoch};
 }
@@ -52,11 +52,12 @@
 
 void CopyRecorder::record_tokens(Time now, Slot slot, double tokens) {
   Replica& replica = replicas_.at(slot);
-  const double gap = std::max(1.0, static_cast<double>(now - replica.sent_at));
-  const double old_weight = replica.sent_at == 0 ? 0 : std::exp(-gap / kRateWindow);
-  replica.pace = replica.pace * old_weight + (1 - old_weight) * tokens / gap * kMicrosecondsPerSecond;
-  replica.sent += tokens;
-  replica.sent_at = now;
+  const double gap = std::max(1.0, static_cast<double>(now - replica.last_sent_at));
+  const double old_weight = replica.last_sent_at == 0 ? 0 : std::exp(-gap / kRateWindow);
+  replica.sent_tokens_per_s =
+      replica.sent_tokens_per_s * old_weight + (1 - old_weight) * tokens / gap * kMicrosecondsPerSecond;
+  replica.sent_tokens += tokens;
+  replica.last_sent_at = now;
 }
 
 void CopyRecorder::count_answer(Slot slot) {
@@ -96,9 +97,9 @@
   for (const Copy& copy : copies.all()) {
     if (copy.replica >= replicas_.slots()) continue;
     Replica& replica = replicas_.at(copy.replica);
-    const auto units_ahead = static_cast<std::int32_t>(copy.odometer - odometer_reading(replica.sent));
-    if (replica.used && replica.epoch == copy.epoch && units_ahead > 0)
-      replica.sent += kTokensPerOdometerUnit * units_ahead;
+    const auto units_ahead = static_cast<std::int32_t>(copy.odometer - odometer_reading(replica.sent_tokens));
+    if (replica.in_use && replica.epoch == copy.epoch && units_ahead > 0)
+      replica.sent_tokens += kTokensPerOdometerUnit * units_ahead;
   }
 }
 
@@ -119,9 +120,9 @@
 void CopyRecorder::advance_odometers(Time now) {
   replicas_.for_each([&](Slot, Replica& replica) {
     const double stopped_s =
-        std::max(0.0, static_cast<double>(now - replica.sent_at)) / kMicrosecondsPerSecond;
-    replica.sent += replica.pace * stopped_s;
-    replica.sent_at = now;
+        std::max(0.0, static_cast<double>(now - replica.last_sent_at)) / kMicrosecondsPerSecond;
+    replica.sent_tokens += replica.sent_tokens_per_s * stopped_s;
+    replica.last_sent_at = now;
   });
 }
 
--- a/src/affinity/entry_table.hpp
+++ b/src/affinity/entry_table.hpp
@@ -22,8 +22,8 @@
 struct Copy {
   std::uint32_t tokens = 0;  // of the prompt
   std::uint32_t odometer =
-      0;                   // reading of its replica's odometer at the last use, in units of 64 tokens; wraps
-  std::uint32_t seen = 0;  // time of the last use, in seconds of the caller's clock
+      0;  // reading of its replica's odometer at the last use, in units of 64 tokens; wraps
+  std::uint32_t last_used_s = 0;  // time of the last use, in seconds of the caller's clock
   Slot replica = 0;
   Epoch epoch = 0;  // of the slot when the copy was made
 };
@@ -37,11 +37,11 @@
 // At most N copies, each on another replica.
 template <std::size_t N>
 struct Copies {
-  std::array<Copy, N> at{};
-  std::uint8_t count = 0;  // copies in use, from the front of `at`
+  std::array<Copy, N> items{};
+  std::uint8_t count = 0;  // copies in use, from the front of `items`
 
-  std::span<Copy> all() { return {at.data(), count}; }
-  std::span<const Copy> all() const { return {at.data(), count}; }
+  std::span<Copy> all() { return {items.data(), count}; }
+  std::span<const Copy> all() const { return {items.data(), count}; }
   // Null if there is no copy on this replica from this epoch.
   Copy* find(Slot replica, Epoch epoch) {
     for (Copy& copy : all()) {
@@ -52,13 +52,13 @@
   // The entry to write a copy on this replica to: the replica's own, an unused one, or the least recently
   // used.
   Copy& entry_for(Slot replica) {
-    Copy* oldest = at.data();
+    Copy* oldest = items.data();
     for (Copy& copy : all()) {
       if (copy.replica == replica) return copy;
-      if (copy.seen < oldest->seen) oldest = &copy;
+      if (copy.last_used_s < oldest->last_used_s) oldest = &copy;
     }
     if (count == N) return *oldest;
-    Copy& unused = at[count];
+    Copy& unused = items[count];
     ++count;
     return unused;
   }
--- a/src/affinity/journal.hpp
+++ b/src/affinity/journal.hpp
@@ -14,11 +14,11 @@
 class Journal {
  public:
   virtual ~Journal() = default;
-  virtual bool session(std::uint64_t key, const Session& session) = 0;
-  virtual bool prefix(std::uint64_t key, const Prefix& prefix) = 0;
-  virtual bool session_gone(std::uint64_t key) = 0;
-  virtual bool prefix_gone(std::uint64_t key) = 0;
-  virtual bool replica(Slot slot, const Replica& replica) = 0;
+  virtual bool save_session(std::uint64_t key, const Session& session) = 0;
+  virtual bool save_prefix(std::uint64_t key, const Prefix& prefix) = 0;
+  virtual bool remove_session(std::uint64_t key) = 0;
+  virtual bool remove_prefix(std::uint64_t key) = 0;
+  virtual bool save_replica(Slot slot, const Replica& replica) = 0;
 };
 
 // Passes changes to the journal, if there is one, and marks as `unsaved` what the journal did not accept.
@@ -31,19 +31,21 @@
   void set_journal(Journal* journal) { journal_ = journal; }
 
   void save(std::uint64_t key, Session& session) {
-    session.unsaved = journal_ != nullptr && !journal_->session(key, session);
+    session.unsaved = journal_ != nullptr && !journal_->save_session(key, session);
   }
   void save(std::uint64_t key, Prefix& prefix) {
-    prefix.unsaved = journal_ != nullptr && !journal_->prefix(key, prefix);
+    prefix.unsaved = journal_ != nullptr && !journal_->save_prefix(key, prefix);
   }
   void save_replica(Slot slot) {
     Replica& replica = replicas_.at(slot);
-    replica.unsaved = journal_ != nullptr && !journal_->replica(slot, replica);
+    replica.unsaved = journal_ != nullptr && !journal_->save_replica(slot, replica);
   }
 
   // False if the journal did not accept the removal. The entry's type selects the journal's table.
-  bool erase(std::uint64_t key, const Session&) { return journal_ == nullptr || journal_->session_gone(key); }
-  bool erase(std::uint64_t key, const Prefix&) { return journal_ == nullptr || journal_->prefix_gone(key); }
+  bool erase(std::uint64_t key, const Session&) {
+    return journal_ == nullptr || journal_->remove_session(key);
+  }
+  bool erase(std::uint64_t key, const Prefix&) { return journal_ == nullptr || journal_->remove_prefix(key); }
 
  private:
   ReplicaRegistry& replicas_;
--- a/src/affinity/replica_registry.cpp
+++ b/src/affinity/replica_registry.cpp
@@ -12,9 +12,9 @@
 Replica ReplicaRegistry::make_replica(ReplicaId id, Epoch epoch) const {
   Replica replica;
   replica.id = id;
-  replica.used = true;
+  replica.in_use = true;
   replica.epoch = epoch;
-  replica.loss = LossTest(answers_per_false_alarm_);
+  replica.loss_test = LossTest(answers_per_false_alarm_);
   return replica;
 }
 
@@ -41,22 +41,22 @@
 }
 
 bool ReplicaRegistry::restore(Slot slot, const Replica& replica) {
-  if (slot >= max_replicas_ || (replica.used && by_id_.contains(replica.id))) return false;
+  if (slot >= max_replicas_ || (replica.in_use && by_id_.contains(replica.id))) return false;
   while (replicas_.size() <= slot) {
     free_.push_back(static_cast<Slot>(replicas_.size()));
     replicas_.emplace_back();
   }
-  if (replicas_[slot].used) return false;
-  if (!replica.used) {
+  if (replicas_[slot].in_use) return false;
+  if (!replica.in_use) {
     replicas_[slot].epoch = replica.epoch;
     return true;
   }
   free_.erase(std::find(free_.begin(), free_.end(), slot));
   Replica restored = make_replica(replica.id, replica.epoch);
-  restored.started = replica.started;
-  restored.sent = replica.sent;
-  restored.sent_at = replica.sent_at;
-  restored.pace = replica.pace;
+  restored.started_at = replica.started_at;
+  restored.sent_tokens = replica.sent_tokens;
+  restored.last_sent_at = replica.last_sent_at;
+  restored.sent_tokens_per_s = replica.sent_tokens_per_s;
   replicas_[slot] = restored;
   by_id_[replica.id] = slot;
   return true;
@@ -64,9 +64,9 @@
 
 void ReplicaRegistry::release(Slot slot) {
   Replica& replica = replicas_[slot];
-  if (!replica.used) return;
+  if (!replica.in_use) return;
   by_id_.erase(replica.id);
-  replica.used = false;
+  replica.in_use = false;
   replica.listed = false;
   ++replica.epoch;
   free_.push_back(slot);
@@ -77,8 +77,8 @@
   ++replica.epoch;
   replica.survival = {};
   replica.calibration = {};
-  replica.loss.reset();
-  replica.recovery.reset();
+  replica.loss_test.reset();
+  replica.recovery_test.reset();
 }
 
 void ReplicaRegistry::start_probation(Slot slot) {
--- a/src/affinity/replica_registry.hpp
+++ b/src/affinity/replica_registry.hpp
@@ -18,19 +18,20 @@
 
 struct Replica {
   ReplicaId id = 0;
-  bool used = false;     // the slot is assigned to `id`
+  bool in_use = false;   // the slot is assigned to `id`
   bool listed = false;   // in discovery's latest endpoint list
   bool unsaved = false;  // the journal has not accepted the latest state yet
   EndpointState state = EndpointState::ready;
-  Time started = 0;  // start of the replica according to discovery; 0: unknown
+  Time started_at = 0;  // start of the replica according to discovery; 0: unknown
   Epoch epoch = 0;  // stays in the slot after the replica is removed, so that no old copy becomes valid again
-  double sent = 0;  // odometer: tokens that this router made the replica read or generate
-  Time sent_at = 0;  // when `sent` last grew; 0: never
-  double pace = 0;   // smoothed growth of `sent`, tokens a second: what is assumed while this router is down
+  double sent_tokens = 0;  // odometer: tokens that this router made the replica read or generate
+  Time last_sent_at = 0;   // when `sent_tokens` last grew; 0: never
+  double sent_tokens_per_s =
+      0;  // smoothed growth of `sent_tokens`, tokens a second: what is assumed while this router is down
   Survival survival;
   Calibration calibration;
-  LossTest loss{2};  // replaced by one with the table's rate of false alarms
-  RecoveryTest recovery;
+  LossTest loss_test{2};  // replaced by one with the table's rate of false alarms
+  RecoveryTest recovery_test;
   TrustState trust_state = TrustState::trusted;
   std::uint64_t answers = 0;  // complete answers
   std::uint64_t hits = 0;     // answers that found the expected copy
@@ -70,13 +71,13 @@
   template <typename Visit>
   void for_each(Visit visit) const {
     for (std::size_t slot = 0; slot < replicas_.size(); ++slot) {
-      if (replicas_[slot].used) visit(static_cast<Slot>(slot), replicas_[slot]);
+      if (replicas_[slot].in_use) visit(static_cast<Slot>(slot), replicas_[slot]);
     }
   }
   template <typename Visit>
   void for_each(Visit visit) {
     for (std::size_t slot = 0; slot < replicas_.size(); ++slot) {
-      if (replicas_[slot].used) visit(static_cast<Slot>(slot), replicas_[slot]);
+      if (replicas_[slot].in_use) visit(static_cast<Slot>(slot), replicas_[slot]);
     }
   }
 
--- a/src/affinity/trust_tracker.cpp
+++ b/src/affinity/trust_tracker.cpp
@@ -32,10 +32,10 @@
     return;
   }
   if (replica.trust_state == TrustState::trusted) {
-    if (replica.loss.add(expectation.confidence, outcome)) lose_replica(now, slot);
+    if (replica.loss_test.add(expectation.confidence, outcome)) lose_replica(now, slot);
     return;
   }
-  switch (replica.recovery.add(expectation.confidence, outcome)) {
+  switch (replica.recovery_test.add(expectation.confidence, outcome)) {
     case Verdict::undecided: return;
     case Verdict::lost: lose_replica(now, slot); return;
     case Verdict::recovered: regain_replica(now, slot); return;
@@ -49,7 +49,7 @@
     replicas_.start_probation(slot);
     journal_.save_replica(slot);
   });
-  if (observer_ != nullptr) observer_->fleet_lost(now);
+  if (observer_ != nullptr) observer_->on_fleet_copies_lost(now);
 }
 
 void TrustTracker::lose_replica(Time now, Slot slot) {
@@ -58,24 +58,24 @@
   journal_.save_replica(slot);
   if (!was_trusted) return;
   ++metrics_.replica_losses;
-  if (observer_ != nullptr) observer_->replica_lost(now, replicas_.at(slot).id);
+  if (observer_ != nullptr) observer_->on_replica_copies_lost(now, replicas_.at(slot).id);
 }
 
 void TrustTracker::regain_replica(Time now, Slot slot) {
   Replica& replica = replicas_.at(slot);
   replica.trust_state = TrustState::trusted;
-  replica.loss.reset();
-  ++metrics_.regained;
+  replica.loss_test.reset();
+  ++metrics_.recoveries;
   bool any_on_probation = false;
   replicas_.for_each([&](Slot, const Replica& other) {
     if (other.trust_state == TrustState::probing) any_on_probation = true;
   });
   if (!any_on_probation) fleet_trusted_ = true;
-  if (observer_ != nullptr) observer_->replica_regained(now, replica.id);
+  if (observer_ != nullptr) observer_->on_replica_recovered(now, replica.id);
 }
 
 void TrustTracker::resume(std::size_t restored_entries) {
-  replicas_.for_each([](Slot, Replica& replica) { replica.loss.head_start(); });
+  replicas_.for_each([](Slot, Replica& replica) { replica.loss_test.head_start(); });
   if (restored_entries > 0) fleet_loss_.head_start();
 }
 
--- a/src/affinity/trust_tracker.hpp
+++ b/src/affinity/trust_tracker.hpp
@@ -18,9 +18,9 @@
 class Observer {
  public:
   virtual ~Observer() = default;
-  virtual void fleet_lost(Time now) = 0;
-  virtual void replica_lost(Time now, ReplicaId replica) = 0;
-  virtual void replica_regained(Time now, ReplicaId replica) = 0;
+  virtual void on_fleet_copies_lost(Time now) = 0;
+  virtual void on_replica_copies_lost(Time now, ReplicaId replica) = 0;
+  virtual void on_replica_recovered(Time now, ReplicaId replica) = 0;
 };
 
 // Owns the fleet's loss test; each replica's tests are in the registry. Owns none of its arguments; all must
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -59,7 +59,7 @@
   Request& description = request.arrival.request;
   description.id = id;
   if (dependencies_.affinity_table != nullptr)
-    description.cache_hint = dependencies_.affinity_table->recall(arrived, description);
+    description.cache_hint = dependencies_.affinity_table->find_hint(arrived, description);
   request.summary.arrived = arrived;
   request.summary.request = description;
   request.summary.external_id = request.arrival.external_id;
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -160,7 +160,7 @@
     const affinity::Metrics& metrics = router.affinity_table->metrics();
     result_.fleet_losses += metrics.fleet_losses;
     result_.replica_losses += metrics.replica_losses;
-    result_.regained += metrics.regained;
+    result_.regained += metrics.recoveries;
   }
   const core::Counters& counters = router.core->counters();
   result_.totals.taken += counters.admitted;
--- a/src/node/affinity_report.cpp
+++ b/src/node/affinity_report.cpp
@@ -43,17 +43,17 @@
   for (const auto* replica : replicas) line(replica_line(*replica, uid_of(replica->id)));
 }
 
-void AffinityLog::fleet_lost(Time) {
+void AffinityLog::on_fleet_copies_lost(Time) {
   logging::warning("affinity")
       << "cached prompts lost across the fleet: none is expected until replicas report hits";
 }
 
-void AffinityLog::replica_lost(Time, ReplicaId replica) {
+void AffinityLog::on_replica_copies_lost(Time, ReplicaId replica) {
   logging::warning("affinity") << "cached prompts lost at " << logging::field("replica", uid_of_(replica))
                                << ": none is expected there until it reports hits";
 }
 
-void AffinityLog::replica_regained(Time, ReplicaId replica) {
+void AffinityLog::on_replica_recovered(Time, ReplicaId replica) {
   logging::info("affinity") << "cached prompts found again at "
                             << logging::field("replica", uid_of_(replica));
 }
--- a/src/node/affinity_report.hpp
+++ b/src/node/affinity_report.hpp
@@ -20,9 +20,9 @@
  public:
   explicit AffinityLog(ReplicaUid uid_of) : uid_of_(std::move(uid_of)) {}
 
-  void fleet_lost(Time now) override;
-  void replica_lost(Time now, ReplicaId replica) override;
-  void replica_regained(Time now, ReplicaId replica) override;
+  void on_fleet_copies_lost(Time now) override;
+  void on_replica_copies_lost(Time now, ReplicaId replica) override;
+  void on_replica_recovered(Time now, ReplicaId replica) override;
 
  private:
   ReplicaUid uid_of_;
--- a/src/persistence/affinity_records.cpp
+++ b/src/persistence/affinity_records.cpp
@@ -47,7 +47,7 @@
   for (const affinity::Copy& copy : copies.all()) {
     records.push_back({.tokens = copy.tokens,
                        .odometer = copy.odometer,
-                       .seen = copy.seen,
+                       .seen = copy.last_used_s,
                        .replica = copy.replica,
                        .epoch = copy.epoch});
   }
@@ -60,11 +60,11 @@
   if (records.size() > N) return std::nullopt;
   affinity::Copies<N> copies;
   for (const CopyRecord& record : records) {
-    copies.at[copies.count] = {.tokens = record.tokens,
-                               .odometer = record.odometer,
-                               .seen = record.seen,
-                               .replica = record.replica,
-                               .epoch = record.epoch};
+    copies.items[copies.count] = {.tokens = record.tokens,
+                                  .odometer = record.odometer,
+                                  .last_used_s = record.seen,
+                                  .replica = record.replica,
+                                  .epoch = record.epoch};
     ++copies.count;
   }
   return copies;
@@ -87,12 +87,12 @@
 std::string encode(const affinity::Replica& replica, const std::string& uid) {
   return pack_record(ReplicaRecord{.uid = uid,
                                    .id = replica.id,
-                                   .used = replica.used,
-                                   .started = replica.started,
+                                   .used = replica.in_use,
+                                   .started = replica.started_at,
                                    .epoch = replica.epoch,
-                                   .sent = replica.sent,
-                                   .sent_at = replica.sent_at,
-                                   .pace = replica.pace});
+                                   .sent = replica.sent_tokens,
+                                   .sent_at = replica.last_sent_at,
+                                   .pace = replica.sent_tokens_per_s});
 }
 
 std::optional<affinity::Session> decode_session(std::string_view bytes) {
@@ -126,12 +126,12 @@
   stored.slot = static_cast<affinity::Slot>(*slot);
   stored.uid = std::move(record->uid);
   stored.replica.id = record->id;
-  stored.replica.used = record->used;
-  stored.replica.started = record->started;
+  stored.replica.in_use = record->used;
+  stored.replica.started_at = record->started;
   stored.replica.epoch = record->epoch;
-  stored.replica.sent = record->sent;
-  stored.replica.sent_at = record->sent_at;
-  stored.replica.pace = record->pace;
+  stored.replica.sent_tokens = record->sent;
+  stored.replica.last_sent_at = record->sent_at;
+  stored.replica.sent_tokens_per_s = record->pace;
   return stored;
 }
 
--- a/src/persistence/restoration.cpp
+++ b/src/persistence/restoration.cpp
@@ -62,7 +62,7 @@
          [&](std::string_view key, std::string_view bytes) { restorer.add_session(key, bytes); });
   source(kPrefixTable,
          [&](std::string_view key, std::string_view bytes) { restorer.add_prefix(key, bytes); });
-  affinity_table.restored(now);
+  affinity_table.finish_restore(now);
   return restorer.counts();
 }
 
--- a/src/persistence/state_store.cpp
+++ b/src/persistence/state_store.cpp
@@ -14,23 +14,23 @@
   const RestoredCounts counts = restore_affinity_table(
       affinity_table, now,
       [this](StateTable table, const RecordVisitor& visitor) { file_.each(table, visitor); });
-  affinity_table.keep_in(this);
+  affinity_table.set_journal(this);
   return counts;
 }
 
-bool StateStore::session(std::uint64_t key, const affinity::Session& session) {
+bool StateStore::save_session(std::uint64_t key, const affinity::Session& session) {
   return writer_.put(kSessionTable, encode_key(key), encode(session));
 }
 
-bool StateStore::prefix(std::uint64_t key, const affinity::Prefix& prefix) {
+bool StateStore::save_prefix(std::uint64_t key, const affinity::Prefix& prefix) {
   return writer_.put(kPrefixTable, encode_key(key), encode(prefix));
 }
 
-bool StateStore::session_gone(std::uint64_t key) { return writer_.erase(kSessionTable, encode_key(key)); }
+bool StateStore::remove_session(std::uint64_t key) { return writer_.erase(kSessionTable, encode_key(key)); }
 
-bool StateStore::prefix_gone(std::uint64_t key) { return writer_.erase(kPrefixTable, encode_key(key)); }
+bool StateStore::remove_prefix(std::uint64_t key) { return writer_.erase(kPrefixTable, encode_key(key)); }
 
-bool StateStore::replica(affinity::Slot slot, const affinity::Replica& replica) {
+bool StateStore::save_replica(affinity::Slot slot, const affinity::Replica& replica) {
   return writer_.put(kReplicaTable, encode_key(slot), encode(replica, uid_of_(replica.id)));
 }
 
--- a/src/persistence/state_store.hpp
+++ b/src/persistence/state_store.hpp
@@ -26,11 +26,11 @@
   RestoredCounts load(affinity::AffinityTable& affinity_table, Time now);
 
   // Each returns false if the writer has no room; the table offers the change again later.
-  bool session(std::uint64_t key, const affinity::Session& session) override;
-  bool prefix(std::uint64_t key, const affinity::Prefix& prefix) override;
-  bool session_gone(std::uint64_t key) override;
-  bool prefix_gone(std::uint64_t key) override;
-  bool replica(affinity::Slot slot, const affinity::Replica& replica) override;
+  bool save_session(std::uint64_t key, const affinity::Session& session) override;
+  bool save_prefix(std::uint64_t key, const affinity::Prefix& prefix) override;
+  bool remove_session(std::uint64_t key) override;
+  bool remove_prefix(std::uint64_t key) override;
+  bool save_replica(affinity::Slot slot, const affinity::Replica& replica) override;
 
   // The file has a table for quota accounts too, which QuotaStateStore fills through these.
   store::Writer& writer() { return writer_; }
--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -85,7 +85,7 @@
   }
   void handle(Time now, Instance& instance, const Request& request) {
     Request hinted = request;
-    hinted.cache_hint = instance.affinity_table.recall(now, request);
+    hinted.cache_hint = instance.affinity_table.find_hint(now, request);
     instance.in_flight[request.id] = {hinted, {}};
     instance.router.on_request(now, hinted);
   }
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -18,9 +18,9 @@
   int fleet_losses = 0;
   int replica_losses = 0;
   int regained = 0;
-  void fleet_lost(Time) override { ++fleet_losses; }
-  void replica_lost(Time, ReplicaId) override { ++replica_losses; }
-  void replica_regained(Time, ReplicaId) override { ++regained; }
+  void on_fleet_copies_lost(Time) override { ++fleet_losses; }
+  void on_replica_copies_lost(Time, ReplicaId) override { ++replica_losses; }
+  void on_replica_recovered(Time, ReplicaId) override { ++regained; }
 };
 
 Request make_request(std::uint64_t session, double prompt_tokens, std::uint64_t prefix = 0,
@@ -74,7 +74,7 @@
         caches.erase(session);
       }
       const Request request = make_request(session, prompt_tokens);
-      const CacheHint hint = affinity_table.recall(now, request);
+      const CacheHint hint = affinity_table.find_hint(now, request);
       const ReplicaId replica = hint.known ? hint.replica : static_cast<ReplicaId>(1 + session % 8);
       hints += hint.known ? 1 : 0;
       const auto cached = caches.find(session);
@@ -102,27 +102,27 @@
 
 TEST_CASE("a session's hint names the replica that answered it last, and the size at which it was placed") {
   TableFixture fixture;
-  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1000)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1000)).known);
   fixture.answer(make_request(7, 1000), 3, 0);
-  const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(7, 1500));
+  const CacheHint hint = fixture.affinity_table.find_hint(fixture.now, make_request(7, 1500));
   CHECK(hint.known);
   CHECK(hint.replica == 3);
   CHECK(hint.tokens > 800);
   CHECK(hint.tokens <= 1000);
   CHECK(hint.cached_size == 1100);
   fixture.answer(make_request(7, 1500), 3, 1000);
-  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1800)).cached_size == 1100);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1800)).cached_size == 1100);
 }
 
 TEST_CASE("a session that migrates to a neighbour leaves a copy on both replicas") {
   TableFixture fixture;
   fixture.answer(make_request(7, 1000), 2, 0);
   fixture.answer(make_request(7, 1400), 3, 0);
-  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 3);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1600)).replica == 3);
   fixture.update_replica(3, EndpointState::draining);
-  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 2);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1600)).replica == 2);
   fixture.update_replica(3, EndpointState::ready);
-  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1600)).replica == 3);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1600)).replica == 3);
 }
 
 TEST_CASE("a replica that restarted, was removed or was replaced has no copies") {
@@ -139,7 +139,7 @@
     fixture.update_replica(2, EndpointState::gone);
     fixture.update_replica(9, EndpointState::ready);
   }
-  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1500)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1500)).known);
 }
 
 TEST_CASE("new sessions are spread over all replicas that have their prefix cached") {
@@ -148,7 +148,8 @@
     fixture.answer(make_request(100 + replica, 5000, 55, 4000), replica, 0);
   std::map<ReplicaId, int> chosen;
   for (std::uint64_t session = 1000; session < 1400; ++session) {
-    const CacheHint hint = fixture.affinity_table.recall(fixture.now, make_request(session, 5000, 55, 4000));
+    const CacheHint hint =
+        fixture.affinity_table.find_hint(fixture.now, make_request(session, 5000, 55, 4000));
     REQUIRE(hint.known);
     CHECK(hint.cached_size == 0);
     ++chosen[hint.replica];
@@ -171,9 +172,9 @@
   fixture.answer(make_request(7, 1000), 2, 0);
   const Time then = fixture.now;
   fixture.now -= seconds(3600);
-  CHECK(fixture.affinity_table.recall(fixture.now, make_request(7, 1200)).known);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).known);
   fixture.now = then + seconds(1801);
-  CHECK_FALSE(fixture.affinity_table.recall(fixture.now, make_request(7, 1200)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).known);
   for (std::uint64_t i = 0; i < 200; ++i) fixture.answer(make_request(50, 100), 1, 0);
   CHECK(fixture.affinity_table.table().sessions().find(7) == nullptr);
   CHECK(fixture.affinity_table.metrics().expired == 1);
@@ -193,14 +194,14 @@
   }
   CHECK(answers <= 20);
   CHECK(fleet.affinity_table.metrics().misses - misses <= 20);
-  CHECK_FALSE(fleet.affinity_table.trusted());
+  CHECK_FALSE(fleet.affinity_table.fleet_trusted());
   CHECK(fleet.affinity_table.table().sessions().size() > 0);
   // No hint names an old copy; every fourth hint about a new copy is given, to learn from.
   fleet.hints = 0;
   fleet.run(100);
   CHECK(fleet.hints < 40);
   fleet.run(3000);
-  CHECK(fleet.affinity_table.trusted());
+  CHECK(fleet.affinity_table.fleet_trusted());
   CHECK(fleet.observer.regained == 8);
   fleet.hints = 0;
   fleet.run(1000);
@@ -218,7 +219,7 @@
   }
   CHECK(fleet.observer.replica_losses == 1);
   CHECK(fleet.observer.fleet_losses == 0);
-  CHECK(fleet.affinity_table.trusted());
+  CHECK(fleet.affinity_table.fleet_trusted());
 }
 
 TEST_CASE("replicas beyond the slots are rejected and counted, and get no copies") {
@@ -229,5 +230,5 @@
   CHECK(affinity_table.replicas().rejected() == 1);
   const Expectation expectation = affinity_table.on_answer_started(kSecond, make_request(7, 1000), 3);
   affinity_table.on_answer_complete(kSecond, make_request(7, 1000), 3, expectation, 0, 10);
-  CHECK_FALSE(affinity_table.recall(kSecond, make_request(7, 1000)).known);
+  CHECK_FALSE(affinity_table.find_hint(kSecond, make_request(7, 1000)).known);
 }
--- a/tests/affinity/bounded_map.cpp
+++ b/tests/affinity/bounded_map.cpp
@@ -183,8 +183,9 @@
 
 TEST_CASE("a copy is written to the entry of its replica, an unused one, or the least recently used") {
   Copies<3> copies;
-  const auto put = [&](Slot replica, std::uint32_t seen) {
-    copies.entry_for(replica) = {.tokens = 100, .odometer = 0, .seen = seen, .replica = replica, .epoch = 1};
+  const auto put = [&](Slot replica, std::uint32_t last_used_s) {
+    copies.entry_for(replica) = {
+        .tokens = 100, .odometer = 0, .last_used_s = last_used_s, .replica = replica, .epoch = 1};
   };
   put(1, 10);
   put(2, 20);
@@ -194,7 +195,7 @@
   put(4, 50);
   CHECK(copies.count == 3);
   CHECK(copies.find(1, 1) == nullptr);
-  CHECK(copies.find(2, 1)->seen == 40);
+  CHECK(copies.find(2, 1)->last_used_s == 40);
   CHECK(copies.find(4, 1) != nullptr);
   CHECK(copies.find(4, 2) == nullptr);
 }
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -76,7 +76,8 @@
                {.id = 4, .state = EndpointState::draining}});
   int known = 0;
   for (std::uint64_t session = 1; session <= 400; ++session) {
-    const CacheHint cache_hint = router.affinity_table.recall(router.now, request_in_session(session, 2500));
+    const CacheHint cache_hint =
+        router.affinity_table.find_hint(router.now, request_in_session(session, 2500));
     if (cache_hint.known) CHECK(cache_hint.replica == 1);
     known += cache_hint.known ? 1 : 0;
     // Of the sessions of the other replicas only the shared prefix may be found, at replica 1.
@@ -96,9 +97,9 @@
   }
   RouterProcess router(scratch, start - seconds(7200));
   router.list({{.id = 1}});
-  CHECK(router.affinity_table.recall(router.now, request_in_session(7, 2500)).known);
+  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 2500)).known);
   router.answer(request_in_session(7, 2500), 1);
-  CHECK(router.affinity_table.recall(router.now, request_in_session(7, 3000)).known);
+  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 3000)).known);
 }
 
 TEST_CASE("estimates age during a long stop by what the other routers are likely to have sent") {
@@ -112,13 +113,13 @@
       router.answer(request_in_session(session, 2000), 1);
       router.now += kSecond / 10;
     }
-    before = router.affinity_table.recall(router.now, request_in_session(400, 2500)).confidence;
+    before = router.affinity_table.find_hint(router.now, request_in_session(400, 2500)).confidence;
     router.stop();
   }
   RouterProcess restarted(scratch, start + seconds(50));
   restarted.list({{.id = 1}});
   const double after =
-      restarted.affinity_table.recall(restarted.now, request_in_session(400, 2500)).confidence;
+      restarted.affinity_table.find_hint(restarted.now, request_in_session(400, 2500)).confidence;
   CHECK(after < before);
   CHECK(after > 0);
 }
@@ -138,7 +139,7 @@
   RouterProcess router(scratch, start + kSecond);
   router.list({{.id = 1}, {.id = 2}});
   for (std::uint64_t session = 1; session <= 50; ++session)
-    CHECK(router.affinity_table.recall(router.now, request_in_session(session, 2100)).replica != 2);
+    CHECK(router.affinity_table.find_hint(router.now, request_in_session(session, 2100)).replica != 2);
 }
 
 TEST_CASE("a smaller table restores as many entries as fit, and entries that expire leave the store too") {
--- a/tests/compat/learned.cpp
+++ b/tests/compat/learned.cpp
@@ -30,27 +30,27 @@
 affinity::Replica replica() {
   affinity::Replica replica;
   replica.id = 4;
-  replica.used = true;
-  replica.started = kNow - 5;
+  replica.in_use = true;
+  replica.started_at = kNow - 5;
   replica.epoch = 3;
-  replica.sent = 1234.5;
-  replica.sent_at = kNow;
-  replica.pace = 10;
+  replica.sent_tokens = 1234.5;
+  replica.last_sent_at = kNow;
+  replica.sent_tokens_per_s = 10;
   return replica;
 }
 
 template <typename Entry>
 Entry with_copy(const affinity::Copy& copy) {
   Entry entry;
-  entry.copies.at[0] = copy;
+  entry.copies.items[0] = copy;
   entry.copies.count = 1;
   return entry;
 }
 
 constexpr affinity::Copy kSessionCopy = {
-    .tokens = 900, .odometer = 12, .seen = 1'764'000'000, .replica = 0, .epoch = 3};
+    .tokens = 900, .odometer = 12, .last_used_s = 1'764'000'000, .replica = 0, .epoch = 3};
 constexpr affinity::Copy kPrefixCopy = {
-    .tokens = 70'000, .odometer = 13, .seen = 1'763'999'999, .replica = 0, .epoch = 3};
+    .tokens = 70'000, .odometer = 13, .last_used_s = 1'763'999'999, .replica = 0, .epoch = 3};
 
 affinity::Options few_entries() { return {.table = {.entries = 1'000}}; }
 
@@ -61,13 +61,13 @@
   session.cached_size = 850;
   REQUIRE(affinity_table.restore_session(0x0123456789abcdef, session));
   REQUIRE(affinity_table.restore_prefix(7, with_copy<affinity::Prefix>(kPrefixCopy)));
-  affinity_table.restored(kNow);
+  affinity_table.finish_restore(kNow);
 }
 
 void check_same(const affinity::Copy& read, const affinity::Copy& expected) {
   CHECK(read.tokens == expected.tokens);
   CHECK(read.odometer == expected.odometer);
-  CHECK(read.seen == expected.seen);
+  CHECK(read.last_used_s == expected.last_used_s);
   CHECK(read.replica == expected.replica);
   CHECK(read.epoch == expected.epoch);
 }
@@ -101,24 +101,24 @@
   REQUIRE(affinity_table.replicas().size() == 1);
   const affinity::Replica& restored = affinity_table.replicas().at(0);
   CHECK(restored.id == 4);
-  CHECK(restored.started == kNow - 5);
+  CHECK(restored.started_at == kNow - 5);
   CHECK(restored.epoch == 3);
-  CHECK(restored.sent == 1234.5);
-  CHECK(restored.sent_at == kNow);
-  CHECK(restored.pace == 10);
+  CHECK(restored.sent_tokens == 1234.5);
+  CHECK(restored.last_sent_at == kNow);
+  CHECK(restored.sent_tokens_per_s == 10);
   REQUIRE(affinity_table.table().sessions().size() == 1);
   affinity_table.table().sessions().for_each([](std::uint64_t key, const affinity::Session& session) {
     CHECK(key == 0x0123456789abcdef);
     CHECK(session.prefix == 7);
     CHECK(session.cached_size == 850);
     REQUIRE(session.copies.count == 1);
-    check_same(session.copies.at[0], kSessionCopy);
+    check_same(session.copies.items[0], kSessionCopy);
   });
   REQUIRE(affinity_table.table().prefixes().size() == 1);
   affinity_table.table().prefixes().for_each([](std::uint64_t key, const affinity::Prefix& prefix) {
     CHECK(key == 7);
     REQUIRE(prefix.copies.count == 1);
-    check_same(prefix.copies.at[0], kPrefixCopy);
+    check_same(prefix.copies.items[0], kPrefixCopy);
   });
 }
 
--- a/tests/compat/store.cpp
+++ b/tests/compat/store.cpp
@@ -33,28 +33,28 @@
 affinity::Replica first_replica() {
   affinity::Replica replica;
   replica.id = 4;
-  replica.used = true;
-  replica.started = kNow - 5;
+  replica.in_use = true;
+  replica.started_at = kNow - 5;
   replica.epoch = 3;
-  replica.sent = 1234.5;
-  replica.sent_at = kNow;
-  replica.pace = 10;
+  replica.sent_tokens = 1234.5;
+  replica.last_sent_at = kNow;
+  replica.sent_tokens_per_s = 10;
   return replica;
 }
 affinity::Replica second_replica() {
   affinity::Replica replica;
   replica.id = 70'000;
-  replica.used = true;
+  replica.in_use = true;
   return replica;
 }
 constexpr affinity::Copy kCopies[] = {
-    {.tokens = 900, .odometer = 12, .seen = 1'764'000'000, .replica = kFirstSlot, .epoch = 3},
-    {.tokens = 70'000, .odometer = 0xffffffff, .seen = 1, .replica = kSecondSlot, .epoch = 0}};
+    {.tokens = 900, .odometer = 12, .last_used_s = 1'764'000'000, .replica = kFirstSlot, .epoch = 3},
+    {.tokens = 70'000, .odometer = 0xffffffff, .last_used_s = 1, .replica = kSecondSlot, .epoch = 0}};
 
 template <typename Entry>
 Entry with_copies() {
   Entry entry;
-  for (const auto& copy : kCopies) entry.copies.at[entry.copies.count++] = copy;
+  for (const auto& copy : kCopies) entry.copies.items[entry.copies.count++] = copy;
   return entry;
 }
 affinity::Session session() {
@@ -71,11 +71,11 @@
   StateStore state_store({.path = path, .holder = "r0", .megabytes = 1}, {},
                          [](ReplicaId id) { return "replica-" + std::to_string(id); });
   QuotaStateStore quota_state_store(state_store.file(), state_store.writer());
-  REQUIRE(state_store.replica(kFirstSlot, first_replica()));
-  REQUIRE(state_store.replica(kSecondSlot, second_replica()));
-  REQUIRE(state_store.session(kSessionKey, session()));
-  REQUIRE(state_store.session(1, {}));
-  REQUIRE(state_store.prefix(kPrefixKey, with_copies<affinity::Prefix>()));
+  REQUIRE(state_store.save_replica(kFirstSlot, first_replica()));
+  REQUIRE(state_store.save_replica(kSecondSlot, second_replica()));
+  REQUIRE(state_store.save_session(kSessionKey, session()));
+  REQUIRE(state_store.save_session(1, {}));
+  REQUIRE(state_store.save_prefix(kPrefixKey, with_copies<affinity::Prefix>()));
   REQUIRE(quota_state_store.append(kAccount, kOverdrawn) != 0);
   REQUIRE(state_store.writer().drain(std::chrono::seconds(20)));
 }
@@ -102,11 +102,11 @@
 void check_copies(const affinity::Copies<N>& read) {
   REQUIRE(read.count == std::size(kCopies));
   for (std::size_t i = 0; i < read.count; ++i) {
-    CHECK(read.at[i].tokens == kCopies[i].tokens);
-    CHECK(read.at[i].odometer == kCopies[i].odometer);
-    CHECK(read.at[i].seen == kCopies[i].seen);
-    CHECK(read.at[i].replica == kCopies[i].replica);
-    CHECK(read.at[i].epoch == kCopies[i].epoch);
+    CHECK(read.items[i].tokens == kCopies[i].tokens);
+    CHECK(read.items[i].odometer == kCopies[i].odometer);
+    CHECK(read.items[i].last_used_s == kCopies[i].last_used_s);
+    CHECK(read.items[i].replica == kCopies[i].replica);
+    CHECK(read.items[i].epoch == kCopies[i].epoch);
   }
 }
 
@@ -116,12 +116,12 @@
   CHECK(read->slot == slot);
   CHECK(read->uid == uid);
   CHECK(read->replica.id == expected.id);
-  CHECK(read->replica.used == expected.used);
-  CHECK(read->replica.started == expected.started);
+  CHECK(read->replica.in_use == expected.in_use);
+  CHECK(read->replica.started_at == expected.started_at);
   CHECK(read->replica.epoch == expected.epoch);
-  CHECK(read->replica.sent == expected.sent);
-  CHECK(read->replica.sent_at == expected.sent_at);
-  CHECK(read->replica.pace == expected.pace);
+  CHECK(read->replica.sent_tokens == expected.sent_tokens);
+  CHECK(read->replica.last_sent_at == expected.last_sent_at);
+  CHECK(read->replica.sent_tokens_per_s == expected.sent_tokens_per_s);
 }
 
 }  // namespace
