--- a/src/budgets/accounts.cpp
+++ b/src/budgets/accounts.cpp
@@ -31,7 +31,7 @@
       backend_(make_backend(options_, journal, quota_store)),
       directory_(options_, *backend_) {}
 
-void Accounts::change(const Options& options, Time wall_time) {
+void Accounts::replace_options(const Options& options, Time wall_time) {
   validate(options);
   if (options == options_) return;
   options_ = options;
@@ -39,10 +39,10 @@
 }
 
 Grant Accounts::reserve(const QuotaSubject& subject, Units amount, Time wall_time) {
-  amount = std::clamp<Units>(amount, 0, kMostUnits);
+  amount = std::clamp<Units>(amount, 0, kMaxUnits);
   std::shared_ptr<const AccountSet> accounts = directory_.accounts_of(subject, wall_time);
   ReserveResult result = backend_->reserve(*accounts, amount, wall_time);
-  metrics_.over_soft += result.soft_overruns;
+  metrics_.over_soft_limit += result.soft_overruns;
   Grant grant;
   grant.weight_factor = result.weight_factor;
   if (result.denial) {
@@ -52,7 +52,7 @@
   }
   grant.id = ++last_id_;
   reservations_[grant.id] = {std::move(accounts), std::move(result.uncovered), amount, wall_time};
-  metrics_.reserved = sum_of(metrics_.reserved, amount);
+  metrics_.reserved_units = saturating_sum(metrics_.reserved_units, amount);
   ++metrics_.granted;
   return grant;
 }
@@ -62,11 +62,11 @@
   if (found == reservations_.end()) return;
   const Reservation reservation = std::move(found->second);
   reservations_.erase(found);
-  used = std::clamp<Units>(used, 0, kMostUnits);
+  used = std::clamp<Units>(used, 0, kMaxUnits);
   backend_->settle(reservation, used, wall_time);
-  metrics_.reserved = sum_of(metrics_.reserved, -reservation.amount);
-  metrics_.charged = sum_of(metrics_.charged, used);
-  if (used > 0) ++metrics_.charges;
+  metrics_.reserved_units = saturating_sum(metrics_.reserved_units, -reservation.amount);
+  metrics_.charged_units = saturating_sum(metrics_.charged_units, used);
+  if (used > 0) ++metrics_.nonzero_charges;
 }
 
 Units Accounts::reserved(ReservationId id) const {
@@ -81,10 +81,10 @@
   for (Account* account : *accounts) {
     const AccountStatus status = backend_->status(*account, wall_time);
     const Units limit = account->limit.rule().amount;
-    const double ratio = ratio_left(status.left, limit);
+    const double ratio = ratio_left(status.remaining, limit);
     if (!account->hard || ratio >= tightest_ratio) continue;
     tightest_ratio = ratio;
-    tightest = {true, account->key, limit, status.left, status.reset};
+    tightest = {true, account->key, limit, status.remaining, status.reset_after};
   }
   return tightest;
 }
@@ -102,15 +102,15 @@
   std::vector<Summary> summaries;
   for (const auto& [key, account] : directory_.active()) {
     Limit& limit = account->limit;
-    summaries.push_back(
-        {key, limit.rule().amount, limit.left(wall_time), limit.until_full(wall_time), account->hard});
+    summaries.push_back({key, limit.rule().amount, limit.remaining(wall_time),
+                         limit.time_until_full(wall_time), account->hard});
   }
   return summaries;
 }
 
 Metrics Accounts::metrics() const {
   Metrics metrics = metrics_;
-  metrics.shared = directory_.overflows();
+  metrics.on_shared_account = directory_.overflows();
   return metrics;
 }
 
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -37,8 +37,8 @@
   bool any = false;  // false: no hard limit applies, and the rest means nothing
   std::string account;
   Units limit = 0;
-  Units left = 0;
-  Time reset = 0;  // microseconds until all of it is there again
+  Units remaining = 0;
+  Time reset_after = 0;  // microseconds until all of it is there again
 };
 
 // Requests, unless said otherwise.
@@ -46,14 +46,14 @@
   std::uint64_t granted = 0;
   std::uint64_t denied = 0;                 // for want of quota
   std::uint64_t denied_awaiting_store = 0;  // see Denial::awaiting_store
-  std::uint64_t over_soft = 0;
-  std::uint64_t charges = 0;  // above 0
-  Units reserved = 0;         // open now
-  Units charged = 0;          // ever
-  std::uint64_t shared = 0;   // that found no account of their own
+  std::uint64_t over_soft_limit = 0;
+  std::uint64_t nonzero_charges = 0;    // above 0
+  Units reserved_units = 0;             // open now
+  Units charged_units = 0;              // ever
+  std::uint64_t on_shared_account = 0;  // that found no account of their own
 };
 
-// All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMostUnits.
+// All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMaxUnits.
 class Accounts {
  public:
   // Throws std::invalid_argument where options make no sense. Neither the journal nor the quota store is
@@ -66,9 +66,9 @@
   // Opens the accounts of all that the options name, as far as they are few: so a quota store can lease quota
   // before the first request comes.
   void open_all(Time wall_time) { directory_.open_all(wall_time); }
-  // New limits under way: what was used of those that stay (same name and span) remains used. Reservations
+  // New limits under way: what was used of those that stay (same name and kind) remains used. Reservations
   // stay. Throws std::invalid_argument, and then changes nothing, where options make no sense.
-  void change(const Options& options, Time wall_time);
+  void replace_options(const Options& options, Time wall_time);
 
   [[nodiscard]] Grant reserve(const QuotaSubject& subject, Units amount, Time wall_time);
   // Ends a reservation: `used` is charged, whatever was reserved. An unknown id is ignored.
@@ -86,8 +86,8 @@
   struct Summary {
     std::string key;
     Units limit = 0;
-    Units left = 0;  // below 0: overdrawn
-    Time reset = 0;
+    Units remaining = 0;  // below 0: overdrawn
+    Time reset_after = 0;
     bool hard = true;
   };
   // Sorted by key; without accounts of budgets that are gone.
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -52,8 +52,8 @@
   auto allowance = std::make_shared<Allowance>();
   allowance->rejection = Allowance::Rejection::limit_exceeded;
   allowance->limit = in_tokens(denial.limit);
-  allowance->remaining = in_tokens(denial.left);
-  allowance->reset_in = denial.reset;
+  allowance->remaining = in_tokens(denial.remaining);
+  allowance->reset_in = denial.reset_after;
   allowance->subject = denial.account;
   own_actions_.push_back({.kind = ActionKind::reject,
                           .id = id,
@@ -67,8 +67,8 @@
   if (!status.any) return {};
   auto allowance = std::make_shared<Allowance>();
   allowance->limit = in_tokens(status.limit);
-  allowance->remaining = in_tokens(status.left);
-  allowance->reset_in = status.reset;
+  allowance->remaining = in_tokens(status.remaining);
+  allowance->reset_in = status.reset_after;
   allowance->subject = status.account;
   return allowance;
 }
--- a/src/budgets/durability_mark.cpp
+++ b/src/budgets/durability_mark.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void DurabilityMark::accept_durable(const Journal& journal) {
-  if (!pending_ || journal.durable() < pending_->number) return;
+  if (!pending_ || journal.last_durable_record() < pending_->number) return;
   durable_ = pending_->limit;
   pending_.reset();
 }
@@ -21,14 +21,14 @@
 bool DurabilityMark::covers(Limit& current, Units amount, Units block, const Journal& journal,
                             Time wall_time) {
   accept_durable(journal);
-  return current.left(wall_time) - amount >= durable_.left(wall_time) - std::max(block, amount);
+  return current.remaining(wall_time) - amount >= durable_.remaining(wall_time) - std::max(block, amount);
 }
 
 void DurabilityMark::advance(const std::string& key, Limit& current, Units block, Journal& journal,
                              Time wall_time) {
   accept_durable(journal);
   if (pending_) return;
-  const Units left_to_mark = current.left(wall_time) - durable_.left(wall_time);
+  const Units left_to_mark = current.remaining(wall_time) - durable_.remaining(wall_time);
   if (left_to_mark >= kBlocksLeftAtNextMark * block) return;
   Limit ahead = current;
   ahead.take(kBlocksAhead * block, wall_time);
@@ -36,7 +36,7 @@
   if (number != 0) pending_ = Pending{ahead, number};
 }
 
-void DurabilityMark::change_rule(const Rule& rule, Time wall_time) {
+void DurabilityMark::change_rule(const LimitRule& rule, Time wall_time) {
   durable_ = Limit(rule, durable_.state(wall_time), wall_time);
   if (pending_) pending_->limit = Limit(rule, pending_->limit.state(wall_time), wall_time);
 }
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -9,7 +9,7 @@
 
 __extension__ using Wide = __int128;  // for intermediate results
 
-Units clamped(Wide value) { return static_cast<Units>(std::clamp<Wide>(value, -kMostUnits, kMostUnits)); }
+Units clamped(Wide value) { return static_cast<Units>(std::clamp<Wide>(value, -kMaxUnits, kMaxUnits)); }
 
 // Rounds down, before 1970 too.
 Time window_start(Time wall_time, Time length) {
@@ -19,36 +19,38 @@
 
 }  // namespace
 
-Time length_of(Span span) {
-  switch (span) {
-    case Span::bucket: return 0;
-    case Span::minute: return seconds(60);
-    case Span::hour: return seconds(3600);
-    case Span::day: break;
+Time window_length(LimitKind kind) {
+  switch (kind) {
+    case LimitKind::bucket: return 0;
+    case LimitKind::minute: return seconds(60);
+    case LimitKind::hour: return seconds(3600);
+    case LimitKind::day: break;
   }
   return seconds(86'400);
 }
 
-Units sum_of(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
-Units product_of(Units left, Units right) { return clamped(static_cast<Wide>(left) * right); }
+Units saturating_sum(Units left, Units right) { return clamped(static_cast<Wide>(left) + right); }
+Units saturating_product(Units left, Units right) { return clamped(static_cast<Wide>(left) * right); }
 
-Limit::Limit(const Rule& rule, Time wall_time)
+Limit::Limit(const LimitRule& rule, Time wall_time)
     : Limit(rule, {rule.amount, rule.amount, wall_time}, wall_time) {}
 
-Limit::Limit(const Rule& rule, const LimitState& state, Time wall_time)
+Limit::Limit(const LimitRule& rule, const LimitState& state, Time wall_time)
     : rule_(rule),
-      left_(std::min(rule.amount, sum_of(rule.amount, sum_of(state.left, -state.amount)))),
-      updated_at_(state.at) {
-  if (rule_.span != Span::bucket) updated_at_ = window_start(state.at, length_of(rule_.span));
+      remaining_(
+          std::min(rule.amount, saturating_sum(rule.amount, saturating_sum(state.remaining, -state.amount)))),
+      updated_at_(state.updated_at) {
+  if (rule_.kind != LimitKind::bucket)
+    updated_at_ = window_start(state.updated_at, window_length(rule_.kind));
   advance_to(wall_time);
 }
 
 // After a clock that steps back what is left stays as it is, and time goes on from there. One that steps
 // forwards by mistake gives what that time would have given, once.
 void Limit::advance_to(Time wall_time) {
-  if (rule_.span != Span::bucket) {
-    const Time current_window = window_start(wall_time, length_of(rule_.span));
-    if (current_window > updated_at_) left_ = rule_.amount;
+  if (rule_.kind != LimitKind::bucket) {
+    const Time current_window = window_start(wall_time, window_length(rule_.kind));
+    if (current_window > updated_at_) remaining_ = rule_.amount;
     updated_at_ = current_window;
     return;
   }
@@ -58,42 +60,43 @@
   }
   const Wide refill = static_cast<Wide>(wall_time - updated_at_) * rule_.per_s + refill_remainder_;
   updated_at_ = wall_time;
-  left_ = static_cast<Units>(std::min<Wide>(rule_.amount, left_ + refill / kSecond));
-  refill_remainder_ = left_ >= rule_.amount ? 0 : static_cast<Time>(refill % kSecond);
+  remaining_ = static_cast<Units>(std::min<Wide>(rule_.amount, remaining_ + refill / kSecond));
+  refill_remainder_ = remaining_ >= rule_.amount ? 0 : static_cast<Time>(refill % kSecond);
 }
 
-Units Limit::left(Time wall_time) {
+Units Limit::remaining(Time wall_time) {
   advance_to(wall_time);
-  return left_;
+  return remaining_;
 }
 
 void Limit::take(Units units, Time wall_time) {
   advance_to(wall_time);
-  left_ = sum_of(left_, -std::max<Units>(0, units));
+  remaining_ = saturating_sum(remaining_, -std::max<Units>(0, units));
 }
 
 void Limit::give_back(Units units, Time wall_time, Time taken_at) {
   advance_to(wall_time);
-  if (rule_.span != Span::bucket && window_start(taken_at, length_of(rule_.span)) != updated_at_) return;
-  left_ = std::min(rule_.amount, sum_of(left_, std::max<Units>(0, units)));
+  if (rule_.kind != LimitKind::bucket && window_start(taken_at, window_length(rule_.kind)) != updated_at_)
+    return;
+  remaining_ = std::min(rule_.amount, saturating_sum(remaining_, std::max<Units>(0, units)));
 }
 
-std::optional<Time> Limit::until(Units units, Time wall_time) {
+std::optional<Time> Limit::time_until(Units units, Time wall_time) {
   advance_to(wall_time);
-  if (left_ >= units) return 0;
+  if (remaining_ >= units) return 0;
   if (units > rule_.amount) return std::nullopt;
-  if (rule_.span != Span::bucket) return updated_at_ + length_of(rule_.span) - wall_time;
+  if (rule_.kind != LimitKind::bucket) return updated_at_ + window_length(rule_.kind) - wall_time;
   if (rule_.per_s <= 0) return std::nullopt;
-  const Wide missing = static_cast<Wide>(units - left_) * kSecond - refill_remainder_;
+  const Wide missing = static_cast<Wide>(units - remaining_) * kSecond - refill_remainder_;
   const Wide time = (missing + rule_.per_s - 1) / rule_.per_s;  // rounded up
-  return static_cast<Time>(std::min<Wide>(time, kMostUnits));
+  return static_cast<Time>(std::min<Wide>(time, kMaxUnits));
 }
 
-Time Limit::until_full(Time wall_time) { return until(rule_.amount, wall_time).value_or(0); }
+Time Limit::time_until_full(Time wall_time) { return time_until(rule_.amount, wall_time).value_or(0); }
 
 LimitState Limit::state(Time wall_time) {
   advance_to(wall_time);
-  return {rule_.amount, left_, rule_.span == Span::bucket ? wall_time : updated_at_};
+  return {rule_.amount, remaining_, rule_.kind == LimitKind::bucket ? wall_time : updated_at_};
 }
 
 }  // namespace thornwick::budgets
--- a/src/budgets/limit.hpp
+++ b/src/budgets/limit.hpp
@@ -18,25 +18,25 @@
 inline constexpr Units kUnitsPerToken = 1000;
 inline constexpr double in_tokens(Units units) { return static_cast<double>(units) / kUnitsPerToken; }
 // 1e15 tokens: sums and products are cut here, and below 0 at its negative.
-inline constexpr Units kMostUnits = 1'000'000'000'000'000'000;
+inline constexpr Units kMaxUnits = 1'000'000'000'000'000'000;
 
-enum class Span { bucket, minute, hour, day };
+enum class LimitKind { bucket, minute, hour, day };
 // The length of a window in microseconds; of a bucket 0.
-Time length_of(Span span);
+Time window_length(LimitKind kind);
 
-struct Rule {
-  Span span = Span::minute;
-  Units amount = 0;  // of each window; of a bucket its capacity. 0..kMostUnits
-  Units per_s = 0;   // of a bucket: its refill each second. 0..kMostUnits
-  bool operator==(const Rule&) const = default;
+struct LimitRule {
+  LimitKind kind = LimitKind::minute;
+  Units amount = 0;  // of each window; of a bucket its capacity. 0..kMaxUnits
+  Units per_s = 0;   // of a bucket: its refill each second. 0..kMaxUnits
+  bool operator==(const LimitRule&) const = default;
 };
 
 // What is recorded of a limit when the router stops.
 struct LimitState {
   // Of the rule at that time: under a rule that has changed since, what was used counts, not what was left.
   Units amount = 0;
-  Units left = 0;
-  Time at = 0;  // when `left` was true; a window's beginning
+  Units remaining = 0;
+  Time updated_at = 0;  // when `remaining` was true; a window's beginning
   bool operator==(const LimitState&) const = default;
 };
 
@@ -44,34 +44,34 @@
 class Limit {
  public:
   // Full, as of `wall_time`.
-  Limit(const Rule& rule, Time wall_time);
+  Limit(const LimitRule& rule, Time wall_time);
   // As it was recorded, under a rule that may be another now.
-  Limit(const Rule& rule, const LimitState& state, Time wall_time);
+  Limit(const LimitRule& rule, const LimitState& state, Time wall_time);
 
-  const Rule& rule() const { return rule_; }
+  const LimitRule& rule() const { return rule_; }
   // Below 0: overdrawn. Never above the rule's amount.
-  Units left(Time wall_time);
+  Units remaining(Time wall_time);
   // Takes, whatever is left. `units` is 0 or more.
   void take(Units units, Time wall_time);
   // Gives back what was taken at `taken_at`; of an earlier window there is nothing to give back to.
   void give_back(Units units, Time wall_time, Time taken_at);
   // The time from `wall_time` on until so much is left if nothing else is taken; none: it never will be.
-  std::optional<Time> until(Units units, Time wall_time);
+  std::optional<Time> time_until(Units units, Time wall_time);
   // The time until the limit is full again; 0 where it never will be.
-  Time until_full(Time wall_time);
+  Time time_until_full(Time wall_time);
   LimitState state(Time wall_time);
 
  private:
   void advance_to(Time wall_time);
 
-  Rule rule_;
-  Units left_ = 0;
+  LimitRule rule_;
+  Units remaining_ = 0;
   Time updated_at_ = 0;        // bucket: up to when it is refilled; window: its beginning
   Time refill_remainder_ = 0;  // bucket: refill that makes no whole unit yet, in millionths of a unit
 };
 
-// Sums and products, cut at kMostUnits and its negative.
-Units sum_of(Units left, Units right);
-Units product_of(Units left, Units right);
+// Sums and products, cut at kMaxUnits and its negative.
+Units saturating_sum(Units left, Units right);
+Units saturating_product(Units left, Units right);
 
 }  // namespace thornwick::budgets
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -26,14 +26,14 @@
 
 // Requests, unless said otherwise.
 struct Metrics {
-  std::map<When, std::uint64_t> fallbacks;  // that another model took, by reason
+  std::map<FallbackReason, std::uint64_t> fallbacks;  // that another model took, by reason
   // That no other model took, though there was one to ask:
-  std::uint64_t forbidden = 0;    // the client accepts no other
-  std::uint64_t no_budget = 0;    // too many were taken by other models lately
-  std::uint64_t not_borne = 0;    // the other pool was cold, full, or had its share of foreign requests
-  std::uint64_t no_time = 0;      // the client waits for too short a time
-  std::uint64_t no_attempts = 0;  // no attempt was left
-  std::uint64_t placements = 0;   // changes of which replica has which adapter
+  std::uint64_t declined_by_client = 0;         // the client accepts no other
+  std::uint64_t fallback_budget_exhausted = 0;  // too many were taken by other models lately
+  std::uint64_t pool_refused = 0;       // the other pool was cold, full, or had its share of foreign requests
+  std::uint64_t too_little_time = 0;    // the client waits for too short a time
+  std::uint64_t no_attempts_left = 0;   // no attempt was left
+  std::uint64_t placement_changes = 0;  // changes of which replica has which adapter
 };
 
 class Pools final : public core::Decider {
@@ -41,14 +41,14 @@
   struct Options {
     Settings settings;  // of every pool's decider; each gets a seed of its own
     Catalogue catalogue;
-    std::function<ReplicaNames(ReplicaId)> names_of;
+    std::function<ReplicaIdentity(ReplicaId)> identity_of;
     // Makes the decider of a model's pool.
-    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, Number)> make;
+    std::function<std::unique_ptr<core::Decider>(const Settings&, Time, ModelId)> make_decider;
   };
   Pools(Options options, Time now);
 
-  // Another catalogue with the old one's numbers (see renumbered). Open requests go on where they are.
-  void change(Time now, const Catalogue& catalogue);
+  // Another catalogue with the old one's numbers (see with_stable_ids). Open requests go on where they are.
+  void replace_catalogue(Time now, const Catalogue& catalogue);
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override;
   void on_request(Time now, const Request& request) override;
@@ -62,7 +62,7 @@
 
   const Metrics& metrics() const { return metrics_; }
   // Ready replicas that serve a model now, by id.
-  std::vector<ReplicaId> replicas_of(Number model) const { return pools_.at(model)->ready_replicas(); }
+  std::vector<ReplicaId> replicas_of(ModelId model) const { return pools_.at(model)->ready_replicas(); }
   // Requests without a final answer, or with an attempt in flight.
   std::size_t open() const { return open_.size(); }
 
@@ -89,8 +89,8 @@
   // Pools and their replicas.
   void make_missing_pools(Time now);
   void set_adapters();
-  Number base_of(Number model) const;
-  std::vector<Endpoint> members_of(Number model) const;
+  ModelId base_of(ModelId model) const;
+  std::vector<Endpoint> members_of(ModelId model) const;
   void update_members(Time now, Pool& pool, EndpointUpdate scope);
   void update_placements(Time now);
   void mark_touched(Pool& pool);
@@ -98,8 +98,8 @@
                       const std::function<void(core::Decider&)>& notify);
 
   // Requests.
-  bool is_known(Number model) const { return model != 0 && model <= options_.catalogue.models.size(); }
-  [[nodiscard]] bool try_model(OpenRequest& open, Number model, Origin origin);
+  bool is_known(ModelId model) const { return model != 0 && model <= options_.catalogue.models.size(); }
+  [[nodiscard]] bool try_model(OpenRequest& open, ModelId model, Origin origin);
   [[nodiscard]] bool try_fallbacks(OpenRequest& open);
   void reject(RequestId id, const Request& request, Allowance::Rejection why);
 
@@ -111,9 +111,9 @@
   void on_set_timer(Pool& pool, Action action, std::vector<Action>& actions);
 
   Options options_;
-  std::map<Number, std::unique_ptr<Pool>> pools_;
-  std::map<Number, Placement> placements_;  // of adapters, by their base model
-  std::map<ReplicaId, Endpoint> replicas_;  // all that discovery lists, those that drain included
+  std::map<ModelId, std::unique_ptr<Pool>> pools_;
+  std::map<ModelId, Placement> placements_;  // of adapters, by their base model
+  std::map<ReplicaId, Endpoint> replicas_;   // all that discovery lists, those that drain included
   absl::flat_hash_map<ReplicaId, std::vector<Pool*>> sharing_;  // the pools that a replica is in
   core::OpenRequests<OpenRequest> open_;
   absl::flat_hash_map<std::uint32_t, Timer> timers_;
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -16,11 +16,11 @@
 double work_of(const Request& request) { return std::max(1.0, request.prompt_tokens + request.max_tokens); }
 
 bool exceeds_context(const Model& model, const Request& request) {
-  return model.context > 0 && work_of(request) > model.context;
+  return model.context_tokens > 0 && work_of(request) > model.context_tokens;
 }
 
 bool exceeds_answer_limit(const Model& model, const Request& request) {
-  return model.most_answer > 0 && request.max_tokens > model.most_answer;
+  return model.max_answer_tokens > 0 && request.max_tokens > model.max_answer_tokens;
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
 }
 
 // Hands the request to a model's pool. False: the model cannot serve it, and its fallbacks are queued.
-bool Pools::try_model(OpenRequest& open, Number model_number, Origin origin) {
+bool Pools::try_model(OpenRequest& open, ModelId model_number, Origin origin) {
   const Catalogue& catalogue = options_.catalogue;
   const Model& model = catalogue.at(model_number);
   const double work = work_of(open.request);
@@ -55,14 +55,15 @@
   Pool& pool = *pools_.at(model_number);
   const bool too_long = exceeds_context(model, open.request) || exceeds_answer_limit(model, open.request);
   if (too_long || !pool.has_ready_replica()) {
-    open.fallbacks.push_fallbacks_of(catalogue, model_number, too_long ? When::too_long : When::missing);
+    open.fallbacks.push_fallbacks_of(catalogue, model_number,
+                                     too_long ? FallbackReason::too_long : FallbackReason::no_ready_replica);
     return false;
   }
   if (origin == Origin::own_model) {
     pool.slow_start().own(now_, work);
   } else if (!pool.slow_start().admits(now_, work)) {
-    ++metrics_.not_borne;
-    open.fallbacks.push_fallbacks_of(catalogue, model_number, When::overloaded);
+    ++metrics_.pool_refused;
+    open.fallbacks.push_fallbacks_of(catalogue, model_number, FallbackReason::overloaded);
     return false;
   }
   open.pool = &pool;
@@ -78,20 +79,20 @@
 bool Pools::try_fallbacks(OpenRequest& open) {
   if (open.fallbacks.empty()) return false;
   if (open.request.no_fallback) {
-    ++metrics_.forbidden;
+    ++metrics_.declined_by_client;
     return false;
   }
   if (open.attempts.size() >= options_.settings.max_attempts) {
-    ++metrics_.no_attempts;
+    ++metrics_.no_attempts_left;
     return false;
   }
   while (const std::optional<FallbackCandidate> candidate = open.fallbacks.pop()) {
-    if (open.request.deadline - now_ <= candidate->least_left) {
-      ++metrics_.no_time;
+    if (open.request.deadline - now_ <= candidate->min_remaining_time) {
+      ++metrics_.too_little_time;
       continue;
     }
     if (!fallback_budget_.spend()) {
-      ++metrics_.no_budget;
+      ++metrics_.fallback_budget_exhausted;
       return false;
     }
     if (try_model(open, candidate->model, Origin::other_model)) {
@@ -110,7 +111,7 @@
   if (is_known(request.model)) {
     const Model& model = options_.catalogue.at(request.model);
     allowance->subject = model.name;
-    allowance->limit = model.context;
+    allowance->limit = model.context_tokens;
   }
   const Settings& settings = options_.settings;
   Time retry_after = 0;
@@ -200,7 +201,7 @@
       action.allowance && action.allowance->rejection == Allowance::Rejection::limit_exceeded;
   if (!over_budget) pool.slow_start().rejected(now_);
   if (action.kind == ActionKind::reject) {
-    const When why = over_budget ? When::over_budget : When::overloaded;
+    const FallbackReason why = over_budget ? FallbackReason::over_budget : FallbackReason::overloaded;
     open->fallbacks.push_fallbacks_of(options_.catalogue, pool.model(), why);
     // An attempt in flight is ended before another one begins.
     const bool was_in_flight = open->attempt_in_flight;
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -40,16 +40,16 @@
 std::uint16_t subject_number(const config::BudgetEntry& entry, const std::string& key,
                              const std::string& name, const std::vector<std::string>& names,
                              ErrorLines& errors) {
-  if (name == "each") return budgets::kEach;
-  if (name == "all") return budgets::kAll;
+  if (name == "each") return budgets::kSeparateAccounts;
+  if (name == "all") return budgets::kSharedAccount;
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) errors.add(entry.line, "budget." + key + ": the settings have no '" + name + "'");
   return static_cast<std::uint16_t>(found - names.begin());
 }
 
 std::uint16_t model_number(const std::string& name, const models::Catalogue& catalogue) {
-  if (name == "each") return budgets::kEach;
-  if (name == "all") return budgets::kAll;
+  if (name == "each") return budgets::kSeparateAccounts;
+  if (name == "all") return budgets::kSharedAccount;
   return catalogue.find(name);
 }
 
@@ -57,13 +57,15 @@
   return static_cast<budgets::Units>(std::llround(tokens)) * budgets::kUnitsPerToken;
 }
 
-budgets::Rule rule_of(const config::BudgetEntry& entry) {
-  using budgets::Span;
-  static const std::map<std::string, Span> spans = {
-      {"second", Span::bucket}, {"minute", Span::minute}, {"hour", Span::hour}, {"day", Span::day}};
-  budgets::Rule rule;
-  rule.span = spans.at(entry.per);
-  const bool is_bucket = rule.span == Span::bucket;
+budgets::LimitRule rule_of(const config::BudgetEntry& entry) {
+  using budgets::LimitKind;
+  static const std::map<std::string, LimitKind> kinds = {{"second", LimitKind::bucket},
+                                                         {"minute", LimitKind::minute},
+                                                         {"hour", LimitKind::hour},
+                                                         {"day", LimitKind::day}};
+  budgets::LimitRule rule;
+  rule.kind = kinds.at(entry.per);
+  const bool is_bucket = rule.kind == LimitKind::bucket;
   rule.per_s = is_bucket ? units_of(entry.tokens) : 0;
   rule.amount = units_of(is_bucket && entry.burst > 0 ? entry.burst : entry.tokens);
   return rule;
@@ -74,7 +76,7 @@
   budgets::Budget budget;
   budget.name = entry.name;
   budget.member = subject_number(entry, "member", entry.member, config.names.tenants, errors);
-  budget.cls = subject_number(entry, "class", entry.cls, config.names.classes, errors);
+  budget.priority_class = subject_number(entry, "class", entry.cls, config.names.classes, errors);
   budget.model = model_number(entry.model, config.operator_file.catalogue);
   budget.hard = entry.hard;
   budget.rule = rule_of(entry);
@@ -126,7 +128,7 @@
     options.router_index = 1;
     options.router_count = 1;
   }
-  options.block_ratio = file.block;
+  options.block_fraction = file.block;
   options.soft_limit_weight = file.soft_worth;
   options.max_accounts = file.accounts;
   ErrorLines errors(config.operator_file.path);
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 struct FallbackName {
-  models::When reason;
+  models::FallbackReason reason;
   std::string_view name;
 };
 
@@ -49,18 +49,20 @@
 }
 
 void print_model_counters(const models::Pools& pools, std::ostream& out) {
-  static constexpr FallbackName reasons[] = {{models::When::missing, "missing"},
-                                             {models::When::overloaded, "overloaded"},
-                                             {models::When::over_budget, "over_budget"},
-                                             {models::When::too_long, "too_long"}};
+  static constexpr FallbackName reasons[] = {{models::FallbackReason::no_ready_replica, "missing"},
+                                             {models::FallbackReason::overloaded, "overloaded"},
+                                             {models::FallbackReason::over_budget, "over_budget"},
+                                             {models::FallbackReason::too_long, "too_long"}};
   const auto& metrics = pools.metrics();
   for (const auto& [reason, name] : reasons) {
     const auto found = metrics.fallbacks.find(reason);
     out << " fallback_" << name << "=" << (found == metrics.fallbacks.end() ? 0 : found->second);
   }
-  out << " fallback_forbidden=" << metrics.forbidden << " fallback_no_budget=" << metrics.no_budget
-      << " fallback_not_borne=" << metrics.not_borne << " fallback_no_time=" << metrics.no_time
-      << " fallback_no_attempts=" << metrics.no_attempts << " adapter_moves=" << metrics.placements;
+  out << " fallback_forbidden=" << metrics.declined_by_client
+      << " fallback_no_budget=" << metrics.fallback_budget_exhausted
+      << " fallback_not_borne=" << metrics.pool_refused << " fallback_no_time=" << metrics.too_little_time
+      << " fallback_no_attempts=" << metrics.no_attempts_left
+      << " adapter_moves=" << metrics.placement_changes;
 }
 
 }  // namespace thornwick::node
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -31,7 +31,7 @@
 // ---------------------------------------------------------------- accounts
 
 std::int64_t QuotaLeaseClient::window_of(const Account& account, Time wall) {
-  return is_bucket_rule(account) ? 0 : wall / budgets::length_of(account.rule.span);
+  return is_bucket_rule(account) ? 0 : wall / budgets::window_length(account.rule.kind);
 }
 
 Units QuotaLeaseClient::block_of(const Account& account) const {
@@ -51,8 +51,9 @@
   return lease.in_hand() < target_in_hand(account) / 2;
 }
 
-QuotaLeaseClient::Place QuotaLeaseClient::open(const std::string& key, const budgets::Rule& rule) {
-  const auto place = static_cast<Place>(accounts_.size());
+QuotaLeaseClient::AccountIndex QuotaLeaseClient::open(const std::string& key,
+                                                      const budgets::LimitRule& rule) {
+  const auto place = static_cast<AccountIndex>(accounts_.size());
   Account& account = accounts_.emplace_back();
   account.key = key;
   account.rule = rule;
@@ -62,9 +63,9 @@
   return place;
 }
 
-void QuotaLeaseClient::change(Place place, const budgets::Rule& rule) {
+void QuotaLeaseClient::change(AccountIndex place, const budgets::LimitRule& rule) {
   Account& account = accounts_.at(place);
-  if (rule.span != account.rule.span) account.leases.clear();
+  if (rule.kind != account.rule.kind) account.leases.clear();
   account.rule = rule;
   request_update(place, Urgency::at_once);
 }
@@ -76,7 +77,7 @@
 }
 
 // While a request is in flight, the next one is sent right after its response.
-void QuotaLeaseClient::request_update(Place place, Urgency urgency) {
+void QuotaLeaseClient::request_update(AccountIndex place, Urgency urgency) {
   Account& account = accounts_[place];
   account.is_changed = true;
   if (urgency != Urgency::at_once) return;
@@ -88,7 +89,7 @@
   next_ = std::min(next_, channel.due_at);
 }
 
-bool QuotaLeaseClient::reserve(Place place, Units units, Time wall) {
+bool QuotaLeaseClient::reserve(AccountIndex place, Units units, Time wall) {
   now_ = std::max(now_, wall);
   Account& account = accounts_.at(place);
   const Channel& channel = channels_[account.ledger];
@@ -122,28 +123,28 @@
   return true;
 }
 
-void QuotaLeaseClient::settle(Place place, Units reserved, Units used, Time at, Time wall) {
+void QuotaLeaseClient::settle(AccountIndex place, Units reserved, Units used, Time at, Time wall) {
   now_ = std::max(now_, wall);
   Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, at));
   if (found == account.leases.end()) return;  // its window has long passed
   HeldLease& lease = found->second;
   lease.reserved = std::max<Units>(0, lease.reserved - reserved);
-  lease.used = budgets::sum_of(lease.used, used);
-  account.used_since_request = budgets::sum_of(account.used_since_request, used);
+  lease.used = budgets::saturating_sum(lease.used, used);
+  account.used_since_request = budgets::saturating_sum(account.used_since_request, used);
   request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_request);
 }
 
-QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(Place place, Units wanted, Time wall) {
+QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(AccountIndex place, Units wanted, Time wall) {
   const Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, wall));
   const bool known = found != account.leases.end() && found->second.known;
   const Units left =
       known ? std::max<Units>(0, found->second.available + found->second.in_hand()) : account.rule.amount;
   budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
-  QuotaStatus status{.left = left,
-                     .reset = limit.until_full(wall),
-                     .retry_after = limit.until(wanted, wall),
+  QuotaStatus status{.remaining = left,
+                     .reset_after = limit.time_until_full(wall),
+                     .retry_after = limit.time_until(wanted, wall),
                      .awaiting_lease = left >= wanted};
   // A lease in flight, and a refill, take a moment to arrive at this router.
   if (status.retry_after && (status.awaiting_lease || is_bucket_rule(account))) {
@@ -155,7 +156,7 @@
 LeaseRequestLine QuotaLeaseClient::describe(const Account& account, std::int64_t window) {
   LeaseRequestLine line;
   line.key = account.key;
-  line.span = static_cast<std::uint8_t>(account.rule.span);
+  line.span = static_cast<std::uint8_t>(account.rule.kind);
   line.amount = account.rule.amount;
   line.per_s = account.rule.per_s;
   line.window = window;
--- a/tests/budgets/limits.cpp
+++ b/tests/budgets/limits.cpp
@@ -24,7 +24,7 @@
 
 Budget per_minute(Units tokens, bool hard = true) {
   Budget b;
-  b.name = "minute", b.rule = {Span::minute, tokens * kUnitsPerToken, 0}, b.hard = hard;
+  b.name = "minute", b.rule = {LimitKind::minute, tokens * kUnitsPerToken, 0}, b.hard = hard;
   return b;
 }
 
@@ -43,7 +43,7 @@
     pending.push_back({key, state});
     return ++taken;
   }
-  std::uint64_t durable() const override { return written; }
+  std::uint64_t last_durable_record() const override { return written; }
   void write(std::size_t count) {
     for (; count > 0 && !pending.empty(); --count) {
       disk[pending.front().first] = pending.front().second;
@@ -62,14 +62,14 @@
 TEST_CASE("a window gives its amount once, whatever the clock does") {
   holds("within one window", [] {
     const Units amount = *rc::gen::inRange<Units>(0, 1'000'000);
-    Limit limit({Span::minute, amount, 0}, kStart);
+    Limit limit({LimitKind::minute, amount, 0}, kStart);
     Units taken = 0;
     for (int i = 0; i < 50; ++i) {
       const Time at =
           kStart - kStart % 60'000'000 + *rc::gen::inRange<Time>(0, 60'000'000);  // to and fro within it
       const Units units = *rc::gen::inRange<Units>(0, 100'000);
-      if (limit.left(at) >= units) limit.take(units, at), taken += units;
-      RC_ASSERT(limit.left(at) == amount - taken);
+      if (limit.remaining(at) >= units) limit.take(units, at), taken += units;
+      RC_ASSERT(limit.remaining(at) == amount - taken);
     }
     RC_ASSERT(taken <= amount);
   });
@@ -78,18 +78,18 @@
 TEST_CASE("a clock that steps back gives nothing anew, and one that steps on gives one window at the most") {
   holds("steps", [] {
     const Units amount = 1000;
-    Limit limit({Span::minute, amount, 0}, kStart);
+    Limit limit({LimitKind::minute, amount, 0}, kStart);
     Time at = kStart, latest = kStart - kStart % 60'000'000;
     Units given = amount;
     for (int i = 0; i < 40; ++i) {
       const Time before = at - at % 60'000'000;
       at += *rc::gen::inRange<Time>(-200'000'000, 200'000'000);
       const Time now = at - at % 60'000'000;
-      const Units left = limit.left(at);
+      const Units left = limit.remaining(at);
       if (now > before) given += amount;
       latest = std::max(latest, now);
       limit.take(left, at);
-      RC_ASSERT(limit.left(at) == 0);
+      RC_ASSERT(limit.remaining(at) == 0);
       RC_ASSERT(now > before || left == 0 || i == 0);
     }
   });
@@ -98,59 +98,60 @@
 TEST_CASE("a bucket never gives more than its burst and its rate, and loses no fraction") {
   holds("bucket", [] {
     const Units burst = *rc::gen::inRange<Units>(1, 100'000), per_s = *rc::gen::inRange<Units>(0, 100'000);
-    Limit limit({Span::bucket, burst, per_s}, kStart);
+    Limit limit({LimitKind::bucket, burst, per_s}, kStart);
     Time at = kStart;
     Units taken = 0;
     for (int i = 0; i < 100; ++i) {
       at += *rc::gen::inRange<Time>(0, 50'000);
       const Units units = *rc::gen::inRange<Units>(0, 20'000);
-      if (limit.left(at) >= units) limit.take(units, at), taken += units;
+      if (limit.remaining(at) >= units) limit.take(units, at), taken += units;
       const double most =
           static_cast<double>(burst) + static_cast<double>(per_s) * static_cast<double>(at - kStart) / 1e6;
       RC_ASSERT(static_cast<double>(taken) <= most + 1e-6);
     }
   });
   // A thousandth of a unit each microsecond: after 10^6 small steps nothing of it is lost.
-  Limit slow({Span::bucket, 10'000, 1000}, kStart);
+  Limit slow({LimitKind::bucket, 10'000, 1000}, kStart);
   slow.take(10'000, kStart);
-  for (Time at = kStart; at <= kStart + 1'000'000; at += 7) slow.left(at);
-  CHECK(slow.left(kStart + 1'000'000) == 1000);
+  for (Time at = kStart; at <= kStart + 1'000'000; at += 7) slow.remaining(at);
+  CHECK(slow.remaining(kStart + 1'000'000) == 1000);
 }
 
 TEST_CASE("the time until there is room is true: not a microsecond sooner, and then it is there") {
   holds("until", [] {
-    const auto span = *rc::gen::element(Span::bucket, Span::minute, Span::hour, Span::day);
+    const auto span =
+        *rc::gen::element(LimitKind::bucket, LimitKind::minute, LimitKind::hour, LimitKind::day);
     const Units amount = *rc::gen::inRange<Units>(1, 1'000'000);
-    const Rule rule{span, amount, span == Span::bucket ? *rc::gen::inRange<Units>(1, 1000) : 0};
+    const LimitRule rule{span, amount, span == LimitKind::bucket ? *rc::gen::inRange<Units>(1, 1000) : 0};
     Limit limit(rule, kStart);
     const Time at = kStart + *rc::gen::inRange<Time>(0, 100'000'000);
     limit.take(*rc::gen::inRange<Units>(0, 2 * amount), at);
     const Units wanted = *rc::gen::inRange<Units>(0, amount + 1);
-    const auto wait = limit.until(wanted, at);
+    const auto wait = limit.time_until(wanted, at);
     RC_ASSERT(wait.has_value());
     Limit then = limit;
-    RC_ASSERT(then.left(at + *wait) >= wanted);
+    RC_ASSERT(then.remaining(at + *wait) >= wanted);
     Limit sooner = limit;
-    if (*wait > 0) RC_ASSERT(sooner.left(at + *wait - 1) < wanted);
-    RC_ASSERT(!limit.until(amount + 1, at).has_value());
+    if (*wait > 0) RC_ASSERT(sooner.remaining(at + *wait - 1) < wanted);
+    RC_ASSERT(!limit.time_until(amount + 1, at).has_value());
   });
 }
 
 TEST_CASE("amounts at the edge of what is counted are cut, not wrapped") {
-  Limit limit({Span::day, kMostUnits, kMostUnits}, kStart);
-  limit.take(kMostUnits, kStart);
-  limit.take(kMostUnits, kStart);
-  limit.take(kMostUnits, kStart);
-  CHECK(limit.left(kStart) == -kMostUnits);
-  limit.give_back(kMostUnits, kStart, kStart);
-  limit.give_back(kMostUnits, kStart, kStart);
-  limit.give_back(kMostUnits, kStart, kStart);
-  CHECK(limit.left(kStart) == kMostUnits);
-  Limit bucket({Span::bucket, kMostUnits, kMostUnits}, 0);
-  bucket.take(kMostUnits, 0);
-  CHECK(bucket.left(std::numeric_limits<Time>::max() / 2) == kMostUnits);
-  CHECK(sum_of(kMostUnits, kMostUnits) == kMostUnits);
-  CHECK(product_of(kMostUnits, 1000) == kMostUnits);
+  Limit limit({LimitKind::day, kMaxUnits, kMaxUnits}, kStart);
+  limit.take(kMaxUnits, kStart);
+  limit.take(kMaxUnits, kStart);
+  limit.take(kMaxUnits, kStart);
+  CHECK(limit.remaining(kStart) == -kMaxUnits);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  limit.give_back(kMaxUnits, kStart, kStart);
+  CHECK(limit.remaining(kStart) == kMaxUnits);
+  Limit bucket({LimitKind::bucket, kMaxUnits, kMaxUnits}, 0);
+  bucket.take(kMaxUnits, 0);
+  CHECK(bucket.remaining(std::numeric_limits<Time>::max() / 2) == kMaxUnits);
+  CHECK(saturating_sum(kMaxUnits, kMaxUnits) == kMaxUnits);
+  CHECK(saturating_product(kMaxUnits, 1000) == kMaxUnits);
 }
 
 TEST_CASE("a budget of nothing refuses all but what costs nothing") {
@@ -166,8 +167,8 @@
     Options options;
     options.members = {"a", "b", "c"}, options.models = {"m", "n"}, options.classes = {"x", "y"};
     Budget each = per_minute(500), model = per_minute(900), all = per_minute(1200);
-    model.name = "model", model.member = kAll, model.model = kEach;
-    all.name = "all", all.member = kAll;
+    model.name = "model", model.member = kSharedAccount, model.model = kSeparateAccounts;
+    all.name = "all", all.member = kSharedAccount;
     options.budgets = {each, model, all};
     Accounts accounts(options);
     struct Open {
@@ -206,7 +207,7 @@
     }
     for (const auto& o : open) accounts.settle(o.id, 0, kStart);
     RC_ASSERT(accounts.open() == 0);
-    RC_ASSERT(accounts.metrics().reserved == 0);
+    RC_ASSERT(accounts.metrics().reserved_units == 0);
   });
 }
 
@@ -239,25 +240,25 @@
   for (std::uint16_t member = 0; member < 1000; ++member)
     accounts.settle(accounts.reserve({member, 0, 0}, 1, kStart).id, 1, kStart);
   CHECK(accounts.size() <= 11);
-  CHECK(accounts.metrics().shared >= 900);
+  CHECK(accounts.metrics().on_shared_account >= 900);
 }
 
 TEST_CASE("new limits keep what was used, and what is open is settled where it was reserved") {
   Accounts accounts(one(per_minute(100)));
   const Grant open = accounts.reserve({}, 60'000, kStart);
-  accounts.change(one(per_minute(200)), kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 140'000);
+  accounts.replace_options(one(per_minute(200)), kStart);
+  CHECK(accounts.quota_status({}, kStart).remaining == 140'000);
   accounts.settle(open.id, 10'000, kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 190'000);
-  accounts.change(one(per_minute(5)), kStart);
-  CHECK(accounts.quota_status({}, kStart).left == 0);
+  CHECK(accounts.quota_status({}, kStart).remaining == 190'000);
+  accounts.replace_options(one(per_minute(5)), kStart);
+  CHECK(accounts.quota_status({}, kStart).remaining == 0);
   CHECK(accounts.reserve({}, 1000, kStart).denial.has_value());
 }
 
 TEST_CASE("after a kill at any moment no more than one block of a limit is granted twice") {
   holds("kills", [] {
     Options options = one(per_minute(1000));
-    options.block_ratio = 0.05;
+    options.block_fraction = 0.05;
     const Units limit = 1'000'000, block = 50'000;
     SlowJournal journal;
     auto accounts = std::make_unique<Accounts>(options, &journal);
@@ -291,14 +292,14 @@
   journal.write(100);
   Accounts after(options, &journal);
   for (const auto& [key, state] : journal.disk) after.restore(key, state);
-  CHECK(after.quota_status({1, 0, 0}, kStart).left == 1'000'000 - 12'345);
-  CHECK(after.quota_status({0, 0, 0}, kStart).left == 1'000'000);
+  CHECK(after.quota_status({1, 0, 0}, kStart).remaining == 1'000'000 - 12'345);
+  CHECK(after.quota_status({0, 0, 0}, kStart).remaining == 1'000'000);
 }
 
 TEST_CASE("a journal whose disk stands still holds grants to one block, and says that it is behind") {
   SlowJournal journal;
   Options options = one(per_minute(1000));
-  options.block_ratio = 0.05;
+  options.block_fraction = 0.05;
   Accounts accounts(options, &journal);
   Units granted = 0;
   for (int i = 0; i < 100; ++i) {
--- a/tests/models/catalogue.cpp
+++ b/tests/models/catalogue.cpp
@@ -14,25 +14,25 @@
 
 Model plain(const std::string& name, double context = 1000) {
   Model m;
-  m.name = name, m.context = context, m.serving.models = {name};
+  m.name = name, m.context_tokens = context, m.replica_selector.models = {name};
   return m;
 }
 
 std::string faults(const Catalogue& c) {
   std::string all;
-  for (const auto& f : faults_of(c)) all += std::to_string(f.line) + " " + f.text + "\n";
+  for (const auto& f : validate(c)) all += std::to_string(f.line) + " " + f.text + "\n";
   return all;
 }
 
-constexpr auto kMissing = static_cast<std::uint8_t>(When::missing),
-               kLong = static_cast<std::uint8_t>(When::too_long);
+constexpr auto kMissing = static_cast<std::uint8_t>(FallbackReason::no_ready_replica),
+               kLong = static_cast<std::uint8_t>(FallbackReason::too_long);
 
-Placement::Adapter adapter(Number number, const std::string& name, std::size_t least = 1,
+Placement::Adapter adapter(ModelId number, const std::string& name, std::size_t least = 1,
                            std::size_t most = 1000) {
   return {number, name, least, most};
 }
 
-std::set<ReplicaId> replicas_of(const Placement& p, Number number) {
+std::set<ReplicaId> replicas_of(const Placement& p, ModelId number) {
   std::set<ReplicaId> all;
   for (const auto& l : p.replicas_of(number)) all.insert(l.replica);
   return all;
@@ -46,8 +46,8 @@
   for (std::size_t i = 0; i < c.models.size(); ++i) c.models[i].line = static_cast<std::uint32_t>(10 + i);
   c.models[0].fallbacks = {
       {"b", kMissing, 0, 21}, {"x", kMissing, 0, 22}, {"a", kMissing, 0, 23}, {"c", kLong, 0, 24}};
-  c.models[3].base = "nobody", c.models[3].serving = {};
-  c.models[4].serving = {};
+  c.models[3].base_model = "nobody", c.models[3].replica_selector = {};
+  c.models[4].replica_selector = {};
   c.aliases = {{"b", "a", 30}, {"latest", "z", 31}};
   CHECK(faults(c) ==
         "12 model.a: there are two of this name\n"
@@ -75,14 +75,14 @@
   Catalogue old, fresh;
   old.models = {plain("a"), plain("b"), plain("c")};
   fresh.models = {plain("d"), plain("c"), plain("a", 2000)};
-  const Catalogue all = renumbered(old, fresh);
+  const Catalogue all = with_stable_ids(old, fresh);
   CHECK(all.find("a") == old.find("a"));
   CHECK(all.find("c") == old.find("c"));
   CHECK(all.find("b") == 0);
   CHECK(all.find("d") == 4);
-  CHECK(all.at(all.find("a")).context == 2000);
-  CHECK(all.at(2).gone);
-  CHECK(renumbered(all, old).find("b") == 2);
+  CHECK(all.at(all.find("a")).context_tokens == 2000);
+  CHECK(all.at(2).removed);
+  CHECK(with_stable_ids(all, old).find("b") == 2);
 }
 
 TEST_CASE(
@@ -90,11 +90,11 @@
     "agree") {
   REQUIRE(rc::check("placement", [] {
     const auto replicas = *rc::gen::inRange<ReplicaId>(1, 40);
-    const auto adapters = *rc::gen::inRange<Number>(1, 12);
+    const auto adapters = *rc::gen::inRange<ModelId>(1, 12);
     const auto on_box = *rc::gen::inRange<std::size_t>(1, 5);
     Placement one({.adapters_per_replica = on_box}), two({.adapters_per_replica = on_box});
     std::vector<Placement::Adapter> list;
-    for (Number a = 1; a <= adapters; ++a)
+    for (ModelId a = 1; a <= adapters; ++a)
       list.push_back(adapter(a, "adapter-" + std::to_string(a), 1 + a % 3));
     std::vector<ReplicaId> ids;
     for (ReplicaId id = 1; id <= replicas; ++id) ids.push_back(id * 7919);
@@ -140,7 +140,7 @@
 TEST_CASE("a replica that goes moves only what it had") {
   Placement p({.adapters_per_replica = 4});
   std::vector<Placement::Adapter> list;
-  for (Number a = 1; a <= 8; ++a) list.push_back(adapter(a, "adapter-" + std::to_string(a), 2));
+  for (ModelId a = 1; a <= 8; ++a) list.push_back(adapter(a, "adapter-" + std::to_string(a), 2));
   p.set_adapters(list);
   std::vector<ReplicaId> ids;
   for (ReplicaId id = 1; id <= 20; ++id) ids.push_back(id);
--- a/tests/models/pools.cpp
+++ b/tests/models/pools.cpp
@@ -34,15 +34,16 @@
 Model model(const std::string& name, std::vector<std::string> served_by) {
   Model m;
   m.name = name;
-  m.serving.models = std::move(served_by);
-  m.context = 32'000;
+  m.replica_selector.models = std::move(served_by);
+  m.context_tokens = 32'000;
   m.price = {1000, 250, 3000};
   return m;
 }
 
-constexpr auto kAlways =
-    static_cast<std::uint8_t>(When::missing) | static_cast<std::uint8_t>(When::overloaded) |
-    static_cast<std::uint8_t>(When::over_budget) | static_cast<std::uint8_t>(When::too_long);
+constexpr auto kAlways = static_cast<std::uint8_t>(FallbackReason::no_ready_replica) |
+                         static_cast<std::uint8_t>(FallbackReason::overloaded) |
+                         static_cast<std::uint8_t>(FallbackReason::over_budget) |
+                         static_cast<std::uint8_t>(FallbackReason::too_long);
 
 Catalogue two_models() {
   Catalogue c;
@@ -64,11 +65,11 @@
 budgets::Budget daily(const std::string& name, budgets::Units tokens) {
   budgets::Budget b;
   b.name = name;
-  b.rule = {budgets::Span::day, tokens * budgets::kUnitsPerToken, 0};
+  b.rule = {budgets::LimitKind::day, tokens * budgets::kUnitsPerToken, 0};
   return b;
 }
 
-Request request(Number number, double prompt = 100, double most = 100) {
+Request request(ModelId number, double prompt = 100, double most = 100) {
   Request r;
   r.model = number, r.prompt_tokens = prompt, r.max_tokens = most;
   return r;
@@ -81,7 +82,7 @@
     pending.emplace_back(key, state);
     return ++taken;
   }
-  std::uint64_t durable() const override { return written; }
+  std::uint64_t last_durable_record() const override { return written; }
   void write() {
     for (; !pending.empty(); pending.pop_front(), ++written)
       disk[pending.front().first] = pending.front().second;
@@ -131,8 +132,8 @@
   REQUIRE(world.answers[rejected].rejected);
   CHECK(world.answers[rejected].rejected->rejection == Allowance::Rejection::no_replica);
   CHECK(world.answers[rejected].retry_after > 0);
-  CHECK(world.pools->metrics().fallbacks.at(When::missing) == 1);
-  CHECK(world.pools->metrics().forbidden == 1);
+  CHECK(world.pools->metrics().fallbacks.at(FallbackReason::no_ready_replica) == 1);
+  CHECK(world.pools->metrics().declined_by_client == 1);
 }
 
 // A cached list was once handed on as a full one: no module ever asked discovery, and drains were missed.
@@ -156,7 +157,7 @@
 
 TEST_CASE("a request longer than the context goes to a model that holds it, or is rejected with the reason") {
   Catalogue c = two_models();
-  c.models[1].context = 128'000;
+  c.models[1].context_tokens = 128'000;
   World world(settings(), c, {}, nullptr, 1);
   world.add_replica("b-1", "L"), world.add_replica("b-2", "S");
   world.start();
@@ -171,7 +172,7 @@
   Catalogue c = two_models();
   c.models.push_back(model("tiny", {"T"}));
   c.models[1].fallbacks = {{"tiny", kAlways, 0, 1}};
-  c.limits.fallback_part = 1, c.limits.first_part = 1;
+  c.limits.fallback_fraction = 1, c.limits.initial_fallback_fraction = 1;
   World world(settings(), c, {}, nullptr, 3);
   for (int i = 0; i < 9; ++i)
     world.add_replica("b-" + std::to_string(i), i % 3 == 0 ? "L" : i % 3 == 1 ? "S" : "T");
@@ -180,7 +181,7 @@
     if (replica.names.model == "L") replica.faults = Faults{.full = 700, .rejected = 200};
   }
   world.start();
-  for (int i = 0; i < 4000; ++i) world.ask(request(static_cast<Number>(1 + i % 3))), world.run(3000);
+  for (int i = 0; i < 4000; ++i) world.ask(request(static_cast<ModelId>(1 + i % 3))), world.run(3000);
   world.run(20'000'000);
   CHECK(world.twice == 0);
   CHECK(world.too_many == 0);
@@ -230,14 +231,14 @@
       INFO("seed " << seed << ", replica " << b << ": " << worst << " times what it can do");
       CHECK(worst <= 3);
     }
-    CHECK(world.pools->metrics().not_borne > 0);
+    CHECK(world.pools->metrics().pool_refused > 0);
     for (const auto& a : world.answers) CHECK(a.over);
   }
 }
 
 TEST_CASE(
     "the pool that bears a fallback gets more of it, second by second, and less at once when it does not") {
-  SlowStartController bearing({.first_part = 0.1, .growth_per_s = 1}, 6'000'000);
+  SlowStartController bearing({.initial_fallback_fraction = 0.1, .fallback_growth_per_s = 1}, 6'000'000);
   const Endpoint warm{.id = 1}, other{.id = 2};
   const std::vector<Endpoint> replicas = {warm, other};
   bearing.set_replicas(replicas);
@@ -290,9 +291,9 @@
     "time") {
   Catalogue c;
   c.models = {model("large", {"L"}), model("large-triage", {})};
-  c.models[1].base = "large", c.models[1].serving = {}, c.models[1].loading = 8'000'000;
+  c.models[1].base_model = "large", c.models[1].replica_selector = {}, c.models[1].load_time = 8'000'000;
   c.models[1].min_replicas = 2, c.models[1].max_replicas = 4;
-  REQUIRE(faults_of(c).empty());
+  REQUIRE(validate(c).empty());
   World world(settings(), c, {}, nullptr, 1);
   for (int i = 0; i < 8; ++i) world.add_replica("l-" + std::to_string(i), "L");
   world.start();
@@ -341,7 +342,7 @@
   CHECK(world.replicas[0].attempts + world.replicas[1].attempts + world.replicas[2].attempts == 1);
   CHECK(world.charged == 100 * budgets::kUnitsPerToken);
   CHECK(world.charged == world.tallies());
-  CHECK(world.quota_service->accounts.quota_status({0, 1, 0}, world.clock()).left ==
+  CHECK(world.quota_service->accounts.quota_status({0, 1, 0}, world.clock()).remaining ==
         320 * budgets::kUnitsPerToken);
   CHECK(world.quota_service->accounts.open() == 0);
 }
@@ -394,7 +395,7 @@
   std::uint64_t next = 0;
   int kills = 0;
   for (int i = 0; i < 100'000; ++i) {
-    Request r = request(static_cast<Number>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
+    Request r = request(static_cast<ModelId>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
     r.tenant = static_cast<std::uint16_t>(i % 3);
     world.ask(r);
     world.run(2000);
@@ -407,7 +408,7 @@
     budgets::Units used = 0;
     for (std::uint16_t m = 0; m < 3; ++m) {
       const auto s = world.quota_service->accounts.quota_status({m, 1, 0}, world.clock());
-      used += s.limit - s.left;
+      used += s.limit - s.remaining;
     }
     // Nothing is forgotten beyond a block for each account, and no more than its blocks ahead is held to be
     // used.
@@ -424,7 +425,7 @@
 TEST_CASE(
     "after 100,000 mixed requests with faults, charges equal the replicas' own counts token for token") {
   budgets::Budget everyone = daily("all", 1'000'000'000);
-  everyone.member = budgets::kAll;
+  everyone.member = budgets::kSharedAccount;
   World world(settings(), two_models(), budgets_of({daily("day", 1'000'000'000), everyone}), nullptr, 7);
   for (int i = 0; i < 8; ++i) world.add_replica("b-" + std::to_string(i), i % 2 == 0 ? "L" : "S");
   world.prompt_of_ = [&](core::AttemptId id) { return 50.0 + static_cast<double>(id.request_id % 200); };
@@ -433,7 +434,7 @@
   world.start();
   std::uint64_t next = 0;
   for (int i = 0; i < 100'000; ++i) {
-    Request r = request(static_cast<Number>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
+    Request r = request(static_cast<ModelId>(1 + i % 2), 50.0 + static_cast<double>(++next % 200), 80);
     r.tenant = static_cast<std::uint16_t>(i % 3), r.priority_class = static_cast<std::uint8_t>(i % 2);
     world.ask(r);
     world.run(2000);
@@ -449,7 +450,7 @@
   // And the accounts say the same: each member's own, and together.
   budgets::Units used = 0;
   for (const auto& line : world.quota_service->accounts.summaries(world.clock())) {
-    if (line.key.starts_with("day|")) used += line.limit - line.left;
+    if (line.key.starts_with("day|")) used += line.limit - line.remaining;
   }
   CHECK(used == world.charged);
 }
