--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -65,7 +65,7 @@
       if (!node.suspended) flush(event.router);
       return;
     case EventKind::end:
-      if (event.version == node.identity.run) kill(event.router);
+      if (event.version == node.identity.instance_id) kill(event.router);
       return;
     case EventKind::view: return;
   }
@@ -121,21 +121,21 @@
 
 membership::Identity Group::next_identity(const Node& node, Disk disk) {
   membership::Identity identity = node.identity;
-  if (disk == Disk::older && node.older.disk != 0) identity = node.older;
-  const bool first = node.identity.disk == 0;
+  if (disk == Disk::older && node.older.disk_id != 0) identity = node.older;
+  const bool first = node.identity.disk_id == 0;
   if (disk == Disk::empty || first) {
-    identity.disk = static_cast<std::uint32_t>(random_.bits()) | 1;
-    identity.start = 0;
+    identity.disk_id = static_cast<std::uint32_t>(random_.bits()) | 1;
+    identity.start_number = 0;
   }
-  ++identity.start;
-  identity.run = static_cast<std::uint32_t>(random_.bits()) | 1;
+  ++identity.start_number;
+  identity.instance_id = static_cast<std::uint32_t>(random_.bits()) | 1;
   return identity;
 }
 
 void Group::start(std::size_t router, Disk disk) {
   Node& node = nodes_[router];
   if (node.swim) return;
-  const bool first = node.identity.disk == 0;
+  const bool first = node.identity.disk_id == 0;
   const membership::Identity identity = next_identity(node, disk);
   // An older copy of the disk is what it was before the last start.
   node.older = disk == Disk::kept && !first ? node.identity : membership::Identity{};
@@ -167,7 +167,7 @@
 void Group::shut_down(std::size_t router) {
   if (!running(router)) return;
   nodes_[router].swim->leave(now_);
-  schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.run);
+  schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.instance_id);
   flush(router);
 }
 
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -96,7 +96,7 @@
   void check_incarnation(std::size_t observer, std::size_t member) {
     if (!group_.up(observer) || !group_.up(member)) return;
     const auto& view = group_.at(observer).view(member);
-    const bool same_process = view.identity.run == group_.identity(member).run;
+    const bool same_process = view.identity.instance_id == group_.identity(member).instance_id;
     if (same_process && view.incarnation > group_.at(member).incarnation())
       fail(fmt::format("r{:03} knows an incarnation of r{:03} that it never had", observer, member));
   }
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -204,7 +204,7 @@
   options.quota_client.roster = roster_;
   options.quota_client.lease = kLeaseDuration;
   options.quota_client.ledgers = options_.ledgers;
-  options.quota_client.run = static_cast<std::uint32_t>(random_.bits());
+  options.quota_client.instance_id = static_cast<std::uint32_t>(random_.bits());
   options.quota_client.block = kLeaseBlock;
   options.quota_client.response_timeout = kClientPatience;
   options.quota_client.overdraft = options_.overdraft;
@@ -290,7 +290,7 @@
     if (!member.votes || replica == nullptr) continue;
     if (replica->process().id != member.id || replica->stage() != replication::Stage::member) continue;
     if (replica->consensus() == nullptr) continue;
-    const bool complete = replica->consensus()->position().last + 1 >= leader.consensus()->committed();
+    const bool complete = replica->consensus()->position().last_index + 1 >= leader.consensus()->committed();
     if (complete && replica->consensus()->committed() > 0) routers_[router].recovering.erase(ledger);
   }
 }
--- a/src/membership/claim_handler.cpp
+++ b/src/membership/claim_handler.cpp
@@ -126,7 +126,7 @@
 void ClaimHandler::on_claim_about_self(const Claim& claim) {
   const MemberView& own = state_.own().view;
   if (claim.incarnation < own.incarnation) return;
-  if (claim.identity.run != own.identity.run) return identities_.on_rival(claim);
+  if (claim.identity.instance_id != own.identity.instance_id) return identities_.on_rival(claim);
   const bool true_claim =
       claim.claim_kind == ClaimKind::alive || (claim.claim_kind == ClaimKind::leaving && state_.leaving);
   if (true_claim && claim.incarnation == own.incarnation) return;
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -8,10 +8,10 @@
 
 void add_member(std::ostream& out, const MemberRecord& member) {
   const MemberView& view = member.view;
-  out << static_cast<int>(view.state) << ' ' << view.incarnation << ' ' << view.identity.run << ' '
+  out << static_cast<int>(view.state) << ' ' << view.incarnation << ' ' << view.identity.instance_id << ' '
       << static_cast<int>(view.recovery) << view.name_conflict << member.failed_rounds << ' '
       << member.indirect_excuses << member.probing << member.warn << member.answered_since_reset << ' '
-      << member.superseded_runs.size() << ' ' << view.stops << ';';
+      << member.superseded_instances.size() << ' ' << view.stops << ';';
 }
 
 void add_round(std::ostream& out, const ProbeRound& round, Time now) {
--- a/src/membership/identity_tracker.hpp
+++ b/src/membership/identity_tracker.hpp
@@ -27,11 +27,11 @@
  private:
   enum class Known { before, now_first };
 
-  Known supersede(MemberRecord& record, std::uint32_t old_run, std::uint32_t new_run);
-  void on_superseded_run_returned(std::size_t member);
+  Known supersede(MemberRecord& record, std::uint32_t old_instance, std::uint32_t new_instance);
+  void on_superseded_instance_returned(std::size_t member);
   void report_restart(std::size_t member, const Identity& before, const Identity& after);
   void report_own_recovery(const Identity& known);
-  std::deque<Rival>::iterator find_rival(std::uint32_t run);
+  std::deque<Rival>::iterator find_rival(std::uint32_t instance_id);
 
   SwimState& state_;
   Time now_;
--- a/src/membership/member_record.hpp
+++ b/src/membership/member_record.hpp
@@ -41,8 +41,8 @@
       0;  // the latest at which this router contradicted a suspicion of it
 
   // Processes under its name.
-  std::deque<std::uint32_t> superseded_runs;  // the latest last
-  std::uint32_t returns = 0;                  // recent claims of superseded runs
+  std::deque<std::uint32_t> superseded_instances;  // the latest last
+  std::uint32_t returns = 0;                       // recent claims of superseded runs
   Time returned_at = 0;
   Time conflict_at = 0;  // when `view.name_conflict` was last confirmed
 
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -32,9 +32,9 @@
   void claim(const Claim& claim) {
     number(claim.member);
     number<1>(static_cast<std::uint8_t>(claim.claim_kind));
-    number(claim.identity.disk);
-    number(claim.identity.start);
-    number(claim.identity.run);
+    number(claim.identity.disk_id);
+    number(claim.identity.start_number);
+    number(claim.identity.instance_id);
     number<kIncarnationBytes>(std::min(claim.incarnation, kMostIncarnation));
   }
   void checksum() { number<kSumBytes>(XXH32(bytes_.data(), bytes_.size(), 0)); }
@@ -65,9 +65,9 @@
     claim.member = number32();
     const std::uint8_t kind = byte();
     claim.claim_kind = static_cast<ClaimKind>(kind);
-    claim.identity.disk = number32();
-    claim.identity.start = number32();
-    claim.identity.run = number32();
+    claim.identity.disk_id = number32();
+    claim.identity.start_number = number32();
+    claim.identity.instance_id = number32();
     claim.incarnation = number<kIncarnationBytes>();
     if (kind > static_cast<std::uint8_t>(ClaimKind::leaving) || claim.member == 0) return std::nullopt;
     return claim;
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -18,9 +18,9 @@
 
 // Identifies the process that uses a router's name.
 struct Identity {
-  std::uint32_t disk = 0;   // drawn at random when the state file was made
-  std::uint32_t start = 0;  // counted in that file
-  std::uint32_t run = 0;    // drawn at random by the process
+  std::uint32_t disk_id = 0;       // drawn at random when the state file was made
+  std::uint32_t start_number = 0;  // counted in that file
+  std::uint32_t instance_id = 0;   // drawn at random by the process
 
   bool operator==(const Identity&) const = default;
 };
--- a/src/membership/message_handler.cpp
+++ b/src/membership/message_handler.cpp
@@ -25,7 +25,7 @@
   }
   ++state_.metrics.received;
   if (from != state_.self) return on_message(*message, from);
-  const bool another_process = message->from.identity.run != state_.own().view.identity.run;
+  const bool another_process = message->from.identity.instance_id != state_.own().view.identity.instance_id;
   if (another_process) IdentityTracker(state_, now_).raise_conflict(state_.self);
 }
 
--- a/src/membership/options.hpp
+++ b/src/membership/options.hpp
@@ -35,6 +35,8 @@
 };
 
 // The incarnation with which a process begins. It is above all incarnations of earlier starts under its name.
-inline constexpr std::uint64_t first_incarnation(std::uint32_t start) { return std::uint64_t{start} << 20; }
+inline constexpr std::uint64_t first_incarnation(std::uint32_t start_number) {
+  return std::uint64_t{start_number} << 20;
+}
 
 }  // namespace thornwick::membership
--- a/src/membership/swim_state.hpp
+++ b/src/membership/swim_state.hpp
@@ -47,7 +47,7 @@
 
 // Another process that uses, or used, this router's own name.
 struct Rival {
-  std::uint32_t run = 0;
+  std::uint32_t instance_id = 0;
   std::uint64_t refuted_with = 0;  // the incarnation with which this router refuted it
   std::uint32_t returns = 0;       // with a higher incarnation afterwards
 };
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -36,7 +36,7 @@
   start_failure_detection(startup.identity);
   open_links();
   if (config.operator_file.replication.enabled && quota_proxy != nullptr)
-    open_replication(config, *quota_proxy, startup.identity.run);
+    open_replication(config, *quota_proxy, startup.identity.instance_id);
   open_status_socket();
   log_start(startup);
   send_view();
@@ -117,7 +117,7 @@
                          << roster.size() << " routers at " << roster.sites().size()
                          << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
                          << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
-                         << ", start " << startup.identity.start
+                         << ", start " << startup.identity.start_number
                          << (startup.empty ? " with an empty disk" : " with its disk");
 }
 
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -45,7 +45,7 @@
   options.quota_client.replica_count = file.holders;
   options.quota_client.lease = lease;
   options.quota_client.ledgers = replication::ledgers_for(membership.roster->size());
-  options.quota_client.run = run;
+  options.quota_client.instance_id = run;
   options.quota_client.block = config.operator_file.budgets.block;
   options.quota_client.response_timeout = std::max(kMinInterval, kAnswerTimeoutHeartbeats * heartbeat);
   options.quota_client.overdraft = file.without_majority == "lenient" ? file.overdraft : 0;
--- a/src/node/identity.cpp
+++ b/src/node/identity.cpp
@@ -33,7 +33,7 @@
 
 std::string file_content(const membership::Identity& identity) {
   const std::string content =
-      fmt::format("thornwick-group 1\ndisk {}\nstart {}\n", identity.disk, identity.start);
+      fmt::format("thornwick-group 1\ndisk {}\nstart {}\n", identity.disk_id, identity.start_number);
   const Text checksum(
       g_compute_checksum_for_string(G_CHECKSUM_SHA256, content.data(), static_cast<gssize>(content.size())));
   return content + "sum " + checksum.get() + "\n";
@@ -57,8 +57,8 @@
   const auto start = take_number(rest, "\nstart ");
   if (!disk || !start) return std::nullopt;
   membership::Identity identity;
-  identity.disk = *disk;
-  identity.start = *start;
+  identity.disk_id = *disk;
+  identity.start_number = *start;
   if (file_content(identity) != text) return std::nullopt;
   return identity;
 }
@@ -114,13 +114,13 @@
     startup.empty = !found.identity.has_value();
     if (found.identity) startup.identity = *found.identity;
   }
-  startup.identity.run = random_id();
-  if (startup.empty) startup.identity.disk = random_id();
-  ++startup.identity.start;
+  startup.identity.instance_id = random_id();
+  if (startup.empty) startup.identity.disk_id = random_id();
+  ++startup.identity.start_number;
   if (path.empty()) return startup;
   if (std::string problem = write_identity(path, startup.identity); !problem.empty()) {
     startup.problem = std::move(problem);
-    startup.identity.disk = random_id();
+    startup.identity.disk_id = random_id();
     startup.empty = true;
   }
   return startup;
--- a/src/replication/consensus.cpp
+++ b/src/replication/consensus.cpp
@@ -314,7 +314,7 @@
 
 std::uint64_t Consensus::committed() const { return node_->instance().commit_index; }
 
-std::uint64_t Consensus::last() const { return node_->adapter().store().last_index(); }
+std::uint64_t Consensus::last_index() const { return node_->adapter().store().last_index(); }
 
 bool Consensus::changing() const { return node_->changing(); }
 
@@ -335,7 +335,7 @@
   const LogStore& store = node_->adapter().store();
   std::string text = node_->runs() ? kStateNames[instance.state] : "stopped";
   text += ", term " + std::to_string(store.vote().term);
-  text += ", last " + std::to_string(last());
+  text += ", last " + std::to_string(last_index());
   text += ", committed " + std::to_string(committed());
   text += ", snapshot " + std::to_string(store.snapshot().index);
   text += ", members";
--- a/src/replication/consensus.hpp
+++ b/src/replication/consensus.hpp
@@ -36,21 +36,21 @@
 
 // The end of the log on a disk.
 struct Position {
-  std::uint64_t term = 0;       // current one
-  std::uint64_t last_term = 0;  // of the last entry
-  std::uint64_t last = 0;       // index of the last entry
+  std::uint64_t term = 0;        // current one
+  std::uint64_t last_term = 0;   // of the last entry
+  std::uint64_t last_index = 0;  // index of the last entry
   // Whether `other` has a later term or a later log.
   bool is_behind(const Position& other) const {
     return term < other.term || last_term < other.last_term ||
-           (last_term == other.last_term && last < other.last);
+           (last_term == other.last_term && last_index < other.last_index);
   }
   bool operator==(const Position&) const = default;
   // Takes over the term and the end of the log of `other` where they are later.
   void raise(const Position& other) {
     term = std::max(term, other.term);
-    if (std::pair(last_term, last) >= std::pair(other.last_term, other.last)) return;
+    if (std::pair(last_term, last_index) >= std::pair(other.last_term, other.last_index)) return;
     last_term = other.last_term;
-    last = other.last;
+    last_index = other.last_index;
   }
 };
 
@@ -130,7 +130,7 @@
   // Index of the last committed entry.
   std::uint64_t committed() const;
   // Index of the last entry.
-  std::uint64_t last() const;
+  std::uint64_t last_index() const;
 
   enum class ProposalOutcome : std::uint8_t {
     committed,  // a majority has the command, and it was applied here
--- a/src/replication/ledger_command.hpp
+++ b/src/replication/ledger_command.hpp
@@ -17,8 +17,8 @@
 
 // One process of one router: the id of the router's name, and a number drawn by the process. Never 0.
 using Session = std::uint64_t;
-inline constexpr Session session_of(std::uint32_t router, std::uint32_t run) {
-  return std::uint64_t{router} << 32 | run;
+inline constexpr Session session_of(std::uint32_t router, std::uint32_t instance_id) {
+  return std::uint64_t{router} << 32 | instance_id;
 }
 inline constexpr std::uint32_t router_of(Session session) {
   return static_cast<std::uint32_t>(session >> 32);
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -16,10 +16,10 @@
 
 struct Meta {
   ReplicaUid id = 0;
-  std::uint32_t start = 0;
+  std::uint32_t start_number = 0;
   std::uint8_t stage = 0;
   Founders founders;
-  MSGPACK_DEFINE(id, start, stage, founders)
+  MSGPACK_DEFINE(id, start_number, stage, founders)
 };
 
 StoredRecords visit_all(const std::map<std::string, std::string>& records) {
@@ -56,7 +56,7 @@
         return;
       }
       process_.id = meta->id;
-      process_.start = meta->start;
+      process_.start_number = meta->start_number;
       stage_ = static_cast<Stage>(meta->stage);
       founders_ = meta->founders;
     } else if (key == kReplacedKey) {
@@ -73,7 +73,7 @@
 }
 
 void LedgerReplica::start_process(LoadResult loaded) {
-  process_.run = static_cast<std::uint32_t>(dependencies_.random_number()) | 1;
+  process_.instance_id = static_cast<std::uint32_t>(dependencies_.random_number()) | 1;
   if (loaded == LoadResult::unreadable) {
     reset_to_blank("its records cannot be read");
     return;
@@ -88,13 +88,13 @@
       return;
     }
   }
-  ++process_.start;
+  ++process_.start_number;
   write_meta();
 }
 
 void LedgerReplica::write_meta() {
   const Stage stored_stage = stage_ == Stage::entering ? Stage::member : stage_;
-  const Meta meta{process_.id, process_.start, static_cast<std::uint8_t>(stored_stage), founders_};
+  const Meta meta{process_.id, process_.start_number, static_cast<std::uint8_t>(stored_stage), founders_};
   dependencies_.records.write(std::string(kMetaKey), packed(meta));
   meta_mark_ = dependencies_.records.mark();
 }
@@ -114,7 +114,7 @@
   was_leader_ = false;
   ready_ = false;
   process_.id = dependencies_.random_number() | 1;
-  process_.start = 1;
+  process_.start_number = 1;
   process_.set_position({});
   stage_ = Stage::blank;
   founders_.clear();
@@ -151,9 +151,9 @@
 void LedgerReplica::send_raft(ReplicaUid receiver, const std::string& router, std::string bytes) {
   if (!is_in_roster(router) || !consensus_) return;
   const Position position = consensus_->position();
-  send(
-      options_.roster->find(router), MessageKind::raft,
-      RaftMessage{process_.id, receiver, position.term, position.last_term, position.last, std::move(bytes)});
+  send(options_.roster->find(router), MessageKind::raft,
+       RaftMessage{process_.id, receiver, position.term, position.last_term, position.last_index,
+                   std::move(bytes)});
 }
 
 bool LedgerReplica::restore(std::string_view snapshot) {
--- a/src/replication/message.hpp
+++ b/src/replication/message.hpp
@@ -43,28 +43,29 @@
 // a disk was set back to an earlier state, or copied.
 struct Process {
   ReplicaUid id = 0;
-  std::uint32_t start = 0;  // starts of processes on this disk so far
-  std::uint32_t run = 0;    // drawn by the process
+  std::uint32_t start_number = 0;  // starts of processes on this disk so far
+  std::uint32_t instance_id = 0;   // drawn by the process
   // The latest known position of the disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
-  std::uint64_t last = 0;
+  std::uint64_t last_index = 0;
 
   bool is_same(const Process& other) const {
-    return id == other.id && start == other.start && run == other.run;
+    return id == other.id && start_number == other.start_number && instance_id == other.instance_id;
   }
   // Whether `other` is a later process of the same disk, or another process with the same start, which runs
   // on a copy of the disk.
   bool followed_by(const Process& other) const {
-    return id == other.id && (other.start > start || (other.start == start && other.run != run));
+    return id == other.id && (other.start_number > start_number ||
+                              (other.start_number == start_number && other.instance_id != instance_id));
   }
-  Position position() const { return {term, last_term, last}; }
+  Position position() const { return {term, last_term, last_index}; }
   void set_position(const Position& position) {
     term = position.term;
     last_term = position.last_term;
-    last = position.last;
+    last_index = position.last_index;
   }
-  MSGPACK_DEFINE(id, start, run, term, last_term, last)
+  MSGPACK_DEFINE(id, start_number, instance_id, term, last_term, last_index)
 };
 
 // The stages in which a replica joins its ledger; see LedgerReplica.
@@ -106,10 +107,10 @@
   // The position of the sender's disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
-  std::uint64_t last = 0;
+  std::uint64_t last_index = 0;
   std::string bytes;
-  Position position() const { return {term, last_term, last}; }
-  MSGPACK_DEFINE(from, to, term, last_term, last, bytes)
+  Position position() const { return {term, last_term, last_index}; }
+  MSGPACK_DEFINE(from, to, term, last_term, last_index, bytes)
 };
 
 // The response to a lease request that the receiver does not accept, because it does not lead, or because the
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -84,7 +84,7 @@
   ++channel.number;
   channel.is_urgent = false;
   channel.requested_windows.clear();
-  LeaseRequest request{.session = session_of(options_.roster->id_of(options_.self), channel.run),
+  LeaseRequest request{.session = session_of(options_.roster->id_of(options_.self), channel.instance_id),
                        .number = channel.number,
                        .begins_session = channel.is_new,
                        .ends_session = is_leaving_,
@@ -164,7 +164,7 @@
 // The ledger charges the old session's unused lease. Use that is settled later counts in the new session.
 void QuotaLeaseClient::begin_session(Channel& channel) {
   ++metrics_.new_sessions;
-  channel.run += static_cast<std::uint32_t>(channels_.size());
+  channel.instance_id += static_cast<std::uint32_t>(channels_.size());
   channel.number = 0;
   channel.is_new = true;
   channel.lease_until = 0;
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -24,7 +24,7 @@
     Channel& channel = channels_[ledger];
     channel.replica_routers = place_replicas(*options_.roster, ledger, options_.replica_count);
     channel.target = options_.self % std::max<std::size_t>(1, channel.replica_routers.size());
-    channel.run = options_.run + static_cast<std::uint32_t>(ledger);
+    channel.instance_id = options_.instance_id + static_cast<std::uint32_t>(ledger);
   }
 }
 
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -28,7 +28,7 @@
   std::size_t ledgers = 1;
   std::size_t replica_count = 3;  // replicas of a ledger
   std::shared_ptr<const membership::Roster> roster;
-  std::uint32_t run = 1;               // drawn by this process
+  std::uint32_t instance_id = 1;       // drawn by this process
   double block = 0.02;                 // part of a limit that is leased ahead of need at most
   Time lease = seconds(6);             // duration, from the sending of the request
   double clock_bound = 0.02;           // by how much two clocks' rates may differ, as a part
@@ -136,9 +136,9 @@
   };
   // This router's session with one ledger.
   struct Channel {
-    std::uint64_t number = 0;  // of the latest request
-    std::uint32_t run = 0;     // of the session
-    bool is_waiting = false;   // for a lease request
+    std::uint64_t number = 0;       // of the latest request
+    std::uint32_t instance_id = 0;  // of the session
+    bool is_waiting = false;        // for a lease request
     bool has_majority = false;
     bool is_urgent = false;  // the next request is sent right after the response
     bool is_new = true;      // the session has no response yet
--- a/src/replication/raft_io_adapter.cpp
+++ b/src/replication/raft_io_adapter.cpp
@@ -193,9 +193,9 @@
 // The position never goes back: entries that are truncated before they are durable are replaced by entries of
 // a later term.
 void RaftIoAdapter::on_log_written() {
-  when_durable([this, last_term = store_.last_term(), last = store_.last_index()] {
+  when_durable([this, last_term = store_.last_term(), last_index = store_.last_index()] {
     durable_position_.last_term = last_term;
-    durable_position_.last = last;
+    durable_position_.last_index = last_index;
   });
 }
 
--- a/tests/compat/copies_disk.cpp
+++ b/tests/compat/copies_disk.cpp
@@ -195,7 +195,7 @@
   Pair pair(both);
   for (std::size_t i = 0; i < kRouters; ++i) {
     CHECK(pair.holder(i).process().id == copy_id(i));
-    CHECK(pair.holder(i).process().start == 2);
+    CHECK(pair.holder(i).process().start_number == 2);
     CHECK(pair.holder(i).stage() == Stage::entering);
     CHECK_FALSE(pair.holder(i).was_older());
   }
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -23,20 +23,25 @@
 constexpr std::size_t kLedgerNumber = 258;
 constexpr Time kMillisecond = milliseconds(1), kSecond = seconds(1);
 
-const Process kProcess = {
-    .id = 0x1122334455667788, .start = 3, .run = 0x99aabbcd, .term = 4, .last_term = 2, .last = 70'000};
+const Process kProcess = {.id = 0x1122334455667788,
+                          .start_number = 3,
+                          .instance_id = 0x99aabbcd,
+                          .term = 4,
+                          .last_term = 2,
+                          .last_index = 70'000};
 const Process kNoProcess = {};
 const Hello kHello = {
     .process = kProcess,
     .stage = static_cast<std::uint8_t>(Stage::entering),
     .founders = {{"r0", 11}, {"r1", 0x1122334455667788}},
-    .receiver_process = {.id = 11, .start = 1, .run = 9, .term = 1, .last_term = 1, .last = 5},
+    .receiver_process =
+        {.id = 11, .start_number = 1, .instance_id = 9, .term = 1, .last_term = 1, .last_index = 5},
     .wanted = {"r0", "r1", "r2"}};
 const RaftMessage kRaftWords = {.from = 11,
                                 .to = 0x1122334455667788,
                                 .term = 4,
                                 .last_term = 3,
-                                .last = 300,
+                                .last_index = 300,
                                 .bytes = std::string("\x00\xff raft", 7)};
 const LeaseRequestLine kBucket = {.key = "tenant|*",
                                   .span = 0,
@@ -86,8 +91,8 @@
 
 void check_same(const Process& read, const Process& expected) {
   CHECK(read.id == expected.id);
-  CHECK(read.start == expected.start);
-  CHECK(read.run == expected.run);
+  CHECK(read.start_number == expected.start_number);
+  CHECK(read.instance_id == expected.instance_id);
   CHECK(read.position() == expected.position());
 }
 
@@ -244,7 +249,7 @@
   CHECK(words.to == kRaftWords.to);
   CHECK(words.term == kRaftWords.term);
   CHECK(words.last_term == kRaftWords.last_term);
-  CHECK(words.last == kRaftWords.last);
+  CHECK(words.last_index == kRaftWords.last_index);
   CHECK(words.bytes == kRaftWords.bytes);
 }
 
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -26,15 +26,15 @@
 const std::vector<Claim> kClaims = {
     {.member = 0x11223344,
      .claim_kind = ClaimKind::alive,
-     .identity = {.disk = 5, .start = 6, .run = 7},
+     .identity = {.disk_id = 5, .start_number = 6, .instance_id = 7},
      .incarnation = 8},
     {.member = 0xfffffffe,
      .claim_kind = ClaimKind::suspected,
-     .identity = {.disk = 0x80000001, .start = 2, .run = 0x70000003},
+     .identity = {.disk_id = 0x80000001, .start_number = 2, .instance_id = 0x70000003},
      .incarnation = 0x123456789abc},
     {.member = 3,
      .claim_kind = ClaimKind::leaving,
-     .identity = {.disk = 1, .start = 1, .run = 1},
+     .identity = {.disk_id = 1, .start_number = 1, .instance_id = 1},
      .incarnation = 0},
 };
 
--- a/tests/compat/identity.cpp
+++ b/tests/compat/identity.cpp
@@ -26,8 +26,8 @@
   const node::StartupIdentity loaded = node::load_identity(path);
   CHECK(loaded.problem.empty());
   CHECK_FALSE(loaded.empty);
-  CHECK(loaded.identity.disk == kDisk);
-  CHECK(loaded.identity.start == kStart + 1);
+  CHECK(loaded.identity.disk_id == kDisk);
+  CHECK(loaded.identity.start_number == kStart + 1);
 }
 
 TEST_CASE("identity: the next start is written as the committed file of that start") {
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -106,12 +106,12 @@
   void start(State& state, std::size_t member, RestartDisk disk) {
     Identity& identity = state.identities[member];
     if (disk == RestartDisk::empty) {
-      identity.disk += 1000;
-      identity.start = 0;
+      identity.disk_id += 1000;
+      identity.start_number = 0;
     }
-    ++identity.start;
-    identity.run += 1000;
-    state.nodes[member] = Swim(roster_, member, identity, options_, identity.run, state.now);
+    ++identity.start_number;
+    identity.instance_id += 1000;
+    state.nodes[member] = Swim(roster_, member, identity, options_, identity.instance_id, state.now);
     state.up[member] = true;
     collect_sendings(state, member);
   }
@@ -152,7 +152,7 @@
       for (std::size_t member = 0; member < bounds_.members; ++member) {
         if (observer == member || !state.up[observer] || !state.up[member]) continue;
         const auto& view = state.nodes[observer].view(member);
-        if (view.identity.run == state.identities[member].run &&
+        if (view.identity.instance_id == state.identities[member].instance_id &&
             view.incarnation > state.nodes[member].incarnation())
           broken_ = "an incarnation that its owner never had";
         if (view.name_conflict) broken_ = "one process of a name is taken for two";
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -156,19 +156,21 @@
   Scratch scratch;
   const std::string path = scratch.path("group");
   const auto first = node::load_identity(path);
-  CHECK((first.empty && first.problem.empty() && first.identity.start == 1 && first.identity.run != 0));
+  CHECK((first.empty && first.problem.empty() && first.identity.start_number == 1 &&
+         first.identity.instance_id != 0));
   const auto second = node::load_identity(path);
-  CHECK((!second.empty && second.identity.disk == first.identity.disk && second.identity.start == 2));
-  CHECK((second.identity.run != 0 &&
-         second.identity.run != first.identity.run));  // a run of 0 would identify no process
+  CHECK((!second.empty && second.identity.disk_id == first.identity.disk_id &&
+         second.identity.start_number == 2));
+  CHECK((second.identity.instance_id != 0 &&
+         second.identity.instance_id != first.identity.instance_id));  // a run of 0 would identify no process
   const std::string bytes = testing::read_bytes(path);
   for (std::size_t offset = 0; offset < bytes.size(); offset += 7) {
     std::string changed = bytes;
     changed[offset] = static_cast<char>(changed[offset] ^ 1);
     testing::write_bytes(path, changed);
     const auto damaged = node::load_identity(path);
-    CHECK((damaged.empty && !damaged.problem.empty() && damaged.identity.start == 1 &&
-           damaged.identity.disk != first.identity.disk));
+    CHECK((damaged.empty && !damaged.problem.empty() && damaged.identity.start_number == 1 &&
+           damaged.identity.disk_id != first.identity.disk_id));
   }
   const auto nowhere = node::load_identity(scratch.path("no/such/folder"));
   CHECK((nowhere.empty && !nowhere.problem.empty()));
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -106,7 +106,7 @@
     options.self = router;
     options.roster = roster_;
     options.replica_count = 1;
-    options.run = 100 * static_cast<std::uint32_t>(router + 1);
+    options.instance_id = 100 * static_cast<std::uint32_t>(router + 1);
     options.lease = kLease;
     options.block = 0.5;
     options.outlive_lease = expiry == LeaseExpiry::ignored;
@@ -212,8 +212,8 @@
 
 TEST_CASE("a ledger: the unused lease of a removed session counts as used") {
   Ledger ledger;
-  for (std::uint32_t run = 1; run <= 6; ++run)
-    apply_request(ledger, session_of(1, run), 1, request_line(0, 100, 100));
+  for (std::uint32_t instance_id = 1; instance_id <= 6; ++instance_id)
+    apply_request(ledger, session_of(1, instance_id), 1, request_line(0, 100, 100));
   CHECK(ledger.sessions().size() == Ledger::kSessionsARouter);
   const WindowLedger& window = ledger.accounts().at("a").windows.at(7);
   CHECK(window.charged == 200);
