--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -187,7 +187,7 @@
   using membership::MemberState;
   const membership::MemberView& view = at(observer).view(member);
   if (running(member)) return view.state == MemberState::alive && view.identity == identity(member);
-  return view.state == MemberState::gone || view.state == MemberState::left;
+  return view.state == MemberState::failed || view.state == MemberState::left;
 }
 
 std::string Group::disagreement() const {
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -79,7 +79,7 @@
   detected[victim] = true;
   const auto all_detected = [&] {
     for (std::size_t i = 0; i < group.size(); ++i) {
-      if (detected[i] || group.at(i).view(victim).state != MemberState::gone) continue;
+      if (detected[i] || group.at(i).view(victim).state != MemberState::failed) continue;
       detected[i] = true;
       detection_times.push_back(group.now() - killed_at);
     }
--- a/src/membership/claim_handler.cpp
+++ b/src/membership/claim_handler.cpp
@@ -54,7 +54,7 @@
     if (reporter != member) on_suspicion(member, claim, reporter);
   } else if (claim.claim_kind == ClaimKind::alive) {
     // The reporter reaches the member, so this router probes it again.
-    if (record.view.state == MemberState::gone) state_.expedite_probe(member);
+    if (record.view.state == MemberState::failed) state_.expedite_probe(member);
   } else if (record.view.state != MemberState::left) {
     record.claim_kind = ClaimKind::leaving;
     group_.set_state(member, MemberState::leaving, "it says that it ends");
@@ -97,7 +97,7 @@
   if (claim.incarnation > record.view.incarnation) adopt(member, claim);
   switch (record.view.state) {
     case MemberState::alive: return on_suspicion_of_live_member(member, reporter);
-    case MemberState::silent: return state_.expedite_probe(member);
+    case MemberState::unknown: return state_.expedite_probe(member);
     case MemberState::suspected: return add_accuser(record, reporter);
     default: return;
   }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -146,7 +146,7 @@
     if (state_.condition.cut_off || record.failed_rounds == 0) continue;
     ++state_.metrics.gone;
     const int loss_percent = static_cast<int>(100 * loss_towards(state_, record));
-    group_.set_state(member, MemberState::gone,
+    group_.set_state(member, MemberState::failed,
                      describe_silence(record) + ", at a loss of " + std::to_string(loss_percent) + " %");
     record.failed_rounds = 0;
   }
@@ -224,7 +224,7 @@
   if (is_present(record.view.state)) return;
   // Other routers may still believe the claim that this router believed. Only the member itself can refute
   // it, so it is warned.
-  record.warn = record.view.state != MemberState::silent;
+  record.warn = record.view.state != MemberState::unknown;
   record.claim_kind = ClaimKind::alive;
   group_.set_state(member, MemberState::alive,
                    via == member ? "it answers" : "it answers over " + state_.roster->at(via).name);
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -32,7 +32,7 @@
   MemberView& view = state_.members[member].view;
   if (view.state == state) return;
   state_.report(member, std::string(name_of(state)) + ", was " + name_of(view.state) + ": " + reason,
-                state == MemberState::gone ? Severity::warning : Severity::info);
+                state == MemberState::failed ? Severity::warning : Severity::info);
   view.state = state;
   view.since = now_;
   mark_stale();
@@ -91,9 +91,9 @@
 // another router suspects: one of this router's own rounds has to have failed.
 bool GroupEvaluation::counts_as_unreachable(const MemberRecord& member) const {
   switch (member.view.state) {
-    case MemberState::gone: return true;
+    case MemberState::failed: return true;
     case MemberState::suspected: return member.failed_rounds > 1;
-    case MemberState::silent:
+    case MemberState::unknown:
       return member.failed_rounds >= rounds_until_suspicion(state_, state_.loss.value());
     default: return false;
   }
@@ -140,7 +140,7 @@
   const Time recent = kRecentFailurePeriods * state_.options.period;
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
     MemberRecord& member = state_.members[i];
-    if (member.view.state != MemberState::gone || now_ - member.view.since > recent) continue;
+    if (member.view.state != MemberState::failed || now_ - member.view.since > recent) continue;
     member.failed_rounds = 1;
     member.doubted_since = now_;
     set_state(i, MemberState::suspected, "it may be this router that is cut off");
--- a/src/membership/identity_tracker.cpp
+++ b/src/membership/identity_tracker.cpp
@@ -59,13 +59,13 @@
   view.stops = 0;
   view.stopped_s = 0;
   if (after.disk_id != before.disk_id) {
-    view.recovery = RecoveryState::empty;
+    view.recovery = RecoveryState::new_disk;
     state_.report(member, "started anew with an empty disk: what it had kept is lost", Severity::warning);
   } else if (after.start_number > before.start_number) {
-    view.recovery = RecoveryState::kept;
+    view.recovery = RecoveryState::same_disk;
     state_.report(member, "started anew with its disk");
   } else {
-    view.recovery = RecoveryState::older;
+    view.recovery = RecoveryState::older_disk;
     state_.report(member, "started anew with an older copy of its disk: what it kept since is lost",
                   Severity::warning);
   }
@@ -117,15 +117,15 @@
 void IdentityTracker::report_own_recovery(const Identity& known) {
   MemberView& own = state_.own().view;
   if (known.disk_id != own.identity.disk_id) {
-    own.recovery = RecoveryState::empty;
+    own.recovery = RecoveryState::new_disk;
     state_.report(state_.self, "the group knew this name with another disk: this one began empty",
                   Severity::warning);
   } else if (known.start_number >= own.identity.start_number) {
-    own.recovery = RecoveryState::older;
+    own.recovery = RecoveryState::older_disk;
     state_.report(state_.self, "the group knew a later start of this disk: this is an older copy",
                   Severity::warning);
   } else {
-    own.recovery = RecoveryState::kept;
+    own.recovery = RecoveryState::same_disk;
   }
 }
 
--- a/src/membership/member_record.hpp
+++ b/src/membership/member_record.hpp
@@ -53,14 +53,16 @@
 };
 
 // Whether a member in this state is not expected to answer probes.
-inline bool is_absent(MemberState state) { return state == MemberState::gone || state == MemberState::left; }
+inline bool is_absent(MemberState state) {
+  return state == MemberState::failed || state == MemberState::left;
+}
 // Whether a member in this state counts as running.
 inline bool is_present(MemberState state) {
   return state == MemberState::alive || state == MemberState::leaving;
 }
 // Whether a member in this state has not answered for a while.
 inline bool is_doubted(MemberState state) {
-  return state == MemberState::suspected || state == MemberState::gone;
+  return state == MemberState::suspected || state == MemberState::failed;
 }
 
 }  // namespace thornwick::membership
--- a/src/membership/member_view.hpp
+++ b/src/membership/member_view.hpp
@@ -11,32 +11,33 @@
 
 // The state of a member, as this router judges it.
 enum class MemberState : std::uint8_t {
-  silent,     // no message since this process started
-  alive,      // answers probes, or said itself that it runs
+  unknown,    // sent no message since this process started
+  alive,      // answers probes, or announced itself that it runs
   suspected,  // does not answer; further probes decide whether it has failed
-  gone,       // its silence is more unlikely than message loss explains
-  leaving,    // announced that it shuts down
-  left        // announced it, and does not answer any more
+  failed,     // does not answer, and message loss is too unlikely an explanation
+  leaving,    // announced its shutdown
+  left        // announced its shutdown, and no longer answers
 };
-// The name in status output and logs.
+// The name in status output and logs: "silent" for unknown, "gone" for failed, otherwise the enumerator's
+// name.
 const char* name_of(MemberState state);
 
 // The state of the disk with which a member restarted, compared with the previous process of its name.
 enum class RecoveryState : std::uint8_t {
-  first,  // no earlier process is known
-  kept,   // the same disk
-  empty,  // another disk: what it had stored is lost
-  older   // an older copy of the same disk: what it stored since is lost
+  no_predecessor,  // no earlier process is known
+  same_disk,
+  new_disk,   // all records of the earlier process are lost
+  older_disk  // an older copy of the same disk: the records written after that copy are lost
 };
-// The name in status output and logs.
+// The name in status output and logs: "first", "kept", "empty" or "older", in the order of the enumerators.
 const char* name_of(RecoveryState recovery);
 
 // One member as this router sees it.
 struct MemberView {
-  MemberState state = MemberState::silent;
+  MemberState state = MemberState::unknown;
   Identity identity;
   std::uint64_t incarnation = 0;
-  RecoveryState recovery = RecoveryState::first;
+  RecoveryState recovery = RecoveryState::no_predecessor;
   Time since = 0;               // when `state` last changed
   Time answered = 0;            // last answer to a probe of this router, direct or through a helper; 0: never
   bool direct = false;          // that answer came from the member itself
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -28,7 +28,7 @@
   for (auto& member : state.members) {
     member.probing = false;
     member.answered_since_reset = false;
-    if (member.view.state == MemberState::gone) continue;
+    if (member.view.state == MemberState::failed) continue;
     member.failed_rounds = 0;
     member.doubted_since = 0;
   }
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -23,7 +23,7 @@
   own.state = MemberState::alive;
   own.identity = identity;
   own.incarnation = first_incarnation(identity.start_number);
-  if (identity.start_number > 1) own.recovery = RecoveryState::kept;
+  if (identity.start_number > 1) own.recovery = RecoveryState::same_disk;
   const double delay = state_.random.unit() * static_cast<double>(options.period) / kFirstProbeFraction;
   state_.probes.next_probe_at = now + static_cast<Time>(delay);
   state_.probes.last_number = static_cast<std::uint32_t>(state_.random.draw());
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -180,7 +180,7 @@
         const auto& view = state.nodes[observer].view(member);
         const bool is_correct =
             state.up[member] ? view.state == MemberState::alive && view.identity == state.identities[member]
-                             : view.state == MemberState::gone;
+                             : view.state == MemberState::failed;
         if (!is_correct) return false;
       }
     }
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -173,11 +173,11 @@
   SettledGroup settled(5);
   settled.group.kill(2);
   settled.require_soon(
-      [&] { return settled.all_see(2, MemberState::suspected) || settled.all_see(2, MemberState::gone); });
-  settled.require_soon([&] { return settled.all_see(2, MemberState::gone); });
+      [&] { return settled.all_see(2, MemberState::suspected) || settled.all_see(2, MemberState::failed); });
+  settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
   const auto [disk, recovery, text] = GENERATE(table<Disk, RecoveryState, std::string>(
-      {{Disk::kept, RecoveryState::kept, "started anew with its disk"},
-       {Disk::empty, RecoveryState::empty, "started anew with an empty disk"}}));
+      {{Disk::kept, RecoveryState::same_disk, "started anew with its disk"},
+       {Disk::empty, RecoveryState::new_disk, "started anew with an empty disk"}}));
   settled.group.start(2, disk);
   settled.require_soon([&] { return settled.group.agree(); });
   CHECK(settled.reports.find("r0/2 " + text) != std::string::npos);
@@ -187,10 +187,10 @@
   });  // it learns its own recovery state, too
   if (disk != Disk::kept) return;
   settled.group.kill(2);
-  settled.require_soon([&] { return settled.all_see(2, MemberState::gone); });
+  settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
   settled.group.start(2, Disk::older);  // the disk as it was before its last start
   settled.require_soon([&] { return settled.group.agree(); });
-  CHECK(settled.group.at(0).view(2).recovery == RecoveryState::older);
+  CHECK(settled.group.at(0).view(2).recovery == RecoveryState::older_disk);
   CHECK(settled.reports.find("r2/2 the group knew a later start of this disk") != std::string::npos);
 }
 
@@ -207,7 +207,7 @@
     "a suspended process detects the suspension by its own clock, before it uses its view of the members") {
   SettledGroup settled(5);
   settled.group.suspend(3);
-  settled.require_soon([&] { return settled.all_see(3, MemberState::gone); });
+  settled.require_soon([&] { return settled.all_see(3, MemberState::failed); });
   settled.group.run_until(settled.group.now() + seconds(180));
   settled.reports.clear();
   settled.group.resume(3);
@@ -222,11 +222,11 @@
   SettledGroup settled(5);
   settled.cut_off(4);
   settled.require_soon(
-      [&] { return settled.group.at(4).cut_off() && settled.all_see(4, MemberState::gone); });
+      [&] { return settled.group.at(4).cut_off() && settled.all_see(4, MemberState::failed); });
   settled.group.run_until(settled.group.now() + seconds(120));
   for (std::size_t i = 0; i < 4; ++i) {
     CHECK(!settled.group.at(i).cut_off());
-    CHECK(settled.group.at(4).view(i).state != MemberState::gone);
+    CHECK(settled.group.at(4).view(i).state != MemberState::failed);
   }
   CHECK(!settled.group.at(4).sure());
   settled.group.unblock_all();
