--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -51,7 +51,7 @@
     const membership::Metrics& metrics = group.at(i).metrics();
     totals.sent += metrics.sent;
     totals.bytes += metrics.sent_bytes;
-    totals.gone += metrics.gone;
+    totals.gone += metrics.failures;
     totals.suspicions += metrics.announced_suspicions;
   }
   return totals;
--- a/src/membership/claim_handler.cpp
+++ b/src/membership/claim_handler.cpp
@@ -22,14 +22,14 @@
 void ClaimHandler::accept(const Claim& claim, std::size_t reporter) {
   const std::size_t member = state_.roster->find_id(claim.member);
   if (member == state_.roster->size()) {
-    ++state_.metrics.strangers;
+    ++state_.metrics.unknown_routers;
     return;
   }
   if (member == state_.self) return on_claim_about_self(claim);
   const MemberView& view = state_.members[member].view;
   if (claim.incarnation < view.incarnation) return;
   if (reporter != member && !is_trusted(state_, now_, reporter)) {
-    ++state_.metrics.disbelieved;
+    ++state_.metrics.distrusted_claims;
     return;
   }
   if (claim.incarnation > view.incarnation) return on_newer_claim(member, claim, reporter);
@@ -40,7 +40,7 @@
   const std::uint64_t known = state_.members[member].view.incarnation;
   const bool from_itself = reporter == member;
   if (!from_itself && known > 0 && claim.incarnation - known > kMostIncarnationJump) {
-    ++state_.metrics.jumps;
+    ++state_.metrics.implausible_incarnations;
     return;
   }
   if (claim.claim_kind == ClaimKind::suspected) return on_suspicion(member, claim, reporter);
@@ -58,7 +58,7 @@
   } else if (record.view.state != MemberState::left) {
     record.claim_kind = ClaimKind::leaving;
     group_.set_state(member, MemberState::leaving, "it says that it ends");
-    if (record.view.since == now_) state_.announce(member);
+    if (record.view.state_since == now_) state_.announce(member);
   }
 }
 
@@ -112,7 +112,7 @@
 void ClaimHandler::on_suspicion_of_live_member(std::size_t member, std::size_t reporter) {
   MemberRecord& record = state_.members[member];
   const Time recent = kRecentAnswerPeriods * state_.options.period;
-  if (record.view.answered > 0 && now_ - record.view.answered < recent) {
+  if (record.view.last_answer_at > 0 && now_ - record.view.last_answer_at < recent) {
     record.warn = true;
     state_.expedite_probe(member);
     return note_contradiction(state_, now_, member, reporter);
@@ -131,7 +131,7 @@
       claim.claim_kind == ClaimKind::alive || (claim.claim_kind == ClaimKind::leaving && state_.leaving);
   if (true_claim && claim.incarnation == own.incarnation) return;
   if (claim.claim_kind == ClaimKind::suspected) {
-    ++state_.metrics.refuted;
+    ++state_.metrics.refuted_suspicions;
     state_.health.worsen();
   }
   state_.refute(now_, claim.incarnation);
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -11,7 +11,7 @@
   out << static_cast<int>(view.state) << ' ' << view.incarnation << ' ' << view.identity.instance_id << ' '
       << static_cast<int>(view.recovery) << view.name_conflict << member.failed_rounds << ' '
       << member.indirect_excuses << member.probing << member.warn << member.answered_since_reset << ' '
-      << member.superseded_instances.size() << ' ' << view.stops << ';';
+      << member.superseded_instances.size() << ' ' << view.suspension_count << ';';
 }
 
 void add_round(std::ostream& out, const ProbeRound& round, Time now) {
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -58,7 +58,7 @@
   MemberRecord& member = state_.members[round.member];
   member.probing = false;
   if (now_ > round.due + state_.options.period / kNeglectedDivisor) return;
-  ++state_.metrics.unanswered;
+  ++state_.metrics.unanswered_rounds;
   const MemberState state = member.view.state;
   if (is_absent(state)) return;
   if (round.ordinary) on_ordinary_round_failed();
@@ -144,7 +144,7 @@
   for (const auto member : std::exchange(state_.probes.failure_verdicts, {})) {
     MemberRecord& record = state_.members[member];
     if (state_.condition.cut_off || record.failed_rounds == 0) continue;
-    ++state_.metrics.gone;
+    ++state_.metrics.failures;
     const int loss_percent = static_cast<int>(100 * loss_towards(state_, record));
     group_.set_state(member, MemberState::failed,
                      describe_silence(record) + ", at a loss of " + std::to_string(loss_percent) + " %");
@@ -178,15 +178,15 @@
   }
   // After a second ping it is not known which of the two was answered.
   if (!direct || round.stage != ProbeRound::Stage::pinged) return;
-  double& smoothed = member.view.round_trip;
+  double& smoothed = member.view.round_trip_us;
   const auto sample = static_cast<double>(std::max<Time>(1, now_ - round.started_at));
   smoothed = smoothed == 0 ? sample : smoothed + (sample - smoothed) / kRoundTripWeight;
 }
 
 void FailureDetector::on_proof_of_life(std::size_t member, std::size_t via) {
   MemberRecord& record = state_.members[member];
-  record.view.answered = now_;
-  record.view.direct = via == member;
+  record.view.last_answer_at = now_;
+  record.view.answered_directly = via == member;
   record.helper = via == member ? state_.roster->size() : via;
   state_.condition.last_answer_at = now_;
   learn_loss(record);
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -34,7 +34,7 @@
   state_.report(member, std::string(name_of(state)) + ", was " + name_of(view.state) + ": " + reason,
                 state == MemberState::failed ? Severity::warning : Severity::info);
   view.state = state;
-  view.since = now_;
+  view.state_since = now_;
   mark_stale();
   refresh();
 }
@@ -140,7 +140,7 @@
   const Time recent = kRecentFailurePeriods * state_.options.period;
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
     MemberRecord& member = state_.members[i];
-    if (member.view.state != MemberState::failed || now_ - member.view.since > recent) continue;
+    if (member.view.state != MemberState::failed || now_ - member.view.state_since > recent) continue;
     member.failed_rounds = 1;
     member.doubted_since = now_;
     set_state(i, MemberState::suspected, "it may be this router that is cut off");
--- a/src/membership/identity_tracker.cpp
+++ b/src/membership/identity_tracker.cpp
@@ -55,9 +55,9 @@
 
 void IdentityTracker::report_restart(std::size_t member, const Identity& before, const Identity& after) {
   MemberView& view = state_.members[member].view;
-  ++view.starts;
-  view.stops = 0;
-  view.stopped_s = 0;
+  ++view.restart_count;
+  view.suspension_count = 0;
+  view.last_suspension_s = 0;
   if (after.disk_id != before.disk_id) {
     view.recovery = RecoveryState::new_disk;
     state_.report(member, "started anew with an empty disk: what it had kept is lost", Severity::warning);
--- a/src/membership/member_view.hpp
+++ b/src/membership/member_view.hpp
@@ -38,15 +38,15 @@
   Identity identity;
   std::uint64_t incarnation = 0;
   RecoveryState recovery = RecoveryState::no_predecessor;
-  Time since = 0;               // when `state` last changed
-  Time answered = 0;            // last answer to a probe of this router, direct or through a helper; 0: never
-  bool direct = false;          // that answer came from the member itself
-  double round_trip = 0;        // microseconds, smoothed; 0: not known
-  bool name_conflict = false;   // two processes use its name
-  std::uint32_t starts = 0;     // restarts under its name that were seen since this process started
-  std::uint16_t stops = 0;      // how often its process found that it had been suspended
-  std::uint16_t stopped_s = 0;  // seconds that the last suspension took
-  std::vector<std::uint8_t> sees;  // by site, the routers that it reported as running
+  Time state_since = 0;     // when `state` last changed
+  Time last_answer_at = 0;  // last answer to a probe of this router, direct or through a helper; 0: never
+  bool answered_directly = false;       // that answer came from the member itself
+  double round_trip_us = 0;             // microseconds, smoothed; 0: not known
+  bool name_conflict = false;           // two processes use its name
+  std::uint32_t restart_count = 0;      // restarts under its name that were seen since this process started
+  std::uint16_t suspension_count = 0;   // how often its process found that it had been suspended
+  std::uint16_t last_suspension_s = 0;  // seconds that the last suspension took
+  std::vector<std::uint8_t> reported_running_by_site;  // by site, the routers that it reported as running
 };
 
 }  // namespace thornwick::membership
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -41,8 +41,8 @@
 enum class MessageKind : std::uint8_t {
   ping,          // asks for an ack
   ack,           // answers a ping; `number` is that of the ping
-  ping_request,  // asks the receiver to ping `about`
-  indirect_ack   // `about` answered; `number` is that of the request
+  ping_request,  // asks the receiver to ping the member `subject_id`
+  indirect_ack   // the member `subject_id` answered; `number` is that of the request
 };
 
 struct Message {
@@ -50,12 +50,12 @@
   std::uint32_t group = 0;  // Roster::hash()
   Claim from;               // the sender's claim of itself
   std::uint32_t number = 0;
-  std::uint32_t about = 0;      // id of a third member; 0: none
-  std::uint16_t stops = 0;      // how often the sender found that its process had been suspended
-  std::uint16_t stopped_s = 0;  // seconds that the last suspension took
+  std::uint32_t subject_id = 0;         // id of a third member; 0: none
+  std::uint16_t suspension_count = 0;   // how often the sender found that its process had been suspended
+  std::uint16_t last_suspension_s = 0;  // seconds that the last suspension took
   std::vector<std::uint8_t>
-      seen;  // by site, the number of routers that the sender believes to run; 255: 255 or more
-  std::vector<Claim> claims;  // at most room_for(seen.size())
+      running_by_site;  // by site, the number of routers that the sender believes to run; 255: 255 or more
+  std::vector<Claim> claims;  // at most room_for(running_by_site.size())
 };
 
 // The number of claims that fit into a message of a group with this many sites.
--- a/src/membership/message_handler.cpp
+++ b/src/membership/message_handler.cpp
@@ -15,12 +15,12 @@
 void MessageHandler::handle(std::span<const std::uint8_t> datagram) {
   const ReadResult message = read(datagram, state_.roster->hash());
   if (!message) {
-    ++state_.metrics.unread[static_cast<std::size_t>(message.error())];
+    ++state_.metrics.unreadable[static_cast<std::size_t>(message.error())];
     return;
   }
   const std::size_t from = state_.roster->find_id(message->from.member);
   if (from == state_.roster->size()) {
-    ++state_.metrics.strangers;
+    ++state_.metrics.unknown_routers;
     return;
   }
   ++state_.metrics.received;
@@ -52,12 +52,13 @@
     sender.warn = true;
     return Sender::unknown;
   }
-  if (message.stops > sender.view.stops) {
-    state_.report(from, "it stood still for " + std::to_string(message.stopped_s) + " s and is back");
-    sender.view.stops = message.stops;
+  if (message.suspension_count > sender.view.suspension_count) {
+    state_.report(from, "it stood still for " + std::to_string(message.last_suspension_s) + " s and is back");
+    sender.view.suspension_count = message.suspension_count;
   }
-  sender.view.stopped_s = message.stopped_s;
-  if (message.seen.size() == state_.roster->sites().size()) sender.view.sees = message.seen;
+  sender.view.last_suspension_s = message.last_suspension_s;
+  if (message.running_by_site.size() == state_.roster->sites().size())
+    sender.view.reported_running_by_site = message.running_by_site;
   return Sender::known;
 }
 
@@ -75,13 +76,13 @@
   send(state_, probe->requester,
        {.kind = MessageKind::indirect_ack,
         .number = probe->requester_number,
-        .about = state_.roster->id_of(from)});
+        .subject_id = state_.roster->id_of(from)});
   indirect.erase(probe);
   detector_.on_proof_of_life(from, from);
 }
 
 void MessageHandler::on_ping_request(const Message& message, std::size_t from) {
-  const std::size_t target = state_.roster->find_id(message.about);
+  const std::size_t target = state_.roster->find_id(message.subject_id);
   const bool sensible = target != state_.roster->size() && target != state_.self && target != from;
   if (!sensible || !may_answer(state_, now_, from)) {
     ++state_.metrics.ignored;
@@ -96,7 +97,7 @@
 }
 
 void MessageHandler::on_indirect_ack(const Message& message, std::size_t from) {
-  const std::size_t target = state_.roster->find_id(message.about);
+  const std::size_t target = state_.roster->find_id(message.subject_id);
   if (target == state_.roster->size() || target == state_.self || target == from) return;
   detector_.on_answer(target, from, message.number);
 }
--- a/src/membership/output.hpp
+++ b/src/membership/output.hpp
@@ -30,20 +30,20 @@
   std::uint64_t sent = 0;
   std::uint64_t sent_bytes = 0;
   std::uint64_t received = 0;
-  std::uint64_t probes = 0;                // rounds that were started
-  std::uint64_t unanswered = 0;            // rounds that ended without an answer
-  std::uint64_t suspicions = 0;            // of this router, and of others that it adopted
-  std::uint64_t announced_suspicions = 0;  // of this router, passed on to others
-  std::uint64_t false_suspicions = 0;      // ended by an answer of the member
-  std::uint64_t gone = 0;                  // members called gone
-  std::uint64_t refuted = 0;               // suspicions of this router that it refuted
-  std::uint64_t strangers = 0;             // claims or messages of routers that are not in the roster
-  std::uint64_t contradicted = 0;          // suspicions of others that this router knew to be untrue
-  std::uint64_t disbelieved = 0;           // claims of reporters that are not trusted at present
-  std::uint64_t jumps = 0;                 // claims whose incarnation is implausibly far ahead
-  std::uint64_t stops = 0;                 // suspensions of this process
-  std::uint64_t ignored = 0;               // late answers, and requests above a member's rate
-  std::uint64_t unread[kReadErrors] = {};  // datagrams that could not be read, by ReadError
+  std::uint64_t probe_rounds = 0;              // rounds that were started
+  std::uint64_t unanswered_rounds = 0;         // rounds that ended without an answer
+  std::uint64_t suspicions = 0;                // of this router, and of others that it adopted
+  std::uint64_t announced_suspicions = 0;      // of this router, passed on to others
+  std::uint64_t false_suspicions = 0;          // ended by an answer of the member
+  std::uint64_t failures = 0;                  // members called gone
+  std::uint64_t refuted_suspicions = 0;        // suspicions of this router that it refuted
+  std::uint64_t unknown_routers = 0;           // claims or messages of routers that are not in the roster
+  std::uint64_t contradicted_suspicions = 0;   // suspicions of others that this router knew to be untrue
+  std::uint64_t distrusted_claims = 0;         // claims of reporters that are not trusted at present
+  std::uint64_t implausible_incarnations = 0;  // claims whose incarnation is implausibly far ahead
+  std::uint64_t suspensions = 0;               // suspensions of this process
+  std::uint64_t ignored = 0;                   // late answers, and requests above a member's rate
+  std::uint64_t unreadable[kReadErrors] = {};  // datagrams that could not be read, by ReadError
 };
 
 }  // namespace thornwick::membership
--- a/src/membership/probe_rounds.cpp
+++ b/src/membership/probe_rounds.cpp
@@ -59,7 +59,7 @@
   round.due = now_ + round_time();
   round.ordinary = record.failed_rounds == 0 && record.view.state == MemberState::alive;
   record.probing = true;
-  ++state_.metrics.probes;
+  ++state_.metrics.probe_rounds;
   send(state_, member, {.kind = MessageKind::ping, .number = round.number});
 }
 
@@ -78,8 +78,9 @@
   // A member that is reached only through a helper is probed through it in the second stage already.
   if (!last_stage && !state_.has_helper(record)) return;
   const bool known_first = !last_stage || record.failed_rounds % 2 == 0;
-  const MessageHead request{
-      .kind = MessageKind::ping_request, .number = round.number, .about = state_.roster->id_of(round.member)};
+  const MessageHead request{.kind = MessageKind::ping_request,
+                            .number = round.number,
+                            .subject_id = state_.roster->id_of(round.member)};
   for (const auto helper :
        choose_helpers(round.member, known_first ? FirstHelper::last_successful : FirstHelper::any))
     send(state_, helper, request);
@@ -92,7 +93,7 @@
 int ProbeRounds::helper_rank(std::size_t helper, std::size_t member, FirstHelper first) const {
   if (first == FirstHelper::last_successful && helper == state_.members[member].helper) return 0;
   const MemberView& view = state_.members[helper].view;
-  return view.direct || view.answered == 0 ? 1 : 2;
+  return view.answered_directly || view.last_answer_at == 0 ? 1 : 2;
 }
 
 std::vector<std::size_t> ProbeRounds::choose_helpers(std::size_t member, FirstHelper first) {
--- a/src/membership/reporter_trust.cpp
+++ b/src/membership/reporter_trust.cpp
@@ -17,7 +17,7 @@
   MemberRecord& accused = state.members[member];
   if (accused.contradicted_incarnation == accused.view.incarnation) return;
   accused.contradicted_incarnation = accused.view.incarnation;
-  ++state.metrics.contradicted;
+  ++state.metrics.contradicted_suspicions;
   MemberRecord& record = state.members[reporter];
   const Time interval = kCreditPeriods * state.options.period;
   record.credit.refill(now, {kMostContradictions, interval, kMostContradictions});
--- a/src/membership/sending.cpp
+++ b/src/membership/sending.cpp
@@ -22,7 +22,7 @@
 class ClaimFiller {
  public:
   ClaimFiller(SwimState& state, Message& message)
-      : state_(state), message_(message), room_(room_for(message.seen.size())) {}
+      : state_(state), message_(message), room_(room_for(message.running_by_site.size())) {}
 
   void fill(std::size_t to) {
     add_warning(to);
@@ -83,11 +83,11 @@
   message.group = state.roster->hash();
   message.from = state.claim_of(state.self);
   message.number = head.number;
-  message.about = head.about;
-  message.stops = own.stops;
-  message.stopped_s = own.stopped_s;
+  message.subject_id = head.subject_id;
+  message.suspension_count = own.suspension_count;
+  message.last_suspension_s = own.last_suspension_s;
   for (const auto count : state.condition.present_by_site)
-    message.seen.push_back(static_cast<std::uint8_t>(std::min(count, kMostSeen)));
+    message.running_by_site.push_back(static_cast<std::uint8_t>(std::min(count, kMostSeen)));
   ClaimFiller(state, message).fill(to);
   std::string bytes = write(message);
   ++state.metrics.sent;
--- a/src/membership/sending.hpp
+++ b/src/membership/sending.hpp
@@ -12,7 +12,7 @@
 struct MessageHead {
   MessageKind kind = MessageKind::ping;
   std::uint32_t number = 0;
-  std::uint32_t about = 0;  // id of a third member; 0: none
+  std::uint32_t subject_id = 0;  // id of a third member; 0: none
 };
 
 // Queues a message, filled with claims. It counts against the budget of ordinary probes.
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -17,9 +17,9 @@
 void note_suspension(SwimState& state, Time gap) {
   constexpr Time kMostSeconds = std::numeric_limits<std::uint16_t>::max();
   MemberView& own = state.own().view;
-  ++state.metrics.stops;
-  ++own.stops;
-  own.stopped_s = static_cast<std::uint16_t>(std::min<Time>(gap / seconds(1), kMostSeconds));
+  ++state.metrics.suspensions;
+  ++own.suspension_count;
+  own.last_suspension_s = static_cast<std::uint16_t>(std::min<Time>(gap / seconds(1), kMostSeconds));
 }
 
 // Ends all rounds and doubts, because missing answers during the suspension are no evidence.
@@ -48,7 +48,7 @@
   // Other routers may have suspected this process meanwhile; a higher incarnation refutes every such claim.
   state.refute(now, state.own().view.incarnation);
   state.report(state.self,
-               "this process stood still for " + std::to_string(state.own().view.stopped_s) +
+               "this process stood still for " + std::to_string(state.own().view.last_suspension_s) +
                    " s: nothing is believed until others answer",
                Severity::warning);
   state.probes.next_probe_at = now;
--- a/src/membership/swim_state.cpp
+++ b/src/membership/swim_state.cpp
@@ -20,7 +20,7 @@
       probes(now),
       last_call_at(now) {
   condition.present_by_site.assign(roster->sites().size(), 0);
-  for (auto& member : members) member.view.since = now;
+  for (auto& member : members) member.view.state_since = now;
 }
 
 Claim SwimState::claim_of(std::size_t member) const {
--- a/src/node/cluster_status.cpp
+++ b/src/node/cluster_status.cpp
@@ -33,7 +33,7 @@
           {"cut_off", swim.cut_off()},
           {"sure", swim.sure()},
           {"name_used_twice", swim.name_conflict()},
-          {"stops", self.stops},
+          {"stops", self.suspension_count},
           {"loss", swim.loss()}};
 }
 
@@ -46,10 +46,10 @@
   std::size_t reporters = 1;
   for (std::size_t member = 0; member < roster.size(); ++member) {
     const auto& view = status.swim.view(member);
-    const bool reports = site < view.sees.size() && view.state == MemberState::alive;
+    const bool reports = site < view.reported_running_by_site.size() && view.state == MemberState::alive;
     if (member == status.swim.self() || !reports) continue;
-    least_seen = std::min<std::size_t>(least_seen, view.sees[site]);
-    most_seen = std::max<std::size_t>(most_seen, view.sees[site]);
+    least_seen = std::min<std::size_t>(least_seen, view.reported_running_by_site[site]);
+    most_seen = std::max<std::size_t>(most_seen, view.reported_running_by_site[site]);
     ++reporters;
   }
   return {{"site", roster.sites()[site]}, {"routers", roster.site_size(site)}, {"seen", seen_here},
@@ -64,8 +64,8 @@
 // Null for this router itself, and for one that has not answered yet.
 Json answered_json(const GroupStatus& status, std::size_t member) {
   const auto& view = status.swim.view(member);
-  if (member == status.swim.self() || view.answered == 0) return nullptr;
-  return in_seconds(status.now - view.answered);
+  if (member == status.swim.self() || view.last_answer_at == 0) return nullptr;
+  return in_seconds(status.now - view.last_answer_at);
 }
 
 Json member_json(const GroupStatus& status, std::size_t member) {
@@ -77,36 +77,41 @@
           {"role", entry.role},
           {"address", entry.address},
           {"standing", name_of(view.state)},
-          {"since_s", in_seconds(status.now - view.since)},
+          {"since_s", in_seconds(status.now - view.state_since)},
           {"answered_s", answered_json(status, member)},
-          {"over_another", !is_self && view.answered > 0 && !view.direct},
+          {"over_another", !is_self && view.last_answer_at > 0 && !view.answered_directly},
           {"incarnation", view.incarnation},
           {"back", name_of(view.recovery)},
-          {"starts_seen", view.starts},
-          {"stops", view.stops},
-          {"stopped_s", view.stopped_s},
+          {"starts_seen", view.restart_count},
+          {"stops", view.suspension_count},
+          {"stopped_s", view.last_suspension_s},
           {"name_used_twice", view.name_conflict},
-          {"round_trip_ms", view.round_trip / milliseconds(1)},
+          {"round_trip_ms", view.round_trip_us / milliseconds(1)},
           {"link", link_name(status, member)},
           {"queue_bytes", status.links.queued_bytes(member)}};
 }
 
 Json datagrams_json(const membership::Metrics& metrics) {
   const auto unreadable =
-      std::accumulate(std::begin(metrics.unread), std::end(metrics.unread), std::uint64_t{0});
-  return {{"sent", metrics.sent},     {"sent_bytes", metrics.sent_bytes}, {"heard", metrics.received},
-          {"unreadable", unreadable}, {"strangers", metrics.strangers},   {"ignored", metrics.ignored},
-          {"probes", metrics.probes}, {"unanswered", metrics.unanswered}};
+      std::accumulate(std::begin(metrics.unreadable), std::end(metrics.unreadable), std::uint64_t{0});
+  return {{"sent", metrics.sent},
+          {"sent_bytes", metrics.sent_bytes},
+          {"heard", metrics.received},
+          {"unreadable", unreadable},
+          {"strangers", metrics.unknown_routers},
+          {"ignored", metrics.ignored},
+          {"probes", metrics.probe_rounds},
+          {"unanswered", metrics.unanswered_rounds}};
 }
 
 Json claims_json(const membership::Metrics& metrics) {
   return {{"suspicions", metrics.suspicions},
           {"false_suspicions", metrics.false_suspicions},
-          {"gone", metrics.gone},
-          {"refuted", metrics.refuted},
-          {"contradicted", metrics.contradicted},
-          {"disbelieved", metrics.disbelieved},
-          {"jumps", metrics.jumps}};
+          {"gone", metrics.failures},
+          {"refuted", metrics.refuted_suspicions},
+          {"contradicted", metrics.contradicted_suspicions},
+          {"disbelieved", metrics.distrusted_claims},
+          {"jumps", metrics.implausible_incarnations}};
 }
 
 Json links_json(const net::LinkCounters& counters) {
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -51,40 +51,40 @@
         .group = kGroup,
         .from = self,
         .number = 1,
-        .about = 0,
-        .stops = 0,
-        .stopped_s = 0,
-        .seen = {},
+        .subject_id = 0,
+        .suspension_count = 0,
+        .last_suspension_s = 0,
+        .running_by_site = {},
         .claims = {}}},
       {"ack",
        {.kind = MessageKind::ack,
         .group = kGroup,
         .from = self,
         .number = 0xa1b2c3d4,
-        .about = 0,
-        .stops = 2,
-        .stopped_s = 61,
-        .seen = {0, 1, 255},
+        .subject_id = 0,
+        .suspension_count = 2,
+        .last_suspension_s = 61,
+        .running_by_site = {0, 1, 255},
         .claims = kClaims}},
       {"ask_for",
        {.kind = MessageKind::ping_request,
         .group = kGroup,
         .from = kClaims[1],
         .number = 3,
-        .about = 0x55667788,
-        .stops = 0xffff,
-        .stopped_s = 0x0102,
-        .seen = {4},
+        .subject_id = 0x55667788,
+        .suspension_count = 0xffff,
+        .last_suspension_s = 0x0102,
+        .running_by_site = {4},
         .claims = {kClaims[2]}}},
       {"found_for",
        {.kind = MessageKind::indirect_ack,
         .group = kGroup,
         .from = kClaims[2],
         .number = 4,
-        .about = 9,
-        .stops = 1,
-        .stopped_s = 1,
-        .seen = {2, 2},
+        .subject_id = 9,
+        .suspension_count = 1,
+        .last_suspension_s = 1,
+        .running_by_site = {2, 2},
         .claims = {}}},
   };
 }
@@ -120,10 +120,10 @@
     CHECK(read->group == expected.group);
     CHECK(read->from == expected.from);
     CHECK(read->number == expected.number);
-    CHECK(read->about == expected.about);
-    CHECK(read->stops == expected.stops);
-    CHECK(read->stopped_s == expected.stopped_s);
-    CHECK(read->seen == expected.seen);
+    CHECK(read->subject_id == expected.subject_id);
+    CHECK(read->suspension_count == expected.suspension_count);
+    CHECK(read->last_suspension_s == expected.last_suspension_s);
+    CHECK(read->running_by_site == expected.running_by_site);
     CHECK(read->claims == expected.claims);
   }
 }
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -22,10 +22,10 @@
   message.group = 7;
   message.from = {id_of("a"), ClaimKind::leaving, {1, 2, 3}, 4};
   message.number = 5;
-  message.about = 6;
-  message.stops = 7;
-  message.stopped_s = 8;
-  message.seen.assign(sites, 9);
+  message.subject_id = 6;
+  message.suspension_count = 7;
+  message.last_suspension_s = 8;
+  message.running_by_site.assign(sites, 9);
   for (std::uint32_t i = 0; i < room_for(sites); ++i)
     message.claims.push_back({i + 1, ClaimKind::suspected, {i, i, i}, std::uint64_t{1} << 40});
   return message;
@@ -103,8 +103,10 @@
   CHECK(message.claims.size() >= 7);
   const auto found = read(bytes_of(bytes), 7);
   REQUIRE(found);
-  CHECK((found->from == message.from && found->claims == message.claims && found->seen == message.seen));
-  CHECK((found->number == 5 && found->about == 6 && found->stops == 7 && found->stopped_s == 8));
+  CHECK((found->from == message.from && found->claims == message.claims &&
+         found->running_by_site == message.running_by_site));
+  CHECK((found->number == 5 && found->subject_id == 6 && found->suspension_count == 7 &&
+         found->last_suspension_s == 8));
   const auto foreign = read(bytes_of(bytes), 8);
   CHECK(!foreign);
   CHECK(foreign.error() == ReadError::group);
@@ -331,9 +333,9 @@
   }
   INFO(reports);
   CHECK(reports.find("gone") == std::string::npos);
-  CHECK(victim.metrics().jumps > 0);
-  CHECK(victim.metrics().strangers > 0);
-  CHECK(victim.metrics().disbelieved > 0);
+  CHECK(victim.metrics().implausible_incarnations > 0);
+  CHECK(victim.metrics().unknown_routers > 0);
+  CHECK(victim.metrics().distrusted_claims > 0);
   CHECK(!victim.cut_off());
 }
 
