--- a/src/config/group_section.cpp
+++ b/src/config/group_section.cpp
@@ -49,7 +49,7 @@
     return;
   }
   if (into.name.empty()) group.reject("name", "there has to be one");
-  add_faults(membership::faults_of(into.sites, into.routers, into.line), errors);
+  add_faults(membership::validate_roster(into.sites, into.routers, into.line), errors);
   if (!into.self.empty() && !has_router(into, into.self)) {
     group.reject("self", "no router is called '" + into.self + "'");
   }
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -80,14 +80,14 @@
 void Group::flush(std::size_t router) {
   Node& node = nodes_[router];
   for (const auto& change : node.swim->take_changes()) on_change(router, change);
-  for (const auto& sending : node.swim->take_sendings()) transmit(router, sending);
-  const Time due = std::max(now_ + 1, node.swim->next());
+  for (const auto& sending : node.swim->take_datagrams()) transmit(router, sending);
+  const Time due = std::max(now_ + 1, node.swim->next_tick());
   if (due == node.due) return;
   node.due = due;
   schedule(due, EventKind::timer, router, ++node.timer_version);
 }
 
-void Group::transmit(std::size_t from, const membership::Sending& sending) {
+void Group::transmit(std::size_t from, const membership::OutgoingDatagram& sending) {
   const int copies = random_.happens(options_.repeat) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     if (is_blocked(from, sending.to) || random_.happens(options_.loss)) continue;
@@ -103,8 +103,8 @@
     const std::size_t other = (router + i) % size();
     if (!running(router) || !running(other) || is_blocked(router, other) || is_blocked(other, router))
       continue;
-    nodes_[other].swim->on_view(now_, router, at(router).claims());
-    nodes_[router].swim->on_view(now_, other, at(other).claims());
+    nodes_[other].swim->on_claims(now_, router, at(router).claims());
+    nodes_[router].swim->on_claims(now_, other, at(other).claims());
     flush(other);
     flush(router);
   }
--- a/src/emulator/group.hpp
+++ b/src/emulator/group.hpp
@@ -93,7 +93,7 @@
   void deliver(Node& node, std::string bytes);
   // After each call of a router's failure detector: sends what it queued, and sets its timer.
   void flush(std::size_t router);
-  void transmit(std::size_t from, const membership::Sending& sending);
+  void transmit(std::size_t from, const membership::OutgoingDatagram& sending);
   void exchange_views(std::size_t router);
   membership::Identity next_identity(const Node& node, Disk disk);
   bool believes_truth(std::size_t observer, std::size_t member) const;
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -55,7 +55,7 @@
                            about_itself ? "" : fmt::format("r{:03} ", change.member), change.text));
     if (!change.text.starts_with("gone") || about_itself) return;
     ++result_.gone_reports;
-    if (group_.at(router).cut_off())
+    if (group_.at(router).is_cut_off())
       fail(fmt::format("r{:03} is cut off and calls r{:03} gone", router, change.member));
     if (group_.now() - disturbed_at(router, change.member) > kUndisturbed) {
       fail(fmt::format("r{:03} calls r{:03} gone, which has run and been reached all the time", router,
@@ -121,7 +121,7 @@
 
   bool settled() const {
     for (std::size_t i = 0; i < group_.size(); ++i) {
-      if (group_.at(i).cut_off() || !group_.at(i).sure()) return false;
+      if (group_.at(i).is_cut_off() || !group_.at(i).is_view_reliable()) return false;
     }
     return group_.agree();
   }
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -30,9 +30,9 @@
     if (!round.over) add_round(out, round, now);
   }
   for (const auto& update : state_.gossip.updates()) out << update.claim.member << update.sent << ',';
-  out << condition.cut_off << condition.sure << state_.leaving << condition.unanswered_in_a_row << ' '
-      << probes.next_probe_at - now << ' ' << probes.expedited.size() << ' ' << probes.indirect.size() << ' '
-      << state_.loss.value();
+  out << condition.cut_off << condition.view_is_reliable << state_.leaving << condition.unanswered_in_a_row
+      << ' ' << probes.next_probe_at - now << ' ' << probes.expedited.size() << ' ' << probes.indirect.size()
+      << ' ' << state_.loss.value();
   return out.str();
 }
 
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -68,22 +68,22 @@
 
 GroupEvaluation::Reach GroupEvaluation::count_members() {
   Reach reach;
-  std::size_t present = 1;
-  auto& by_site = state_.condition.present_by_site;
+  std::size_t running = 1;
+  auto& by_site = state_.condition.running_by_site;
   std::fill(by_site.begin(), by_site.end(), 0);
   ++by_site[state_.roster->site_of(state_.self)];
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
     if (i == state_.self) continue;
     const MemberRecord& member = state_.members[i];
     if (is_present(member.view.state)) {
-      ++present;
+      ++running;
       ++by_site[state_.roster->site_of(i)];
     }
     if (member.view.state == MemberState::left) continue;
     ++reach.all;
     if (!counts_as_unreachable(member)) ++reach.reachable;
   }
-  state_.condition.present = present;
+  state_.condition.running = running;
   return reach;
 }
 
@@ -115,7 +115,7 @@
 }  // namespace
 
 void GroupEvaluation::on_cut_off(const Reach& reach) {
-  state_.condition.sure = false;
+  state_.condition.view_is_reliable = false;
   const std::string evidence = state_.condition.unanswered_in_a_row > 1
                                    ? "nobody answers, of " + std::to_string(reach.all - 1) + " others"
                                    : describe_reach(reach.reachable, reach.all);
@@ -150,7 +150,7 @@
 // ---------------------------------------------------------------- confidence
 
 void GroupEvaluation::update_confidence() {
-  if (state_.condition.sure || state_.condition.cut_off) return;
+  if (state_.condition.view_is_reliable || state_.condition.cut_off) return;
   std::size_t answered = 0;
   std::size_t others = 0;
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
@@ -160,7 +160,7 @@
     if (member.answered_since_reset) ++answered;
   }
   if (answered < std::min(kEnoughAnswers, (others + 1) / 2)) return;
-  state_.condition.sure = true;
+  state_.condition.view_is_reliable = true;
   state_.report(state_.self, "what this router believes of the group holds: " + std::to_string(answered) +
                                  " of " + std::to_string(others) + " others answered");
 }
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -94,7 +94,7 @@
 
 // Size, mark, version and checksum.
 ReadError check_frame(std::span<const std::uint8_t> bytes) {
-  if (bytes.size() < kFixedBytes || bytes.size() > kMostBytes) return ReadError::length;
+  if (bytes.size() < kFixedBytes || bytes.size() > kMaxDatagramBytes) return ReadError::length;
   if (!std::equal(std::begin(kMark), std::end(kMark), bytes.begin())) return ReadError::mark;
   if (bytes[kMarkBytes] != kVersion) return ReadError::version;
   const auto content = bytes.first(bytes.size() - kSumBytes);
@@ -104,7 +104,7 @@
 
 }  // namespace
 
-std::size_t room_for(std::size_t sites) { return (kMostBytes - kFixedBytes - sites) / kClaimBytes; }
+std::size_t room_for(std::size_t sites) { return (kMaxDatagramBytes - kFixedBytes - sites) / kClaimBytes; }
 
 std::string write(const Message& message) {
   Writer out;
@@ -149,13 +149,13 @@
   return ReadResult(std::move(message));
 }
 
-std::string write_view(const std::vector<Claim>& claims) {
+std::string write_claims(const std::vector<Claim>& claims) {
   Writer out;
   for (const auto& claim : claims) out.claim(claim);
   return out.take();
 }
 
-std::optional<std::vector<Claim>> read_view(std::string_view bytes, std::size_t most) {
+std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t most) {
   if (bytes.size() % kClaimBytes != 0 || bytes.size() / kClaimBytes > most) return std::nullopt;
   return Reader({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}).claims();
 }
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -13,7 +13,7 @@
 
 namespace thornwick::membership {
 
-inline constexpr std::size_t kMostBytes = 256;  // of a datagram
+inline constexpr std::size_t kMaxDatagramBytes = 256;  // of a datagram
 inline constexpr std::uint8_t kVersion = 1;
 
 // Identifies the process that uses a router's name.
@@ -97,8 +97,8 @@
 [[nodiscard]] ReadResult read(std::span<const std::uint8_t> bytes, std::uint32_t group);
 
 // Encodes a list of claims, for links.
-std::string write_view(const std::vector<Claim>& claims);
+std::string write_claims(const std::vector<Claim>& claims);
 // Decodes a list of claims. None if the bytes are no list of claims, or of more than `most` claims.
-[[nodiscard]] std::optional<std::vector<Claim>> read_view(std::string_view bytes, std::size_t most);
+[[nodiscard]] std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t most);
 
 }  // namespace thornwick::membership
--- a/src/membership/output.hpp
+++ b/src/membership/output.hpp
@@ -20,7 +20,7 @@
 };
 
 // A datagram for another member.
-struct Sending {
+struct OutgoingDatagram {
   std::size_t to = 0;  // index in the roster
   std::string bytes;
 };
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -12,7 +12,7 @@
 // Checks one router after the other, and remembers what the earlier ones use.
 class RouterChecker {
  public:
-  RouterChecker(const std::vector<std::string>& sites, std::vector<Fault>& faults)
+  RouterChecker(const std::vector<std::string>& sites, std::vector<RosterError>& faults)
       : sites_(sites), faults_(faults) {}
 
   void check(const RouterEntry& router) {
@@ -26,9 +26,9 @@
   void reject(const RouterEntry& router, const std::string& text) { faults_.push_back({router.line, text}); }
 
   void check_name(const RouterEntry& router) {
-    if (router.name.empty() || router.name.size() > kMostName) {
+    if (router.name.empty() || router.name.size() > kMaxNameBytes) {
       reject(router,
-             "router.name: there has to be one, of " + std::to_string(kMostName) + " bytes at the most");
+             "router.name: there has to be one, of " + std::to_string(kMaxNameBytes) + " bytes at the most");
       return;
     }
     const auto [named, is_new_name] = lines_by_name_.emplace(router.name, router.line);
@@ -51,7 +51,7 @@
   }
 
   const std::vector<std::string>& sites_;
-  std::vector<Fault>& faults_;
+  std::vector<RosterError>& faults_;
   std::map<std::string, std::uint32_t> lines_by_name_;
   std::map<std::string, std::uint32_t> lines_by_address_;
   std::map<std::uint32_t, std::string> names_by_id_;
@@ -103,13 +103,13 @@
   return static_cast<std::size_t>(std::count(site_of_.begin(), site_of_.end(), site));
 }
 
-std::vector<Fault> faults_of(const std::vector<std::string>& sites, const std::vector<RouterEntry>& routers,
-                             std::uint32_t group_line) {
-  std::vector<Fault> faults;
-  if (sites.empty() || sites.size() > kMostSites)
-    faults.push_back({group_line, "group.sites: there have to be 1 to " + std::to_string(kMostSites)});
-  if (routers.size() > kMostRouters)
-    faults.push_back({group_line, "router: there are more than " + std::to_string(kMostRouters)});
+std::vector<RosterError> validate_roster(const std::vector<std::string>& sites,
+                                         const std::vector<RouterEntry>& routers, std::uint32_t group_line) {
+  std::vector<RosterError> faults;
+  if (sites.empty() || sites.size() > kMaxSites)
+    faults.push_back({group_line, "group.sites: there have to be 1 to " + std::to_string(kMaxSites)});
+  if (routers.size() > kMaxRouters)
+    faults.push_back({group_line, "router: there are more than " + std::to_string(kMaxRouters)});
   RouterChecker checker(sites, faults);
   for (const auto& router : routers) checker.check(router);
   for (auto site = sites.begin(); site != sites.end(); ++site) {
--- a/src/membership/roster.hpp
+++ b/src/membership/roster.hpp
@@ -11,9 +11,9 @@
 
 namespace thornwick::membership {
 
-inline constexpr std::size_t kMostRouters = 1000;
-inline constexpr std::size_t kMostSites = 16;
-inline constexpr std::size_t kMostName = 64;  // bytes
+inline constexpr std::size_t kMaxRouters = 1000;
+inline constexpr std::size_t kMaxSites = 16;
+inline constexpr std::size_t kMaxNameBytes = 64;
 
 struct RouterEntry {
   std::string name;
@@ -32,7 +32,7 @@
 class Roster {
  public:
   Roster() = default;
-  // faults_of() these sites and routers must be empty.
+  // validate_roster() of these sites and routers must be empty.
   Roster(const std::string& group, std::vector<std::string> sites, std::vector<RouterEntry> routers);
 
   std::size_t size() const { return routers_.size(); }
@@ -63,13 +63,13 @@
 std::uint32_t id_of(std::string_view name);
 
 // An error in the operator's file.
-struct Fault {
+struct RosterError {
   std::uint32_t line = 0;
   std::string text;  // "router.name: what is wrong"
 };
 // All errors of a group: names or addresses that occur twice, sites that are unknown or without routers, too
 // many sites or routers. `group_line` is the line of the group in the file.
-std::vector<Fault> faults_of(const std::vector<std::string>& sites, const std::vector<RouterEntry>& routers,
-                             std::uint32_t group_line);
+std::vector<RosterError> validate_roster(const std::vector<std::string>& sites,
+                                         const std::vector<RouterEntry>& routers, std::uint32_t group_line);
 
 }  // namespace thornwick::membership
--- a/src/membership/sending.cpp
+++ b/src/membership/sending.cpp
@@ -14,7 +14,7 @@
 constexpr int kMostPeriodsWithoutProbe = 5;
 constexpr std::uint32_t kGossipFactor =
     3;  // an update is sent this often, times the logarithm of the group's size
-constexpr std::size_t kMostSeen = 255;  // a count of the message has one byte
+constexpr std::size_t kMaxRunning = 255;  // a count of the message has one byte
 
 // Fills a message with claims: first a claim about its receiver that the receiver should refute, then gossip
 // updates, the least often sent first, and then the claims of all members in turn while there is room. The
@@ -86,14 +86,14 @@
   message.subject_id = head.subject_id;
   message.suspension_count = own.suspension_count;
   message.last_suspension_s = own.last_suspension_s;
-  for (const auto count : state.condition.present_by_site)
-    message.running_by_site.push_back(static_cast<std::uint8_t>(std::min(count, kMostSeen)));
+  for (const auto count : state.condition.running_by_site)
+    message.running_by_site.push_back(static_cast<std::uint8_t>(std::min(count, kMaxRunning)));
   ClaimFiller(state, message).fill(to);
   std::string bytes = write(message);
   ++state.metrics.sent;
   state.metrics.sent_bytes += bytes.size();
   state.probes.budget.spend_down_to(kLeastBudget);
-  state.sendings.push_back({to, std::move(bytes)});
+  state.datagrams.push_back({to, std::move(bytes)});
 }
 
 bool may_answer(SwimState& state, Time now, std::size_t member) {
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -34,7 +34,7 @@
   }
   state.condition.unanswered_in_a_row = 0;
   state.condition.stale = true;
-  state.condition.sure = false;
+  state.condition.view_is_reliable = false;
 }
 
 }  // namespace
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -33,7 +33,7 @@
   group.update_confidence();
 }
 
-Time Swim::next() const { return ProbeSchedule::next_due(state_); }
+Time Swim::next_tick() const { return ProbeSchedule::next_due(state_); }
 
 void Swim::tick(Time now) {
   check_suspension(state_, now);
@@ -56,7 +56,7 @@
   MessageHandler(state_, now).handle(bytes);
 }
 
-void Swim::on_view(Time now, std::size_t reporter, const std::vector<Claim>& claims) {
+void Swim::on_claims(Time now, std::size_t reporter, const std::vector<Claim>& claims) {
   check_suspension(state_, now);
   ClaimHandler handler(state_, now);
   for (const auto& claim : claims) handler.accept(claim, reporter);
--- a/src/membership/swim.hpp
+++ b/src/membership/swim.hpp
@@ -33,38 +33,38 @@
        std::uint64_t seed, Time now);
 
   // When tick() is due next; changes with each call below.
-  Time next() const;
+  Time next_tick() const;
   void tick(Time now);
   // Handles a datagram with any content.
   void on_message(Time now, std::span<const std::uint8_t> bytes);
   // Handles all claims of another member, received over a link.
-  void on_view(Time now, std::size_t reporter, const std::vector<Claim>& claims);
+  void on_claims(Time now, std::size_t reporter, const std::vector<Claim>& claims);
   // Announces this router's shutdown to some members at once, and with every later message.
   void leave(Time now);
 
   // The datagrams to send and the changes to log since the previous take. The owner takes both after each
   // call above.
-  [[nodiscard]] std::vector<Sending> take_sendings() { return std::exchange(state_.sendings, {}); }
+  [[nodiscard]] std::vector<OutgoingDatagram> take_datagrams() { return std::exchange(state_.datagrams, {}); }
   std::vector<Change> take_changes() { return std::exchange(state_.changes, {}); }
 
   const Roster& roster() const { return *state_.roster; }
   std::size_t self() const { return state_.self; }
-  // Throws std::out_of_range for an index that is not in the roster; so does present(site).
+  // Throws std::out_of_range for an index that is not in the roster; so does running_count(site).
   const MemberView& view(std::size_t member) const { return state_.members.at(member).view; }
   std::uint64_t incarnation() const { return state_.own().view.incarnation; }
   // The number of routers that are believed to run, this one included, in all or at one site.
-  std::size_t present() const { return state_.condition.present; }
-  std::size_t present(std::size_t site) const { return state_.condition.present_by_site.at(site); }
+  std::size_t running_count() const { return state_.condition.running; }
+  std::size_t running_count(std::size_t site) const { return state_.condition.running_by_site.at(site); }
   // Whether this router is cut off: it reaches fewer than half of the members that have not left. It calls no
   // member gone while it is cut off.
-  bool cut_off() const { return state_.condition.cut_off; }
+  bool is_cut_off() const { return state_.condition.cut_off; }
   // Whether the view of the members may be acted upon: half of the other members (ten in a large group) have
   // answered since this process last started, was suspended or cut off.
-  bool sure() const { return state_.condition.sure; }
+  bool is_view_reliable() const { return state_.condition.view_is_reliable; }
   // Whether two processes use this router's own name.
   bool name_conflict() const { return state_.own().view.name_conflict; }
   // The fraction of probe rounds that running members did not answer.
-  double loss() const { return state_.loss.value(); }
+  double loss_rate() const { return state_.loss.value(); }
   const Metrics& metrics() const { return state_.metrics; }
   // All claims of this router, for on_view() of another member.
   std::vector<Claim> claims() const;
--- a/src/membership/swim_state.cpp
+++ b/src/membership/swim_state.cpp
@@ -19,7 +19,7 @@
       members(roster->size(), MemberRecord(roster->size())),
       probes(now),
       last_call_at(now) {
-  condition.present_by_site.assign(roster->sites().size(), 0);
+  condition.running_by_site.assign(roster->sites().size(), 0);
   for (auto& member : members) member.view.state_since = now;
 }
 
--- a/src/membership/swim_state.hpp
+++ b/src/membership/swim_state.hpp
@@ -37,10 +37,10 @@
 // The group as a whole.
 struct GroupCondition {
   bool stale = true;                         // has to be evaluated again
-  std::size_t present = 1;                   // this router included
-  std::vector<std::size_t> present_by_site;  // the same by site
+  std::size_t running = 1;                   // this router included
+  std::vector<std::size_t> running_by_site;  // the same by site
   bool cut_off = false;                      // this router reaches fewer than half of the others
-  bool sure = false;                         // enough members answered since the last reset
+  bool view_is_reliable = false;             // enough members answered since the last reset
   std::uint32_t unanswered_in_a_row = 0;     // ordinary probes of different members
   Time last_answer_at = 0;                   // of any member
 };
@@ -93,7 +93,7 @@
 
   Metrics metrics;
   std::vector<Change> changes;
-  std::vector<Sending> sendings;
+  std::vector<OutgoingDatagram> datagrams;
 };
 
 }  // namespace thornwick::membership
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -137,9 +137,9 @@
 }
 
 void Cluster::on_view(std::size_t member, std::string_view bytes) {
-  const auto claims = membership::read_view(bytes, membership_.roster->size());
+  const auto claims = membership::read_claims(bytes, membership_.roster->size());
   if (!claims) return;
-  swim_->on_view(net::now_us(), member, *claims);
+  swim_->on_claims(net::now_us(), member, *claims);
   apply_swim_output();
 }
 
@@ -157,9 +157,9 @@
 
 void Cluster::apply_swim_output() {
   for (const auto& change : swim_->take_changes()) log_change(change);
-  for (const auto& sending : swim_->take_sendings())
+  for (const auto& sending : swim_->take_datagrams())
     datagrams_->send(addresses_[sending.to].get(), sending.bytes);
-  const Time delay = std::max<Time>(0, swim_->next() - net::now_us());
+  const Time delay = std::max<Time>(0, swim_->next_tick() - net::now_us());
   tick_timer_.start(delay, [this] { on_tick(); });
 }
 
@@ -176,7 +176,7 @@
 // a router have left out.
 void Cluster::send_view() {
   view_timer_.start(kViewPeriods * period_, [this] { send_view(); });
-  const std::string view = membership::write_view(swim_->claims());
+  const std::string view = membership::write_claims(swim_->claims());
   for (std::size_t member = 0; member < membership_.roster->size(); ++member) {
     if (links_->up(member)) links_->send(member, kViewChannel, view);
   }
--- a/src/node/cluster_status.cpp
+++ b/src/node/cluster_status.cpp
@@ -28,19 +28,19 @@
           {"back", name_of(self.recovery)},
           {"running_s", in_seconds(status.now - status.started)},
           {"incarnation", swim.incarnation()},
-          {"present", swim.present()},
+          {"present", swim.running_count()},
           {"routers", swim.roster().size()},
-          {"cut_off", swim.cut_off()},
-          {"sure", swim.sure()},
+          {"cut_off", swim.is_cut_off()},
+          {"sure", swim.is_view_reliable()},
           {"name_used_twice", swim.name_conflict()},
           {"stops", self.suspension_count},
-          {"loss", swim.loss()}};
+          {"loss", swim.loss_rate()}};
 }
 
 // How many routers of a site are seen here, and the range of what the live members last reported.
 Json site_json(const GroupStatus& status, std::size_t site) {
   const auto& roster = status.swim.roster();
-  const std::size_t seen_here = status.swim.present(site);
+  const std::size_t seen_here = status.swim.running_count(site);
   std::size_t least_seen = seen_here;
   std::size_t most_seen = seen_here;
   std::size_t reporters = 1;
@@ -127,9 +127,9 @@
 std::string summary_text(const GroupStatus& status) {
   const auto& swim = status.swim;
   return fmt::format("{} of group {}: {} of {} routers present{}{}{}\n", swim.roster().at(swim.self()).name,
-                     status.group, swim.present(), swim.roster().size(),
-                     swim.cut_off() ? ", THIS ROUTER IS CUT OFF" : "",
-                     swim.sure() ? "" : ", not sure of what it believes",
+                     status.group, swim.running_count(), swim.roster().size(),
+                     swim.is_cut_off() ? ", THIS ROUTER IS CUT OFF" : "",
+                     swim.is_view_reliable() ? "" : ", not sure of what it believes",
                      swim.name_conflict() ? ", ITS NAME IS USED TWICE" : "");
 }
 
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -133,9 +133,9 @@
 }
 
 TEST_CASE("membership: a committed view reads as its claims") {
-  CHECK(read_view(committed(kMembershipFile, "view"), kClaims.size()) == kClaims);
+  CHECK(read_claims(committed(kMembershipFile, "view"), kClaims.size()) == kClaims);
 }
 
 TEST_CASE("membership: the same view is written as the committed bytes") {
-  check_written(kMembershipFile, "view", write_view(kClaims));
+  check_written(kMembershipFile, "view", write_claims(kClaims));
 }
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -32,7 +32,7 @@
   std::vector<Swim> nodes;
   std::vector<bool> up;
   std::vector<Identity> identities;
-  std::vector<Sending> in_flight;
+  std::vector<OutgoingDatagram> in_flight;
   Time now = 0;
   std::size_t deaths = 0;
 };
@@ -74,7 +74,7 @@
     }
     for (std::size_t i = 0; i < state.in_flight.size(); ++i) {
       State next = state;
-      const Sending sending = next.in_flight[i];
+      const OutgoingDatagram sending = next.in_flight[i];
       next.in_flight.erase(next.in_flight.begin() + static_cast<std::ptrdiff_t>(i));
       explore(next, depth + 1);  // without the datagram, which was lost
       if (!state.up[sending.to]) continue;
@@ -117,11 +117,11 @@
   }
   void collect_sendings(State& state, std::size_t member) {
     state.nodes[member].take_changes();
-    for (auto& sending : state.nodes[member].take_sendings()) {
+    for (auto& sending : state.nodes[member].take_datagrams()) {
       if (state.in_flight.size() < bounds_.in_flight) state.in_flight.push_back(std::move(sending));
     }
   }
-  void deliver(State& state, const Sending& sending) {
+  void deliver(State& state, const OutgoingDatagram& sending) {
     if (!state.up[sending.to]) return;
     state.nodes[sending.to].on_message(
         state.now, {reinterpret_cast<const std::uint8_t*>(sending.bytes.data()), sending.bytes.size()});
@@ -131,11 +131,11 @@
     std::size_t first = bounds_.members;
     for (std::size_t member = 0; member < bounds_.members; ++member) {
       if (state.up[member] &&
-          (first == bounds_.members || state.nodes[member].next() < state.nodes[first].next()))
+          (first == bounds_.members || state.nodes[member].next_tick() < state.nodes[first].next_tick()))
         first = member;
     }
     if (first == bounds_.members) return;
-    state.now = std::max(state.now, state.nodes[first].next());
+    state.now = std::max(state.now, state.nodes[first].next_tick());
     state.nodes[first].tick(state.now);
     collect_sendings(state, first);
   }
@@ -172,7 +172,7 @@
       if (!state.up[observer]) continue;
       // With fewer than half of the members alive, a member has to find that it is cut off.
       if (2 * alive < bounds_.members) {
-        if (!state.nodes[observer].cut_off()) return false;
+        if (!state.nodes[observer].is_cut_off()) return false;
         continue;
       }
       for (std::size_t member = 0; member < bounds_.members; ++member) {
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -99,7 +99,7 @@
   const std::size_t sites = GENERATE(1u, 3u, 16u);
   const Message message = full_message(sites);
   const std::string bytes = write(message);
-  CHECK(bytes.size() <= kMostBytes);
+  CHECK(bytes.size() <= kMaxDatagramBytes);
   CHECK(message.claims.size() >= 7);
   const auto found = read(bytes_of(bytes), 7);
   REQUIRE(found);
@@ -131,11 +131,11 @@
 }
 
 TEST_CASE("each error of a roster is reported with its line") {
-  const auto faults = faults_of({"north", "south", "north"},
-                                {{"r1", "north", "127.0.0.1:1", "router", 3},
-                                 {"r1", "west", "127.0.0.1:1", "router", 7},
-                                 {"", "north", "127.0.0.1:3", "router", 9}},
-                                1);
+  const auto faults = validate_roster({"north", "south", "north"},
+                                      {{"r1", "north", "127.0.0.1:1", "router", 3},
+                                       {"r1", "west", "127.0.0.1:1", "router", 7},
+                                       {"", "north", "127.0.0.1:3", "router", 9}},
+                                      1);
   std::string text;
   for (const auto& fault : faults) text += std::to_string(fault.line) + " " + fault.text + "\n";
   for (const char* part :
@@ -145,7 +145,7 @@
     INFO(text);
     CHECK(text.find(part) != std::string::npos);
   }
-  CHECK(faults_of({"a"}, {{"r1", "a", "127.0.0.1:1", "router", 3}}, 1).empty());
+  CHECK(validate_roster({"a"}, {{"r1", "a", "127.0.0.1:1", "router", 3}}, 1).empty());
 }
 
 TEST_CASE("fault scripts: no reachable member is called gone, and all members agree afterwards (1)") {
@@ -202,7 +202,7 @@
   settled.require_soon([&] { return settled.all_see(1, MemberState::leaving); });
   settled.require_soon([&] { return settled.all_see(1, MemberState::left); });
   CHECK(settled.reports.find("suspected") == std::string::npos);
-  CHECK(!settled.group.at(0).cut_off());
+  CHECK(!settled.group.at(0).is_cut_off());
 }
 
 TEST_CASE(
@@ -215,7 +215,7 @@
   settled.group.resume(3);
   settled.group.run_until(settled.group.now() + 2000);
   CHECK(settled.reports.rfind("r3/3 this process stood still for 1", 0) == 0);  // the first report
-  settled.require_soon([&] { return settled.group.agree() && settled.group.at(3).sure(); });
+  settled.require_soon([&] { return settled.group.agree() && settled.group.at(3).is_view_reliable(); });
   CHECK(settled.reports.find("r0/3 it stood still for 1") != std::string::npos);
   CHECK(settled.reports.find("started anew") == std::string::npos);
 }
@@ -224,15 +224,15 @@
   SettledGroup settled(5);
   settled.cut_off(4);
   settled.require_soon(
-      [&] { return settled.group.at(4).cut_off() && settled.all_see(4, MemberState::failed); });
+      [&] { return settled.group.at(4).is_cut_off() && settled.all_see(4, MemberState::failed); });
   settled.group.run_until(settled.group.now() + seconds(120));
   for (std::size_t i = 0; i < 4; ++i) {
-    CHECK(!settled.group.at(i).cut_off());
+    CHECK(!settled.group.at(i).is_cut_off());
     CHECK(settled.group.at(4).view(i).state != MemberState::failed);
   }
-  CHECK(!settled.group.at(4).sure());
+  CHECK(!settled.group.at(4).is_view_reliable());
   settled.group.unblock_all();
-  settled.require_soon([&] { return settled.group.agree() && !settled.group.at(4).cut_off(); });
+  settled.require_soon([&] { return settled.group.agree() && !settled.group.at(4).is_cut_off(); });
 }
 
 // A busy machine loses rounds before the partition, so that this router doubts some members longer than
@@ -283,10 +283,10 @@
   std::string reports;
   for (Time now = 0; now < seconds(200); now += milliseconds(20)) {
     for (std::size_t i = 0; i < processes.size(); ++i) {
-      if (processes[i].next() <= now) processes[i].tick(now);
+      if (processes[i].next_tick() <= now) processes[i].tick(now);
       for (const auto& change : processes[i].take_changes())
         reports += std::to_string(i) + "/" + std::to_string(change.member) + " " + change.text + "\n";
-      for (const auto& sending : processes[i].take_sendings()) {
+      for (const auto& sending : processes[i].take_datagrams()) {
         processes[sending.to].on_message(now, bytes_of(sending.bytes));
         if (sending.to == 3) processes[4].on_message(now, bytes_of(sending.bytes));
       }
@@ -317,8 +317,8 @@
         {roster.id_of(2), ClaimKind::alive, victim.view(2).identity, std::uint64_t{1} << 47});
     false_claims.claims.push_back({id_of("stranger"), ClaimKind::alive, {1, 1, 1}, 1});
     victim.on_message(now, bytes_of(write(false_claims)));
-    if (victim.next() <= now) victim.tick(now);
-    for (const auto& sending : victim.take_sendings()) {
+    if (victim.next_tick() <= now) victim.tick(now);
+    for (const auto& sending : victim.take_datagrams()) {
       const auto probe = read(bytes_of(sending.bytes), roster.hash());
       if (probe->kind != MessageKind::ping) continue;
       Message answer;
@@ -336,7 +336,7 @@
   CHECK(victim.metrics().implausible_incarnations > 0);
   CHECK(victim.metrics().unknown_routers > 0);
   CHECK(victim.metrics().distrusted_claims > 0);
-  CHECK(!victim.cut_off());
+  CHECK(!victim.is_cut_off());
 }
 
 TEST_CASE("a router sends at most one message a second in a group of any size, and 1.3 at 30 % loss") {
