--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -16,9 +16,9 @@
   const auto members = leader.consensus()->members();
   for (const auto& member : members) {
     const auto* replica = cluster.replica_at(cluster.roster().find(member.name), ledger);
-    if (replica == nullptr || !member.votes || replica->process().id != member.id)
+    if (replica == nullptr || !member.is_voter || replica->process().id != member.id)
       return fmt::format("ledger {}: {} is not filled", ledger, member.name);
-    if (replica->consensus()->committed() + kMaxLag < leader.consensus()->committed())
+    if (replica->consensus()->commit_index() + kMaxLag < leader.consensus()->commit_index())
       return fmt::format("ledger {}: {} lags", ledger, member.name);
   }
   if (members.size() != cluster.options().replicas)
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -50,7 +50,7 @@
   replication::ReplicationNode& node = cluster_.node(router);
   const bool granted = node.quota_client().reserve(static_cast<QuotaLeaseClient::Place>(grant.account),
                                                    grant.reserved, grant.reserved_at);
-  node.pump(grant.reserved_at);
+  node.deliver_to_self(grant.reserved_at);
   if (!granted) {
     ++cluster_.result().rejected;
     return;
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -49,7 +49,7 @@
   void write(std::string key, std::optional<std::string> value) override {
     cluster_.write(router_, {ledger_, std::move(key)}, std::move(value));
   }
-  std::uint64_t mark() override { return cluster_.routers_[router_].writes; }
+  std::uint64_t last_write_number() override { return cluster_.routers_[router_].writes; }
 
  private:
   ReplicationCluster& cluster_;
@@ -136,7 +136,7 @@
   }
   its.pending_writes.clear();
   its.flush_scheduled = false;
-  its.node->durable(local_time(router), its.writes);
+  its.node->on_durable(local_time(router), its.writes);
 }
 
 void ReplicationCluster::load_disk(std::size_t router, Disk disk) {
@@ -193,12 +193,12 @@
   options.replica.self = router;
   options.replica.replica_count = options_.replicas;
   options.replica.roster = roster_;
-  options.replica.lease = kLeaseDuration;
+  options.replica.lease_duration = kLeaseDuration;
   options.replica.entry_timeout = kReplicaPatience;
-  options.replica.snapshot_every = kSnapshotEvery;
-  options.replica.trailing = kTrailingEntries;
+  options.replica.snapshot_threshold = kSnapshotEvery;
+  options.replica.trailing_entries = kTrailingEntries;
   options.replica.trust_any_disk = options_.trust_any_disk;
-  options.replica.answer_before_majority = options_.answer_before_majority;
+  options.replica.respond_before_majority = options_.answer_before_majority;
   options.quota_client.self = router;
   options.quota_client.replica_count = options_.replicas;
   options.quota_client.roster = roster_;
@@ -276,22 +276,23 @@
     if (!running(i)) continue;
     routers_[i].node->tick(local_time(i));
     for (const auto& [ledger, replica] : routers_[i].node->replicas()) {
-      if (replica->leads()) check_recovered(*replica, ledger);
+      if (replica->is_leader()) check_recovered(*replica, ledger);
     }
   }
 }
 
 // A lost replica has recovered when it votes, and its disk has all that was committed a moment ago.
 void ReplicationCluster::check_recovered(const replication::LedgerReplica& leader, std::size_t ledger) {
-  if (leader.consensus()->changing()) return;
+  if (leader.consensus()->is_changing_members()) return;
   for (const auto& member : leader.consensus()->members()) {
     const std::size_t router = roster_->find(member.name);
     const auto* replica = replica_at(router, ledger);
-    if (!member.votes || replica == nullptr) continue;
+    if (!member.is_voter || replica == nullptr) continue;
     if (replica->process().id != member.id || replica->stage() != replication::Stage::member) continue;
     if (replica->consensus() == nullptr) continue;
-    const bool complete = replica->consensus()->position().last_index + 1 >= leader.consensus()->committed();
-    if (complete && replica->consensus()->committed() > 0) routers_[router].recovering.erase(ledger);
+    const bool complete =
+        replica->consensus()->position().last_index + 1 >= leader.consensus()->commit_index();
+    if (complete && replica->consensus()->commit_index() > 0) routers_[router].recovering.erase(ledger);
   }
 }
 
@@ -326,7 +327,7 @@
 std::optional<std::size_t> ReplicationCluster::leader_of(std::size_t ledger) const {
   for (std::size_t i = 0; i < size(); ++i) {
     const auto* replica = replica_at(i, ledger);
-    if (replica != nullptr && replica->leads()) return i;
+    if (replica != nullptr && replica->is_leader()) return i;
   }
   return std::nullopt;
 }
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -36,10 +36,10 @@
   options.replica.self = membership.self;
   options.replica.roster = membership.roster;
   options.replica.replica_count = file.holders;
-  options.replica.lease = lease;
-  options.replica.heartbeat = heartbeat;
-  options.replica.election = kElectionHeartbeats * heartbeat;
-  options.replica.hello = std::max(kMinInterval, kHelloHeartbeats * heartbeat);
+  options.replica.lease_duration = lease;
+  options.replica.heartbeat_interval = heartbeat;
+  options.replica.election_timeout = kElectionHeartbeats * heartbeat;
+  options.replica.hello_interval = std::max(kMinInterval, kHelloHeartbeats * heartbeat);
   options.quota_client.self = membership.self;
   options.quota_client.roster = membership.roster;
   options.quota_client.replica_count = file.holders;
@@ -144,14 +144,14 @@
   const auto& quota_client = replication_->quota_client();
   for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger)
     keep(quota_client.replica_routers(ledger));
-  for (const auto& [ledger, replica] : replication_->replicas()) keep(replica->wanted());
+  for (const auto& [ledger, replica] : replication_->replicas()) keep(replica->placed_members());
 }
 
 void ClusterReplication::on_tick() {
   if (processing_) return;
   processing_ = true;
   const Time now = net::now_us();
-  replication_->durable(now, store_->durable());
+  replication_->on_durable(now, store_->durable());
   replication_->tick(now);
   store_->hand_over();
   keep_replica_links();
@@ -196,7 +196,7 @@
 
 void ClusterReplication::flush_before_exit(Time timeout) {
   replication_->quota_client().leave(net::now_us());
-  replication_->pump(net::now_us());
+  replication_->deliver_to_self(net::now_us());
   store_->hand_over();
   bool timed_out = false;
   net::Timer timer;
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -24,13 +24,13 @@
   Json members = Json::array();
   if (replica.consensus() == nullptr) return members;
   for (const auto& member : replica.consensus()->members())
-    members.push_back({{"router", member.name}, {"copy", member.id}, {"votes", member.votes}});
+    members.push_back({{"router", member.name}, {"copy", member.id}, {"votes", member.is_voter}});
   return members;
 }
 
 Json wanted_json(const replication::LedgerReplica& replica, const membership::Roster& roster) {
   Json wanted = Json::array();
-  for (const std::size_t member : replica.wanted()) wanted.push_back(roster.at(member).name);
+  for (const std::size_t member : replica.placed_members()) wanted.push_back(roster.at(member).name);
   return wanted;
 }
 
@@ -39,12 +39,12 @@
   const auto* consensus = replica.consensus();
   return {{"ledger", number},
           {"stage", name_of(replica.stage())},
-          {"leads", replica.leads()},
+          {"leads", replica.is_leader()},
           {"leader", replica.leader_name()},
           {"copy", replica.process().id},
           {"start", replica.process().start_number},
-          {"was_older", replica.was_older()},
-          {"committed", consensus != nullptr ? consensus->committed() : 0},
+          {"was_older", replica.discarded_disk()},
+          {"committed", consensus != nullptr ? consensus->commit_index() : 0},
           {"last", consensus != nullptr ? consensus->last_index() : 0},
           {"members", members_json(replica)},
           {"wanted", wanted_json(replica, roster)},
--- a/src/persistence/ledger_store.cpp
+++ b/src/persistence/ledger_store.cpp
@@ -52,7 +52,7 @@
   }
 
   // After a rejected write nothing may count as durable: the replica would promise what it cannot keep.
-  std::uint64_t mark() override { return store_.failed_ ? kNeverDurable : store_.mark_; }
+  std::uint64_t last_write_number() override { return store_.failed_ ? kNeverDurable : store_.mark_; }
 
  private:
   LedgerStore& store_;
--- a/src/persistence/ledger_store.hpp
+++ b/src/persistence/ledger_store.hpp
@@ -37,7 +37,7 @@
   // Hands what was written over to the thread, if that can take it. Call it at the end of each turn of the
   // loop.
   void hand_over() { writer_.hand_over(); }
-  // The highest mark (replication::Records::mark) that is durable; 0: none.
+  // The highest write number (replication::Records::last_write_number) that is durable; 0: none.
   std::uint64_t durable() const { return writer_.durable(); }
   // Whether a write was rejected for lack of room. Then the file lacks a record, so no later mark counts as
   // durable until the next start.
--- a/src/replication/consensus.cpp
+++ b/src/replication/consensus.cpp
@@ -62,7 +62,7 @@
 class IgnoredRecords final : public Records {
  public:
   void write(std::string, std::optional<std::string>) override {}
-  std::uint64_t mark() override { return 0; }
+  std::uint64_t last_write_number() override { return 0; }
 };
 
 }  // namespace
@@ -79,12 +79,12 @@
   void erase();
 
   bool runs() const { return problem_.empty() && adapter_.is_started(); }
-  bool leads() const { return runs() && raft_.state == RAFT_LEADER; }
-  bool changing() const { return changing_; }
+  bool is_leader() const { return runs() && raft_.state == RAFT_LEADER; }
+  bool is_changing_members() const { return is_changing_members_; }
   const raft& instance() const { return raft_; }
   const RaftIoAdapter& adapter() const { return adapter_; }
   const std::string& problem() const { return problem_; }
-  ReplicaUid leader();
+  ReplicaUid leader_id();
 
   void tick(Time now);
   void on_message(Time now, ReplicaUid from, const std::string& name, std::uint64_t term,
@@ -106,7 +106,7 @@
   RaftIoAdapter adapter_;
   RaftSession session_;  // declared after the adapter, which the library still calls while it closes
   raft_change change_{};
-  bool changing_ = false;
+  bool is_changing_members_ = false;
   std::string problem_;
 };
 
@@ -130,11 +130,11 @@
     problem_ = raft_errmsg(&raft_);
     return;
   }
-  const unsigned election = in_milliseconds(options_.election);
+  const unsigned election = in_milliseconds(options_.election_timeout);
   raft_set_election_timeout(&raft_, election);
-  raft_set_heartbeat_timeout(&raft_, in_milliseconds(options_.heartbeat));
-  raft_set_snapshot_threshold(&raft_, options_.snapshot_every);
-  raft_set_snapshot_trailing(&raft_, options_.trailing);
+  raft_set_heartbeat_timeout(&raft_, in_milliseconds(options_.heartbeat_interval));
+  raft_set_snapshot_threshold(&raft_, options_.snapshot_threshold);
+  raft_set_snapshot_trailing(&raft_, options_.trailing_entries);
   raft_set_install_snapshot_timeout(&raft_, kSnapshotTimeouts * election);
   raft_set_max_catch_up_round_duration(&raft_, kSnapshotTimeouts * election);
   raft_set_pre_vote(&raft_, true);
@@ -227,7 +227,7 @@
 
 bool Consensus::Node::propose(Time now, std::string_view command, ProposalDone done) {
   adapter_.set_time(now);
-  if (!leads() || command.size() > kMostCommand) return false;
+  if (!is_leader() || command.size() > kMaxCommandBytes) return false;
   auto proposal = std::make_unique<Proposal>();
   proposal->done = std::move(done);
   proposal->request.data = proposal.get();
@@ -243,19 +243,19 @@
 
 bool Consensus::Node::change_members(Time now, const RequestChange& request) {
   adapter_.set_time(now);
-  if (changing_ || !leads()) return false;
+  if (is_changing_members_ || !is_leader()) return false;
   change_.data = this;
-  changing_ = true;
+  is_changing_members_ = true;
   const raft_change_cb on_done = [](raft_change* change, int) {
-    static_cast<Node*>(change->data)->changing_ = false;
+    static_cast<Node*>(change->data)->is_changing_members_ = false;
   };
   const bool accepted = request(&raft_, &change_, on_done) == 0;
-  if (!accepted) changing_ = false;
+  if (!accepted) is_changing_members_ = false;
   adapter_.run_pending();
   return accepted;
 }
 
-ReplicaUid Consensus::Node::leader() {
+ReplicaUid Consensus::Node::leader_id() {
   raft_id id = 0;
   const char* address = nullptr;
   if (runs()) raft_leader(&raft_, &id, &address);
@@ -304,19 +304,19 @@
   node_->on_message(now, from, name, term, bytes);
 }
 
-void Consensus::durable(Time now, std::uint64_t number) { node_->on_durable(now, number); }
+void Consensus::on_durable(Time now, std::uint64_t number) { node_->on_durable(now, number); }
 
-bool Consensus::leads() const { return node_->leads(); }
+bool Consensus::is_leader() const { return node_->is_leader(); }
 
-ReplicaUid Consensus::leader() const { return node_->leader(); }
+ReplicaUid Consensus::leader_id() const { return node_->leader_id(); }
 
 Position Consensus::position() const { return node_->adapter().durable_position(); }
 
-std::uint64_t Consensus::committed() const { return node_->instance().commit_index; }
+std::uint64_t Consensus::commit_index() const { return node_->instance().commit_index; }
 
 std::uint64_t Consensus::last_index() const { return node_->adapter().store().last_index(); }
 
-bool Consensus::changing() const { return node_->changing(); }
+bool Consensus::is_changing_members() const { return node_->is_changing_members(); }
 
 const std::string& Consensus::problem() const { return node_->problem(); }
 
@@ -336,12 +336,12 @@
   std::string text = node_->runs() ? kStateNames[instance.state] : "stopped";
   text += ", term " + std::to_string(store.vote().term);
   text += ", last " + std::to_string(last_index());
-  text += ", committed " + std::to_string(committed());
+  text += ", committed " + std::to_string(commit_index());
   text += ", snapshot " + std::to_string(store.snapshot().index);
   text += ", members";
   for (const LogMember& member : members()) {
     text += " " + member.name + "/" + std::to_string(member.id % kDigestIdDigits);
-    if (!member.votes) text += "(no vote)";
+    if (!member.is_voter) text += "(no vote)";
   }
   if (!problem().empty()) text += ", problem: " + problem();
   if (instance.state == RAFT_UNAVAILABLE) text += ": " + std::string(instance.errmsg);
--- a/src/replication/consensus.hpp
+++ b/src/replication/consensus.hpp
@@ -30,7 +30,7 @@
 struct LogMember {
   ReplicaUid id = 0;
   std::string name;  // of the router
-  bool votes = false;
+  bool is_voter = false;
   bool operator==(const LogMember&) const = default;
 };
 
@@ -61,7 +61,7 @@
   // Removes the record if there is no value.
   virtual void write(std::string key, std::optional<std::string> value) = 0;
   // The number of the latest write. All writes so far are durable once this number is durable.
-  virtual std::uint64_t mark() = 0;
+  virtual std::uint64_t last_write_number() = 0;
 };
 
 using RecordVisitor = std::function<void(std::string_view key, std::string_view value)>;
@@ -70,15 +70,15 @@
 
 class Consensus {
  public:
-  static constexpr std::size_t kMostCommand = std::size_t{48} * 1024;  // bytes
+  static constexpr std::size_t kMaxCommandBytes = std::size_t{48} * 1024;
 
   struct Options {
     ReplicaUid id = 0;
-    std::string name;                     // of this router
-    Time election = milliseconds(1'200);  // time without a leader until a replica becomes a candidate
-    Time heartbeat = milliseconds(250);   // between messages of a leader
-    unsigned snapshot_every = 4096;       // entries
-    unsigned trailing = 512;              // entries kept in the log before a snapshot, for members that lag
+    std::string name;                             // of this router
+    Time election_timeout = milliseconds(1'200);  // time without a leader until a replica becomes a candidate
+    Time heartbeat_interval = milliseconds(250);  // between messages of a leader
+    unsigned snapshot_threshold = 4096;           // entries
+    unsigned trailing_entries = 512;  // entries kept in the log before a snapshot, for members that lag
   };
 
   // Services of the owner. All of them have to outlive the Consensus.
@@ -117,18 +117,18 @@
   // Handles a message of another replica, whose disk has reached `term`. Ignores bytes that are no message.
   void on_message(Time now, ReplicaUid from, const std::string& name, std::uint64_t term,
                   std::string_view bytes);
-  // Reports that all writes up to this number are durable; see Records::mark().
-  void durable(Time now, std::uint64_t number);
+  // Reports that all writes up to this number are durable; see Records::last_write_number().
+  void on_durable(Time now, std::uint64_t number);
 
-  bool leads() const;
+  bool is_leader() const;
   // 0 if the leader is not known.
-  ReplicaUid leader() const;
+  ReplicaUid leader_id() const;
   // The position of the durable records.
   Position position() const;
   // The members in the latest configuration of the log, committed or not. Empty if the log does not run.
   std::vector<LogMember> members() const;
   // Index of the last committed entry.
-  std::uint64_t committed() const;
+  std::uint64_t commit_index() const;
   // Index of the last entry.
   std::uint64_t last_index() const;
 
@@ -148,7 +148,7 @@
   bool promote(Time now, ReplicaUid id);
   bool remove(Time now, ReplicaUid id);
   // Whether a change of members is pending.
-  bool changing() const;
+  bool is_changing_members() const;
 
   // One line for operators: state, term, indices, members.
   std::string digest() const;
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -96,7 +96,7 @@
   const Stage stored_stage = stage_ == Stage::entering ? Stage::member : stage_;
   const Meta meta{process_.id, process_.start_number, static_cast<std::uint8_t>(stored_stage), founders_};
   dependencies_.records.write(std::string(kMetaKey), packed(meta));
-  meta_mark_ = dependencies_.records.mark();
+  meta_mark_ = dependencies_.records.last_write_number();
 }
 
 // Continues as with an empty disk and a new id. The old id must never send a message again, because it may
@@ -104,7 +104,7 @@
 void LedgerReplica::reset_to_blank(const std::string& reason) {
   dependencies_.write_log(Severity::warning, "replica of " + ledger_label() + " discarded: " + reason +
                                                  "; it is restored from the others");
-  was_older_ = true;
+  discarded_disk_ = true;
   if (consensus_) consensus_->erase();
   consensus_.reset();
   for (const std::string& key : loaded_log_keys_) dependencies_.records.write(key, std::nullopt);
@@ -129,12 +129,12 @@
   write_meta();
   const Consensus::Options options{.id = process_.id,
                                    .name = own_name(),
-                                   .election = options_.election,
-                                   .heartbeat = options_.heartbeat,
-                                   .snapshot_every = options_.snapshot_every,
-                                   .trailing = options_.trailing};
+                                   .election_timeout = options_.election_timeout,
+                                   .heartbeat_interval = options_.heartbeat_interval,
+                                   .snapshot_threshold = options_.snapshot_threshold,
+                                   .trailing_entries = options_.trailing_entries};
   consensus_ = std::make_unique<Consensus>(options, consensus_dependencies(), visit_all(log), now_);
-  consensus_->durable(now_, durable_number_);
+  consensus_->on_durable(now_, durable_number_);
   if (!consensus_->problem().empty()) reset_pending_ = true;
 }
 
@@ -170,15 +170,15 @@
     replaced_ = ledger_.replaced();
     dependencies_.records.write(std::string(kReplacedKey), packed(replaced_));
   }
-  wanted_ = place_replicas(*options_.roster, options_.ledger, options_.replica_count, replaced_);
+  placed_members_ = place_replicas(*options_.roster, options_.ledger, options_.replica_count, replaced_);
 }
 
 // ---------------------------------------------------------------- events
 
-void LedgerReplica::durable(Time now, std::uint64_t number) {
+void LedgerReplica::on_durable(Time now, std::uint64_t number) {
   now_ = now;
   durable_number_ = std::max(durable_number_, number);
-  if (consensus_) consensus_->durable(now, number);
+  if (consensus_) consensus_->on_durable(now, number);
 }
 
 void LedgerReplica::tick(Time now) {
@@ -202,13 +202,14 @@
 void LedgerReplica::compensate_for_stall() {
   const Time paused = now_ - ticked_at_;
   ticked_at_ = now_;
-  if (paused <= options_.lease / kStallDivisor) return;
+  if (paused <= options_.lease_duration / kStallDivisor) return;
   for (auto& [session, active_at] : sessions_active_at_) active_at = now_;
   entering_since_ += paused;
 }
 
 void LedgerReplica::send_due_hellos() {
-  const Time interval = stage_ == Stage::member ? kMemberHelloFactor * options_.hello : options_.hello;
+  const Time interval =
+      stage_ == Stage::member ? kMemberHelloFactor * options_.hello_interval : options_.hello_interval;
   if (now_ - hellos_sent_at_ >= interval) {
     hellos_sent_at_ = now_;
     send_hellos();
@@ -247,7 +248,7 @@
 // ---------------------------------------------------------------- names
 
 bool LedgerReplica::is_wanted(std::size_t member) const {
-  return std::find(wanted_.begin(), wanted_.end(), member) != wanted_.end();
+  return std::find(placed_members_.begin(), placed_members_.end(), member) != placed_members_.end();
 }
 
 bool LedgerReplica::is_in_roster(const std::string& router) const {
@@ -255,7 +256,7 @@
 }
 
 std::vector<std::size_t> LedgerReplica::other_wanted() const {
-  auto others = wanted_;
+  auto others = placed_members_;
   std::erase(others, options_.self);
   return others;
 }
--- a/src/replication/ledger_replica.hpp
+++ b/src/replication/ledger_replica.hpp
@@ -32,17 +32,17 @@
   std::size_t self = 0;           // this router, in the roster
   std::size_t replica_count = 3;  // replicas of the ledger
   std::shared_ptr<const membership::Roster> roster;
-  Time lease = seconds(6);    // a session without a lease request for this long expires
-  double clock_bound = 0.02;  // by how much two clocks' rates may differ, as a part
-  Time heartbeat = milliseconds(250);
-  Time election = milliseconds(1'200);
-  Time hello = milliseconds(500);    // between two hellos, until the replica is a member
-  Time entry_timeout = seconds(30);  // entering: after this time a majority's hellos suffice
-  unsigned snapshot_every = 4096;    // entries
-  unsigned trailing = 512;           // entries
+  Time lease_duration = seconds(6);  // a session without a lease request for this long expires
+  double max_clock_drift = 0.02;     // by how much two clocks' rates may differ, as a part
+  Time heartbeat_interval = milliseconds(250);
+  Time election_timeout = milliseconds(1'200);
+  Time hello_interval = milliseconds(500);  // between two hellos, until the replica is a member
+  Time entry_timeout = seconds(30);         // entering: after this time a majority's hellos suffice
+  unsigned snapshot_threshold = 4096;       // entries
+  unsigned trailing_entries = 512;          // entries
   // Seeded faults that the tests have to find; for tests only.
   bool trust_any_disk = false;
-  bool answer_before_majority = false;
+  bool respond_before_majority = false;
 };
 
 class LedgerReplica {
@@ -61,22 +61,22 @@
 
   void tick(Time now);
   // Reports that all writes up to this number are durable.
-  void durable(Time now, std::uint64_t number);
+  void on_durable(Time now, std::uint64_t number);
   // Handles a message from a member of the roster. Ignores a body that cannot be read.
   void on_message(Time now, std::size_t member, MessageKind kind, std::string_view body);
 
   Stage stage() const { return stage_; }
-  bool leads() const { return consensus_ && consensus_->leads(); }
+  bool is_leader() const { return consensus_ && consensus_->is_leader(); }
   const Ledger& ledger() const { return ledger_; }
   // Null until the replica is a member.
   const Consensus* consensus() const { return consensus_.get(); }
   const Process& process() const { return process_; }
   // Whether this process discarded the state on its disk.
-  bool was_older() const { return was_older_; }
+  bool discarded_disk() const { return discarded_disk_; }
   // The leader's router; empty if the leader is not known.
   std::string leader_name() const;
   // The members of the roster on which replicas of the ledger are placed.
-  const std::vector<std::size_t>& wanted() const { return wanted_; }
+  const std::vector<std::size_t>& placed_members() const { return placed_members_; }
 
  private:
   enum class LoadResult : std::uint8_t { nothing, loaded, unreadable };
@@ -156,12 +156,12 @@
   Founders founders_;  // the replicas with which this one founds, or founded, the ledger
   PeerTable peers_;
   ReplacementMap replaced_;  // as on disk
-  std::vector<std::size_t> wanted_;
+  std::vector<std::size_t> placed_members_;
   std::uint64_t durable_number_ = 0;
   std::uint64_t meta_mark_ = 0;                    // the start of this process is durable once this number is
   std::map<std::string, std::string> loaded_log_;  // log records, until consensus starts
   std::vector<std::string> loaded_log_keys_;
-  bool was_older_ = false;
+  bool discarded_disk_ = false;
   bool reset_pending_ = false;  // consensus could not start
 
   Ledger ledger_;
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -17,7 +17,7 @@
 // ---------------------------------------------------------------- duties
 
 void LedgerReplica::perform_leader_duties() {
-  const bool leads_now = leads();
+  const bool leads_now = is_leader();
   if (leads_now && !was_leader_) begin_leadership();
   was_leader_ = leads_now;
   if (!leads_now) ready_ = false;
@@ -33,15 +33,15 @@
   proposed_at_ = now_;
   sessions_active_at_.clear();
   propose(Command(CommandKind::tick),
-          [this](ProposalOutcome outcome) { ready_ = outcome == ProposalOutcome::committed && leads(); });
+          [this](ProposalOutcome outcome) { ready_ = outcome == ProposalOutcome::committed && is_leader(); });
   dependencies_.write_log(Severity::info, "became leader of " + ledger_label());
 }
 
 void LedgerReplica::maintain_members() {
-  if (consensus_->changing()) return;
+  if (consensus_->is_changing_members()) return;
   MembershipView view;
   view.members = consensus_->members();
-  for (const std::size_t member : wanted_) view.wanted.push_back(name_of(member));
+  for (const std::size_t member : placed_members_) view.placed_routers.push_back(name_of(member));
   view.self = {process_.id, own_name(), true};
   view.current_replica = [this](const std::string& router) -> ReplicaUid {
     const PeerRecord* peer = peers_.find_recent(router, now_);
@@ -69,7 +69,8 @@
 // clock runs.
 void LedgerReplica::expire_sessions() {
   Command command(CommandKind::expiry);
-  const auto limit = static_cast<Time>(static_cast<double>(options_.lease) * (1 + options_.clock_bound));
+  const auto limit =
+      static_cast<Time>(static_cast<double>(options_.lease_duration) * (1 + options_.max_clock_drift));
   for (const auto& [session, state] : ledger_.sessions()) {
     const Time active_at = sessions_active_at_.try_emplace(session, now_).first->second;
     if (!state.expired && now_ - active_at > limit) command.expired.push_back(session);
@@ -91,7 +92,7 @@
 
 std::string LedgerReplica::leader_name() const {
   if (!consensus_) return {};
-  const ReplicaUid leader = consensus_->leader();
+  const ReplicaUid leader = consensus_->leader_id();
   if (leader == 0) return {};
   for (const LogMember& member : consensus_->members()) {
     if (member.id == leader) return member.name;
@@ -104,7 +105,7 @@
                           .leader = leader_name(),
                           .replica_routers = {},
                           .clock_ahead = reason == RejectReason::clock_ahead};
-  for (const std::size_t wanted : wanted_) rejected.replica_routers.push_back(name_of(wanted));
+  for (const std::size_t wanted : placed_members_) rejected.replica_routers.push_back(name_of(wanted));
   send(member, MessageKind::lease_rejection, rejected);
 }
 
@@ -116,7 +117,7 @@
 }
 
 void LedgerReplica::on_lease_request(std::size_t member, const LeaseRequest& request) {
-  if (!leads() || !ready_) {
+  if (!is_leader() || !ready_) {
     reject(member, request.number, RejectReason::not_leader);
     return;
   }
@@ -129,11 +130,11 @@
   }
   Command command(CommandKind::lease_request);
   command.lease_request = request;
-  if (options_.answer_before_majority) respond_before_commit(member, command);
+  if (options_.respond_before_majority) respond_before_commit(member, command);
   const auto on_done = [this, member, session = request.session](ProposalOutcome outcome) {
     if (outcome != ProposalOutcome::committed) return;
     sessions_active_at_[session] = now_;
-    if (last_applied_ && last_applied_->response && !options_.answer_before_majority) {
+    if (last_applied_ && last_applied_->response && !options_.respond_before_majority) {
       send(member, MessageKind::lease_response, *last_applied_->response);
     }
   };
@@ -165,7 +166,7 @@
   }
   Command command(CommandKind::correction);
   command.correction = correction;
-  if (options_.answer_before_majority) accept_operator(member, correction.id);
+  if (options_.respond_before_majority) accept_operator(member, correction.id);
   propose(std::move(command), [this, member, id = correction.id](ProposalOutcome outcome) {
     if (outcome != ProposalOutcome::committed || !last_applied_) return;
     if (last_applied_->corrected == CorrectionOutcome::no_room) {
--- a/src/replication/ledger_replica_stages.cpp
+++ b/src/replication/ledger_replica_stages.cpp
@@ -19,8 +19,8 @@
   hello.founders = founders_;
   const PeerRecord* peer = peers_.find(name_of(member));
   if (peer != nullptr && peer->durable_mark <= durable_number_) hello.receiver_process = peer->process;
-  if (leads()) {
-    for (const std::size_t wanted : wanted_) hello.wanted.push_back(name_of(wanted));
+  if (is_leader()) {
+    for (const std::size_t wanted : placed_members_) hello.placed_routers.push_back(name_of(wanted));
   }
   send(member, MessageKind::hello, hello);
 }
@@ -29,7 +29,7 @@
 // that are no longer placed.
 void LedgerReplica::send_hellos() {
   for (const std::size_t member : other_wanted()) send_hello(member);
-  if (!leads()) return;
+  if (!is_leader()) return;
   for (const LogMember& log_member : consensus_->members()) {
     const std::size_t member = options_.roster->find(log_member.name);
     if (is_in_roster(log_member.name) && !is_wanted(member)) send_hello(member);
--- a/src/replication/membership_plan.cpp
+++ b/src/replication/membership_plan.cpp
@@ -6,12 +6,13 @@
 namespace {
 
 bool is_wanted(const MembershipView& view, const std::string& router) {
-  return std::find(view.wanted.begin(), view.wanted.end(), router) != view.wanted.end();
+  return std::find(view.placed_routers.begin(), view.placed_routers.end(), router) !=
+         view.placed_routers.end();
 }
 
 MembershipChange remove_lost(const MembershipView& view) {
   const auto voters = std::count_if(view.members.begin(), view.members.end(),
-                                    [](const LogMember& member) { return member.votes; });
+                                    [](const LogMember& member) { return member.is_voter; });
   if (voters <= 1) return {};
   for (const LogMember& member : view.members) {
     if (member.id == view.self.id) continue;
@@ -24,14 +25,14 @@
 }
 
 MembershipChange add_or_promote(const MembershipView& view) {
-  for (const std::string& router : view.wanted) {
+  for (const std::string& router : view.placed_routers) {
     const ReplicaUid current = view.current_replica(router);
     if (current == 0) continue;
     const auto member =
         std::find_if(view.members.begin(), view.members.end(),
                      [&router](const LogMember& candidate) { return candidate.name == router; });
     if (member == view.members.end()) return {MembershipAction::add, current, router};
-    if (!member->votes) return {MembershipAction::promote, current, router};
+    if (!member->is_voter) return {MembershipAction::promote, current, router};
   }
   return {};
 }
@@ -39,8 +40,8 @@
 MembershipChange remove_unwanted(const MembershipView& view) {
   const auto wanted_voters = std::count_if(
       view.members.begin(), view.members.end(),
-      [&view](const LogMember& member) { return member.votes && is_wanted(view, member.name); });
-  if (static_cast<std::size_t>(wanted_voters) < view.wanted.size()) return {};
+      [&view](const LogMember& member) { return member.is_voter && is_wanted(view, member.name); });
+  if (static_cast<std::size_t>(wanted_voters) < view.placed_routers.size()) return {};
   for (const LogMember& member : view.members) {
     if (!is_wanted(view, member.name) && member.id != view.self.id) {
       return {MembershipAction::remove_unwanted, member.id, member.name};
--- a/src/replication/membership_plan.hpp
+++ b/src/replication/membership_plan.hpp
@@ -12,8 +12,8 @@
 
 struct MembershipView {
   std::vector<LogMember> members;
-  std::vector<std::string> wanted;  // routers on which replicas are placed
-  LogMember self;                   // the leader
+  std::vector<std::string> placed_routers;  // routers on which replicas are placed
+  LogMember self;                           // the leader
   // The replica that a router runs now; 0 if no hello of the router came recently.
   std::function<ReplicaUid(const std::string& router)> current_replica;
 };
--- a/src/replication/message.hpp
+++ b/src/replication/message.hpp
@@ -95,9 +95,9 @@
   Founders founders;       // with which the sender founds the ledger, or founded it
   // The receiver's process as the sender has durably recorded it; id 0: not recorded.
   Process receiver_process;
-  std::vector<std::string> wanted;  // from a leader: the routers on which replicas are placed
+  std::vector<std::string> placed_routers;  // from a leader: the routers on which replicas are placed
   Stage sender_stage() const { return static_cast<Stage>(stage); }
-  MSGPACK_DEFINE(process, stage, founders, receiver_process, wanted)
+  MSGPACK_DEFINE(process, stage, founders, receiver_process, placed_routers)
 };
 
 // A message of the consensus protocol.
--- a/src/replication/peer_table.cpp
+++ b/src/replication/peer_table.cpp
@@ -33,7 +33,7 @@
   peer.process = process;
   peer.process.set_position(known);
   records_.write(peer_key(router), packed(process));
-  peer.durable_mark = records_.mark();
+  peer.durable_mark = records_.last_write_number();
 }
 
 void PeerTable::raise_position(const std::string& router, ReplicaUid id, const Position& position) {
--- a/src/replication/raft_io_adapter.cpp
+++ b/src/replication/raft_io_adapter.cpp
@@ -182,11 +182,11 @@
 }
 
 void RaftIoAdapter::when_durable(std::function<void()> done) {
-  disk_waiters_.push_back({dependencies_.records.mark(), std::move(done)});
+  disk_waiters_.push_back({dependencies_.records.last_write_number(), std::move(done)});
 }
 
 void RaftIoAdapter::on_vote_written() {
-  send_barrier_ = dependencies_.records.mark();
+  send_barrier_ = dependencies_.records.last_write_number();
   when_durable([this, term = store_.vote().term] { durable_position_.term = term; });
 }
 
@@ -233,7 +233,7 @@
 
 void RaftIoAdapter::restart_sending() {
   held_messages_.clear();
-  send_barrier_ = dependencies_.records.mark();
+  send_barrier_ = dependencies_.records.last_write_number();
 }
 
 // ---------------------------------------------------------------- pending work
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -47,21 +47,21 @@
 void ReplicationNode::tick(Time now) {
   for (auto& [ledger, replica] : ledger_replicas_) replica->tick(now);
   if (now >= quota_client_->next()) quota_client_->tick(now);
-  pump(now);
+  deliver_to_self(now);
 }
 
-void ReplicationNode::durable(Time now, std::uint64_t number) {
-  for (auto& [ledger, replica] : ledger_replicas_) replica->durable(now, number);
-  pump(now);
+void ReplicationNode::on_durable(Time now, std::uint64_t number) {
+  for (auto& [ledger, replica] : ledger_replicas_) replica->on_durable(now, number);
+  deliver_to_self(now);
 }
 
 void ReplicationNode::on_message(Time now, std::size_t member, std::string_view bytes) {
   ++metrics_.received;
   deliver(now, member, bytes);
-  pump(now);
+  deliver_to_self(now);
 }
 
-void ReplicationNode::pump(Time now) {
+void ReplicationNode::deliver_to_self(Time now) {
   if (std::exchange(is_delivering_to_self_, true)) return;
   while (!to_self_.empty()) {
     const std::string bytes = std::move(to_self_.front());
@@ -126,8 +126,8 @@
   const auto hello = read<Hello>(hello_body);
   if (!hello) return;
   const std::string& own_name = options_.replica.roster->at(options_.replica.self).name;
-  const bool is_wanted =
-      std::find(hello->wanted.begin(), hello->wanted.end(), own_name) != hello->wanted.end();
+  const bool is_wanted = std::find(hello->placed_routers.begin(), hello->placed_routers.end(), own_name) !=
+                         hello->placed_routers.end();
   if (is_wanted) open(ledger, now);
 }
 
--- a/src/replication/replication_node.hpp
+++ b/src/replication/replication_node.hpp
@@ -19,7 +19,7 @@
 };
 
 // Messages since the start; those to this router itself count as neither received nor sent.
-struct MessageFigures {
+struct MessageCounters {
   std::uint64_t received = 0;
   std::uint64_t unreadable = 0;
   std::uint64_t other_version = 0;
@@ -44,18 +44,18 @@
 
   void tick(Time now);
   // Reports that all writes up to this number are durable.
-  void durable(Time now, std::uint64_t number);
+  void on_durable(Time now, std::uint64_t number);
   // Handles a message from a member of the roster. Counts and drops a message that cannot be read.
   void on_message(Time now, std::size_t member, std::string_view bytes);
   // Delivers messages of this router to itself. The owner calls it after it has called the quota lease
   // client.
-  void pump(Time now);
+  void deliver_to_self(Time now);
 
   QuotaLeaseClient& quota_client() { return *quota_client_; }
   const QuotaLeaseClient& quota_client() const { return *quota_client_; }
   // This router's replicas, by ledger.
   const std::map<std::size_t, std::unique_ptr<LedgerReplica>>& replicas() const { return ledger_replicas_; }
-  const MessageFigures& metrics() const { return metrics_; }
+  const MessageCounters& metrics() const { return metrics_; }
   const Options& options() const { return options_; }
 
  private:
@@ -74,7 +74,7 @@
   std::deque<std::string> to_self_;  // messages from this router to itself
   bool version_logged_ = false;
   bool is_delivering_to_self_ = false;
-  MessageFigures metrics_;
+  MessageCounters metrics_;
 };
 
 }  // namespace thornwick::replication
--- a/tests/compat/copies_disk.cpp
+++ b/tests/compat/copies_disk.cpp
@@ -50,7 +50,7 @@
         records.erase(key);
       }
     }
-    std::uint64_t mark() override { return 0; }
+    std::uint64_t last_write_number() override { return 0; }
   };
 
   explicit Pair(const std::vector<RecordsByKey>& stored) {
@@ -63,7 +63,7 @@
       router.records = stored[i];
       LedgerReplicaOptions options;
       options.self = i, options.replica_count = kRouters, options.roster = roster;
-      options.snapshot_every = 4, options.trailing = 2;
+      options.snapshot_threshold = 4, options.trailing_entries = 2;
       const auto visit_stored = [&stored, i](const RecordVisitor& visit) {
         for (const auto& [key, value] : stored[i]) visit(key, value);
       };
@@ -103,7 +103,8 @@
                            .ends_session = false,
                            .lines = {line}};
     for (auto& router : routers_) {
-      if (router.holder->leads()) router.holder->on_message(now_, 0, MessageKind::lease_request, packed(ask));
+      if (router.holder->is_leader())
+        router.holder->on_message(now_, 0, MessageKind::lease_request, packed(ask));
     }
     deliver();
   }
@@ -153,7 +154,7 @@
   std::uint64_t last = 0;
   for (std::size_t i = 0; i < both.size(); ++i) {
     for (const auto& [key, value] : both[i]) store.records(i).write(key, value);
-    last = store.records(i).mark();
+    last = store.records(i).last_write_number();
   }
   store.hand_over();
   for (int i = 0; i < 20'000 && store.durable() < last; ++i)
@@ -197,12 +198,12 @@
     CHECK(pair.holder(i).process().id == copy_id(i));
     CHECK(pair.holder(i).process().start_number == 2);
     CHECK(pair.holder(i).stage() == Stage::entering);
-    CHECK_FALSE(pair.holder(i).was_older());
+    CHECK_FALSE(pair.holder(i).discarded_disk());
   }
   pair.run(seconds(5));
   for (std::size_t i = 0; i < kRouters; ++i) {
     CHECK(pair.holder(i).stage() == Stage::member);
-    CHECK_FALSE(pair.holder(i).was_older());
+    CHECK_FALSE(pair.holder(i).discarded_disk());
     const auto& ledger = pair.holder(i).ledger();
     CHECK(ledger.fault().empty());
     REQUIRE(ledger.accounts().contains("account"));
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -36,7 +36,7 @@
     .founders = {{"r0", 11}, {"r1", 0x1122334455667788}},
     .receiver_process =
         {.id = 11, .start_number = 1, .instance_id = 9, .term = 1, .last_term = 1, .last_index = 5},
-    .wanted = {"r0", "r1", "r2"}};
+    .placed_routers = {"r0", "r1", "r2"}};
 const RaftMessage kRaftWords = {.from = 11,
                                 .to = 0x1122334455667788,
                                 .term = 4,
@@ -143,7 +143,7 @@
         records.erase(key);
       }
     }
-    std::uint64_t mark() override { return 0; }
+    std::uint64_t last_write_number() override { return 0; }
   };
   using Send = std::function<void(ReplicaUid from, ReplicaUid to, std::string bytes)>;
 
@@ -157,10 +157,10 @@
     };
     const Consensus::Options options{.id = id,
                                      .name = name(id),
-                                     .election = 400 * kMillisecond,
-                                     .heartbeat = 200 * kMillisecond,
-                                     .snapshot_every = 4,
-                                     .trailing = 1};
+                                     .election_timeout = 400 * kMillisecond,
+                                     .heartbeat_interval = 200 * kMillisecond,
+                                     .snapshot_threshold = 4,
+                                     .trailing_entries = 1};
     node.consensus = std::make_unique<Consensus>(
         options,
         Consensus::Dependencies{
@@ -218,12 +218,12 @@
     if (now == kThirdComes) copies.begin(33, false, now);
     for (auto& [id, node] : copies.nodes) {
       node.consensus->tick(now);
-      if (now % (4 * kStep) == 0 && proposed < kProposals && node.consensus->leads()) {
+      if (now % (4 * kStep) == 0 && proposed < kProposals && node.consensus->is_leader()) {
         node.consensus->propose(now, command_number(++proposed), [](auto) {});
       }
-      if (now == kThirdComes && node.consensus->leads())
+      if (now == kThirdComes && node.consensus->is_leader())
         node.consensus->add(now, 33, VirtualCopies::name(33));
-      if (now == kThirdVotes && node.consensus->leads()) node.consensus->promote(now, 33);
+      if (now == kThirdVotes && node.consensus->is_leader()) node.consensus->promote(now, 33);
     }
     for (; delivered < sent.size(); ++delivered) {
       const SentMessage one = sent[delivered];
@@ -240,7 +240,7 @@
   CHECK(hello.stage == kHello.stage);
   CHECK(hello.founders == kHello.founders);
   check_same(hello.receiver_process, kHello.receiver_process);
-  CHECK(hello.wanted == kHello.wanted);
+  CHECK(hello.placed_routers == kHello.placed_routers);
 }
 
 TEST_CASE("copies: committed words of consensus read field by field") {
