--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -33,9 +33,9 @@
   if (account.span == 0) return {};  // a bucket has no windows
   for (const auto& [window, book] : account.windows) {
     const auto used = clients.used(key, window);
-    if (book.charged + book.in_hand() < used) {
+    if (book.charged + book.leased() < used) {
       return fmt::format("{}, window {}: {} used, {} in the books", key, window, used,
-                         book.charged + book.in_hand());
+                         book.charged + book.leased());
     }
   }
   return {};
@@ -46,7 +46,7 @@
 std::string check_corrections(ReplicationCluster& cluster, const ReplicationClients& clients,
                               const LedgerAccount& account) {
   if (account.windows.empty()) return {};
-  const auto units = -account.windows.begin()->second.corrected;
+  const auto units = -account.windows.begin()->second.correction_sum;
   const auto corrections = static_cast<std::size_t>(units / ReplicationClients::kCorrectionUnits);
   if (corrections >= clients.confirmed().size() && corrections <= cluster.result().corrections) return {};
   return fmt::format("{} corrections were confirmed, {} asked for, {} hold", clients.confirmed().size(),
@@ -55,7 +55,7 @@
 
 std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
                         const replication::LedgerReplica& leader, std::size_t ledger) {
-  if (auto fault = leader.ledger().fault(); !fault.empty()) return fault;
+  if (auto fault = leader.ledger().invariant_violation(); !fault.empty()) return fault;
   for (const auto& [key, account] : leader.ledger().accounts()) {
     if (auto violation = check_usage(clients, key, account); !violation.empty()) return violation;
     if (key != kCorrectedAccount) continue;
@@ -63,7 +63,7 @@
   }
   if (ledger != replication::ledger_of(kCorrectedAccount, cluster.options().ledgers)) return {};
   for (const auto id : clients.confirmed()) {
-    if (!leader.ledger().has_corrected(id)) return "a confirmed correction is gone";
+    if (!leader.ledger().has_applied(id)) return "a confirmed correction is gone";
   }
   return {};
 }
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -102,7 +102,7 @@
 void ReplicationClients::send_correction(std::size_t router) {
   if (!cluster_.running(router)) return;
   auto& client = cluster_.node(router).quota_client();
-  const auto line = client.account(kCorrectedAccount, cluster_.local_time(router));
+  const auto line = client.describe_account(kCorrectedAccount, cluster_.local_time(router));
   const replication::Correction correction{cluster_.random().bits() | 1, false, -kCorrectionUnits, *line};
   ++cluster_.result().corrections;
   client.correct(cluster_.local_time(router), correction,
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -202,13 +202,13 @@
   options.quota_client.self = router;
   options.quota_client.replica_count = options_.replicas;
   options.quota_client.roster = roster_;
-  options.quota_client.lease = kLeaseDuration;
-  options.quota_client.ledgers = options_.ledgers;
+  options.quota_client.lease_duration = kLeaseDuration;
+  options.quota_client.ledger_count = options_.ledgers;
   options.quota_client.instance_id = static_cast<std::uint32_t>(random_.bits());
-  options.quota_client.block = kLeaseBlock;
+  options.quota_client.max_prefetch_fraction = kLeaseBlock;
   options.quota_client.response_timeout = kClientPatience;
-  options.quota_client.overdraft = options_.overdraft;
-  options.quota_client.outlive_lease = options_.outlive_lease;
+  options.quota_client.overdraft_fraction = options_.overdraft;
+  options.quota_client.use_expired_leases = options_.outlive_lease;
   return options;
 }
 
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -43,12 +43,12 @@
   options.quota_client.self = membership.self;
   options.quota_client.roster = membership.roster;
   options.quota_client.replica_count = file.holders;
-  options.quota_client.lease = lease;
-  options.quota_client.ledgers = replication::ledgers_for(membership.roster->size());
+  options.quota_client.lease_duration = lease;
+  options.quota_client.ledger_count = replication::ledger_count_for(membership.roster->size());
   options.quota_client.instance_id = run;
-  options.quota_client.block = config.operator_file.budgets.block;
+  options.quota_client.max_prefetch_fraction = config.operator_file.budgets.block;
   options.quota_client.response_timeout = std::max(kMinInterval, kAnswerTimeoutHeartbeats * heartbeat);
-  options.quota_client.overdraft = file.without_majority == "lenient" ? file.overdraft : 0;
+  options.quota_client.overdraft_fraction = file.without_majority == "lenient" ? file.overdraft : 0;
   return options;
 }
 
@@ -121,7 +121,7 @@
 }
 
 void ClusterReplication::log_start() const {
-  const std::size_t ledgers = replication_->quota_client().ledgers();
+  const std::size_t ledgers = replication_->quota_client().ledger_count();
   if (!replication::survives_site_loss(*roster_, ledgers, file_.holders)) {
     logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: " << file_.holders
                                << " replicas need three sites";
@@ -142,7 +142,7 @@
     }
   };
   const auto& quota_client = replication_->quota_client();
-  for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger)
+  for (std::size_t ledger = 0; ledger < quota_client.ledger_count(); ++ledger)
     keep(quota_client.replica_routers(ledger));
   for (const auto& [ledger, replica] : replication_->replicas()) keep(replica->placed_members());
 }
@@ -178,7 +178,8 @@
 void ClusterReplication::schedule_tick() {
   if (processing_) return;
   const Time now = net::now_us();
-  const Time wanted = std::min(now + kMaxTickInterval, std::max(now, replication_->quota_client().next()));
+  const Time wanted =
+      std::min(now + kMaxTickInterval, std::max(now, replication_->quota_client().next_tick()));
   if (next_tick_ != 0 && next_tick_ <= wanted) return;
   next_tick_ = wanted;
   tick_timer_.start(wanted - now, [this] { on_tick(); });
@@ -238,7 +239,7 @@
 std::string ClusterReplication::begin_correction(const BudgetCorrection& correction) {
   if (!correction.tokens) return "-ERR no: not a number of tokens\n";
   const Time now = net::now_us();
-  const auto account = replication_->quota_client().account(correction.account, now);
+  const auto account = replication_->quota_client().describe_account(correction.account, now);
   if (!account) return "-ERR no: there is no account '" + correction.account + "'\n";
   replication::Correction change;
   change.id = correction.id;
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -80,9 +80,9 @@
                          {"limit", in_tokens(state.amount)},
                          {"left", in_tokens(state.available)},
                          {"charged", in_tokens(state.charged)},
-                         {"in_hand", in_tokens(state.in_hand())},
+                         {"in_hand", in_tokens(state.leased())},
                          {"open", in_tokens(expired_units(ledger, state))},
-                         {"corrected", in_tokens(state.corrected)}});
+                         {"corrected", in_tokens(state.correction_sum)}});
     }
   }
 }
@@ -103,7 +103,7 @@
                      {"window", line.window},
                      {"limit", in_tokens(line.limit)},
                      {"left", in_tokens(line.available)},
-                     {"in_hand", in_tokens(line.in_hand)},
+                     {"in_hand", in_tokens(line.unreserved)},
                      {"used", in_tokens(line.used)},
                      {"reserved", in_tokens(line.reserved)}});
   }
@@ -113,7 +113,7 @@
 Json majority_json(const ReplicationStatus& status) {
   const auto& quota_client = status.replication.quota_client();
   Json majority = Json::array();
-  for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger)
+  for (std::size_t ledger = 0; ledger < quota_client.ledger_count(); ++ledger)
     majority.push_back(quota_client.has_majority(ledger));
   return majority;
 }
--- a/src/replication/ledger.cpp
+++ b/src/replication/ledger.cpp
@@ -49,7 +49,7 @@
 // allows.
 void adjust_grant(WindowLedger& window, Lease& lease, const LeaseRequestLine& line) {
   const Units wanted = std::clamp<Units>(line.requested, 0, budgets::kMostUnits);
-  const Units in_hand = lease.in_hand();
+  const Units in_hand = lease.unused();
   if (wanted < in_hand) {
     window.available = clamped(window.available + in_hand - wanted);
     lease.granted -= in_hand - wanted;
@@ -71,19 +71,19 @@
   for (const auto& [session, lease] : window.leases) {
     if (lease.used > lease.granted) return "a hold below nothing";
   }
-  const Units unspent = window.available + window.in_hand();
+  const Units unspent = window.available + window.leased();
   if (is_bucket(account.span)) {
     return unspent > std::max(window.amount, Units{0}) ? "more than the burst" : "";
   }
-  const bool balanced = unspent + window.charged == window.amount + window.corrected;
+  const bool balanced = unspent + window.charged == window.amount + window.correction_sum;
   return balanced ? "" : "units that are in no place, or in two";
 }
 
 }  // namespace
 
-Units WindowLedger::in_hand() const {
+Units WindowLedger::leased() const {
   Units sum = 0;
-  for (const auto& [session, lease] : leases) sum += std::max<Units>(0, lease.in_hand());
+  for (const auto& [session, lease] : leases) sum += std::max<Units>(0, lease.unused());
   return sum;
 }
 
@@ -91,21 +91,21 @@
 
 std::string Ledger::write(const Command& command) { return packed(command); }
 
-std::optional<Applied> Ledger::apply(std::string_view bytes) {
+std::optional<CommandResult> Ledger::apply(std::string_view bytes) {
   const auto command = read<Command>(bytes);
   if (!command) return std::nullopt;
   state_.age += std::max<std::int64_t>(0, command->elapsed);
-  Applied applied;
+  CommandResult applied;
   switch (static_cast<CommandKind>(command->kind)) {
     case CommandKind::tick: break;
     case CommandKind::lease_request:
       applied.response = respond_unless_repeated(command->lease_request);
       break;
     case CommandKind::expiry:
-      for (const Session session : command->expired) expire_session(session);
+      for (const Session session : command->expired_sessions) expire_session(session);
       break;
-    case CommandKind::correction: applied.corrected = correct_once(command->correction); break;
-    case CommandKind::replacement: state_.replaced[command->old_name] = command->new_name; break;
+    case CommandKind::correction: applied.correction_outcome = correct_once(command->correction); break;
+    case CommandKind::replacement: state_.replacements[command->old_name] = command->new_name; break;
     default: return std::nullopt;
   }
   return applied;
@@ -125,7 +125,7 @@
   if (!is_bucket(account.span)) return;
   const std::int64_t elapsed = state_.age - std::exchange(window.age, state_.age);
   const Wide refilled = static_cast<Wide>(elapsed) * account.per_s + window.filled;
-  const Units room = window.amount - window.in_hand();
+  const Units room = window.amount - window.leased();
   const Wide available = static_cast<Wide>(window.available) + refilled / seconds(1);
   window.filled = available >= room ? 0 : static_cast<std::int64_t>(refilled % seconds(1));
   window.available = std::max(window.available, static_cast<Units>(std::min<Wide>(available, room)));
@@ -134,7 +134,7 @@
 AccountLedger* Ledger::open_account(const LeaseRequestLine& line) {
   auto found = state_.accounts.find(line.key);
   if (found == state_.accounts.end()) {
-    if (state_.accounts.size() >= kMostAccounts) return nullptr;
+    if (state_.accounts.size() >= kMaxAccounts) return nullptr;
     found = state_.accounts.emplace(line.key, AccountLedger{line.span, line.per_s, {}}).first;
   }
   AccountLedger& account = found->second;
@@ -154,10 +154,10 @@
   const std::int64_t number = is_bucket(line.span) ? 0 : line.window;
   auto found = windows.find(number);
   if (found == windows.end()) {
-    if (windows.size() >= kWindows && number < windows.begin()->first) return nullptr;
+    if (windows.size() >= kMaxWindows && number < windows.begin()->first) return nullptr;
     const WindowLedger fresh{line.amount, line.amount, 0, 0, state_.age, 0, {}};
     found = windows.emplace(number, fresh).first;
-    if (windows.size() > kWindows) windows.erase(windows.begin());
+    if (windows.size() > kMaxWindows) windows.erase(windows.begin());
   }
   WindowLedger& window = found->second;
   window.available = clamped(window.available + line.amount - std::exchange(window.amount, line.amount));
@@ -205,7 +205,7 @@
     others.push_back(next->first);
     ++next;
   }
-  if (others.size() < kSessionsARouter) return;
+  if (others.size() < kMaxSessionsPerRouter) return;
   const auto expired = std::find_if(others.begin(), others.end(),
                                     [this](Session other) { return state_.sessions.at(other).expired; });
   remove_session(expired == others.end() ? others.front() : *expired);
@@ -243,23 +243,23 @@
 
 // ---------------------------------------------------------------- corrections
 
-bool Ledger::has_corrected(std::uint64_t id) const {
+bool Ledger::has_applied(std::uint64_t id) const {
   return std::find(state_.corrections.begin(), state_.corrections.end(), id) != state_.corrections.end();
 }
 
 // The available quota and the unused leases together never exceed the limit.
 CorrectionOutcome Ledger::correct_once(const Correction& correction) {
-  if (has_corrected(correction.id)) return CorrectionOutcome::already_applied;
+  if (has_applied(correction.id)) return CorrectionOutcome::already_applied;
   WindowLedger* window = open_window(correction.account);
   if (window == nullptr) return CorrectionOutcome::no_room;
-  const Units in_hand = window->in_hand();
+  const Units in_hand = window->leased();
   const Units wanted =
       correction.set ? clamped(correction.units - in_hand) : clamped(window->available + correction.units);
   const Units available = std::min(wanted, window->amount - in_hand);
-  window->corrected = clamped(window->corrected + available - window->available);
+  window->correction_sum = clamped(window->correction_sum + available - window->available);
   window->available = available;
   state_.corrections.push_back(correction.id);
-  if (state_.corrections.size() > kCorrections) state_.corrections.pop_front();
+  if (state_.corrections.size() > kMaxCorrectionIds) state_.corrections.pop_front();
   return CorrectionOutcome::applied;
 }
 
@@ -273,7 +273,7 @@
   return state.has_value();
 }
 
-std::string Ledger::fault() const {
+std::string Ledger::invariant_violation() const {
   for (const auto& [key, account] : state_.accounts) {
     for (const auto& [number, window] : account.windows) {
       const std::string fault = window_fault(account, window);
--- a/src/replication/ledger.hpp
+++ b/src/replication/ledger.hpp
@@ -28,9 +28,9 @@
 };
 
 // The result of applying a command.
-struct Applied {
+struct CommandResult {
   std::optional<LeaseResponse> response;  // to a lease request that was not a repeat
-  CorrectionOutcome corrected = CorrectionOutcome::no_room;
+  CorrectionOutcome correction_outcome = CorrectionOutcome::no_room;
 };
 
 // The quota that one session was granted of one window, and its use; sums since the session began.
@@ -39,22 +39,22 @@
   Units used = 0;
   bool ended = false;  // of a bucket: the session expired, and the unused part of its lease was charged
   // Granted, and not reported as used.
-  Units in_hand() const { return granted - used; }
+  Units unused() const { return granted - used; }
   MSGPACK_DEFINE(granted, used, ended)
 };
 
 // One window of one account. A bucket has one, with number 0.
 struct WindowLedger {
-  Units amount = 0;         // of the rule
-  Units available = 0;      // for any session; below 0 after an overdraft
-  Units charged = 0;        // used
-  Units corrected = 0;      // sum of the operators' corrections
-  std::int64_t age = 0;     // bucket: the ledger's age at the latest refill
-  std::int64_t filled = 0;  // bucket: refilled part of a unit, in millionths
+  Units amount = 0;          // of the rule
+  Units available = 0;       // for any session; below 0 after an overdraft
+  Units charged = 0;         // used
+  Units correction_sum = 0;  // sum of the operators' corrections
+  std::int64_t age = 0;      // bucket: the ledger's age at the latest refill
+  std::int64_t filled = 0;   // bucket: refilled part of a unit, in millionths
   std::map<Session, Lease> leases;
   // The sum over all leases.
-  Units in_hand() const;
-  MSGPACK_DEFINE(amount, available, charged, corrected, age, filled, leases)
+  Units leased() const;
+  MSGPACK_DEFINE(amount, available, charged, correction_sum, age, filled, leases)
 };
 
 struct AccountLedger {
@@ -72,15 +72,15 @@
 
 class Ledger {
  public:
-  static constexpr std::size_t kMostAccounts = 65'536;
-  static constexpr std::size_t kWindows = 3;  // of an account
-  static constexpr std::size_t kSessionsARouter = 4;
-  static constexpr std::size_t kCorrections = 4'096;  // whose ids are remembered
+  static constexpr std::size_t kMaxAccounts = 65'536;
+  static constexpr std::size_t kMaxWindows = 3;  // of an account
+  static constexpr std::size_t kMaxSessionsPerRouter = 4;
+  static constexpr std::size_t kMaxCorrectionIds = 4'096;  // whose ids are remembered
 
   // The bytes of a command.
   static std::string write(const Command& command);
   // Returns none, and changes nothing, if the bytes are no command.
-  std::optional<Applied> apply(std::string_view bytes);
+  std::optional<CommandResult> apply(std::string_view bytes);
 
   std::string snapshot() const;
   // Returns false, and changes nothing, if the bytes are no snapshot.
@@ -89,10 +89,10 @@
   const std::map<std::string, AccountLedger>& accounts() const { return state_.accounts; }
   const std::map<Session, SessionState>& sessions() const { return state_.sessions; }
   // Router that is gone -> router that takes its place, by operators' decisions.
-  const std::map<std::string, std::string>& replaced() const { return state_.replaced; }
-  bool has_corrected(std::uint64_t id) const;
+  const std::map<std::string, std::string>& replacements() const { return state_.replacements; }
+  bool has_applied(std::uint64_t id) const;
   // Says where the guarantee above is broken; empty if it holds.
-  std::string fault() const;
+  std::string invariant_violation() const;
 
  private:
   struct State {
@@ -100,8 +100,8 @@
     std::map<std::string, AccountLedger> accounts;
     std::map<Session, SessionState> sessions;
     std::deque<std::uint64_t> corrections;  // ids, the latest last
-    std::map<std::string, std::string> replaced;
-    MSGPACK_DEFINE(age, accounts, sessions, corrections, replaced)
+    std::map<std::string, std::string> replacements;
+    MSGPACK_DEFINE(age, accounts, sessions, corrections, replacements)
   };
 
   // Null if there is no room for the account, or the window has long passed.
--- a/src/replication/ledger_command.hpp
+++ b/src/replication/ledger_command.hpp
@@ -90,11 +90,11 @@
   std::uint8_t kind = 0;     // a CommandKind, or of a later version
   std::int64_t elapsed = 0;  // since the leader's previous command, by its clock: refills follow this time
   LeaseRequest lease_request;
-  std::vector<Session> expired;
+  std::vector<Session> expired_sessions;
   Correction correction;
   std::string old_name;
   std::string new_name;
-  MSGPACK_DEFINE(kind, elapsed, lease_request, expired, correction, old_name, new_name)
+  MSGPACK_DEFINE(kind, elapsed, lease_request, expired_sessions, correction, old_name, new_name)
 };
 
 }  // namespace thornwick::replication
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -166,8 +166,8 @@
 // Stores the ledger's replaced routers in a record of their own, because a process needs the placement before
 // it has a ledger.
 void LedgerReplica::update_placement() {
-  if (!ledger_.replaced().empty() && ledger_.replaced() != replaced_) {
-    replaced_ = ledger_.replaced();
+  if (!ledger_.replacements().empty() && ledger_.replacements() != replaced_) {
+    replaced_ = ledger_.replacements();
     dependencies_.records.write(std::string(kReplacedKey), packed(replaced_));
   }
   placed_members_ = place_replicas(*options_.roster, options_.ledger, options_.replica_count, replaced_);
--- a/src/replication/ledger_replica.hpp
+++ b/src/replication/ledger_replica.hpp
@@ -165,7 +165,7 @@
   bool reset_pending_ = false;  // consensus could not start
 
   Ledger ledger_;
-  std::optional<Applied> last_applied_;  // outcome of the latest command
+  std::optional<CommandResult> last_applied_;  // outcome of the latest command
   std::map<Session, Time> sessions_active_at_;
   bool was_leader_ = false;
   bool ready_ = false;                    // leads, and has applied all commands of earlier leaders
--- a/src/replication/ledger_replica_leader.cpp
+++ b/src/replication/ledger_replica_leader.cpp
@@ -73,9 +73,9 @@
       static_cast<Time>(static_cast<double>(options_.lease_duration) * (1 + options_.max_clock_drift));
   for (const auto& [session, state] : ledger_.sessions()) {
     const Time active_at = sessions_active_at_.try_emplace(session, now_).first->second;
-    if (!state.expired && now_ - active_at > limit) command.expired.push_back(session);
+    if (!state.expired && now_ - active_at > limit) command.expired_sessions.push_back(session);
   }
-  if (!command.expired.empty()) propose(std::move(command), [](ProposalOutcome) {});
+  if (!command.expired_sessions.empty()) propose(std::move(command), [](ProposalOutcome) {});
 }
 
 bool LedgerReplica::propose(Command command, Consensus::ProposalDone done) {
@@ -85,7 +85,7 @@
 
 void LedgerReplica::on_applied(std::string_view command) {
   last_applied_ = ledger_.apply(command);
-  if (ledger_.replaced() != replaced_) update_placement();
+  if (ledger_.replacements() != replaced_) update_placement();
 }
 
 // ---------------------------------------------------------------- requests
@@ -169,7 +169,7 @@
   if (options_.respond_before_majority) accept_operator(member, correction.id);
   propose(std::move(command), [this, member, id = correction.id](ProposalOutcome outcome) {
     if (outcome != ProposalOutcome::committed || !last_applied_) return;
-    if (last_applied_->corrected == CorrectionOutcome::no_room) {
+    if (last_applied_->correction_outcome == CorrectionOutcome::no_room) {
       reject_operator(member, id, OperatorRejection::no_room);
     } else {
       accept_operator(member, id);
--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -52,12 +52,12 @@
 LeaseRequestLine QuotaLeaseClient::request_line(Account& account, std::int64_t window,
                                                 HeldLease& lease) const {
   const bool is_past = !is_bucket_rule(account) && window < window_of(account, now_);
-  const bool is_idle = account.reserved_at != 0 && now_ - account.reserved_at > options_.lease;
+  const bool is_idle = account.reserved_at != 0 && now_ - account.reserved_at > options_.lease_duration;
   const bool is_scarce = lease.known && lease.available < block_of(account);
   Units in_hand = 0;
   if (!is_past && !(is_idle && is_scarce)) in_hand = std::max(target_in_hand(account), account.need);
-  const bool is_little_more = lease.in_hand() > in_hand && lease.in_hand() <= 2 * in_hand;
-  if (!is_past && !is_scarce && is_little_more) in_hand = lease.in_hand();
+  const bool is_little_more = lease.unreserved() > in_hand && lease.unreserved() <= 2 * in_hand;
+  if (!is_past && !is_scarce && is_little_more) in_hand = lease.unreserved();
 
   LeaseRequestLine line = describe(account, window);
   line.used = lease.used;
@@ -139,10 +139,11 @@
     for (const Place place : channel.accounts) accounts_[place].overdrawn = 0;
   }
   channel.has_majority = true;
-  const double safe_part = 1 - options_.clock_bound;
-  channel.lease_until = channel.sent_at + static_cast<Time>(static_cast<double>(options_.lease) * safe_part);
+  const double safe_part = 1 - options_.max_clock_drift;
+  channel.lease_until =
+      channel.sent_at + static_cast<Time>(static_cast<double>(options_.lease_duration) * safe_part);
   channel.due_at = channel.is_urgent ? std::max(now_, channel.sent_at + kMinRequestInterval)
-                                     : now_ + options_.lease / kRenewals;
+                                     : now_ + options_.lease_duration / kRenewals;
 }
 
 void QuotaLeaseClient::apply_response_line(const RequestedWindow& requested, const LeaseResponseLine& line) {
@@ -154,8 +155,8 @@
   lease.available = line.available;
   lease.reported = line.known ? lease.reporting : lease.used;
   lease.known = true;
-  const bool has_enough = lease.in_hand() >= account.need;
-  const bool can_have_enough = lease.available + lease.in_hand() >= account.need;
+  const bool has_enough = lease.unreserved() >= account.need;
+  const bool can_have_enough = lease.available + lease.unreserved() >= account.need;
   if (has_enough || !can_have_enough) account.need = 0;
   const bool can_fill = lease.available >= target_in_hand(account) && is_short(account, lease);
   if (account.need > 0 || can_fill) request_update(requested.place, Urgency::at_once);
@@ -189,7 +190,7 @@
   ++channel.target;
   if (!channel.has_majority || now_ < channel.lease_until) return;
   channel.has_majority = false;
-  const std::string consequence = options_.overdraft > 0
+  const std::string consequence = options_.overdraft_fraction > 0
                                       ? "budgets are granted up to their overdraft"
                                       : "budgets are granted only from what is reserved here";
   dependencies_.write_log(Severity::warning, "no majority of the replicas answers: " + consequence);
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -19,7 +19,7 @@
     : options_(std::move(options)),
       dependencies_(std::move(dependencies)),
       now_(now),
-      channels_(options_.ledgers) {
+      channels_(options_.ledger_count) {
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
     Channel& channel = channels_[ledger];
     channel.replica_routers = place_replicas(*options_.roster, ledger, options_.replica_count);
@@ -35,7 +35,7 @@
 }
 
 Units QuotaLeaseClient::block_of(const Account& account) const {
-  const double block = static_cast<double>(account.rule.amount) * options_.block;
+  const double block = static_cast<double>(account.rule.amount) * options_.max_prefetch_fraction;
   return std::max<Units>(1, static_cast<Units>(block));
 }
 
@@ -48,7 +48,7 @@
 }
 
 bool QuotaLeaseClient::is_short(const Account& account, const HeldLease& lease) const {
-  return lease.in_hand() < target_in_hand(account) / 2;
+  return lease.unreserved() < target_in_hand(account) / 2;
 }
 
 QuotaLeaseClient::Place QuotaLeaseClient::open(const std::string& key, const budgets::Rule& rule) {
@@ -72,7 +72,7 @@
 // A lease is a little shorter by this router's clock than by the replicas' clocks, whose rates may differ:
 // this router stops using the lease before a replica may declare it expired.
 bool QuotaLeaseClient::is_within_lease(const Channel& channel) const {
-  return now_ < channel.lease_until || options_.outlive_lease;
+  return now_ < channel.lease_until || options_.use_expired_leases;
 }
 
 // While a request is in flight, the next one is sent right after its response.
@@ -96,7 +96,7 @@
   const Units decayed = account.typical_request - account.typical_request / kTypicalDecayDivisor;
   account.typical_request = std::max(units, decayed);
   account.reserved_at = now_;
-  if (lease.in_hand() >= units && is_within_lease(channel)) {
+  if (lease.unreserved() >= units && is_within_lease(channel)) {
     lease.reserved += units;
     if (is_short(account, lease)) request_update(place, Urgency::at_once);
     return true;
@@ -104,7 +104,7 @@
   ++metrics_.insufficient;
   account.need = std::max(account.need, units);
   // A ledger that had too little quota a moment ago hardly has more now.
-  const bool too_little = lease.known && lease.available + lease.in_hand() < units;
+  const bool too_little = lease.known && lease.available + lease.unreserved() < units;
   const bool is_fresh = now_ - lease.requested_at < kRetryAfterShortage;
   request_update(place, too_little && is_fresh ? Urgency::with_next_request : Urgency::at_once);
   return reserve_overdraft(channel, account, lease, units);
@@ -114,7 +114,7 @@
 bool QuotaLeaseClient::reserve_overdraft(const Channel& channel, Account& account, HeldLease& lease,
                                          Units units) {
   const auto requested = static_cast<double>(units);
-  const double most = options_.overdraft * static_cast<double>(account.rule.amount);
+  const double most = options_.overdraft_fraction * static_cast<double>(account.rule.amount);
   if (channel.has_majority || account.overdrawn + requested > most) return false;
   account.overdrawn += requested;
   ++metrics_.overdrawn;
@@ -139,7 +139,7 @@
   const auto found = account.leases.find(window_of(account, wall));
   const bool known = found != account.leases.end() && found->second.known;
   const Units left =
-      known ? std::max<Units>(0, found->second.available + found->second.in_hand()) : account.rule.amount;
+      known ? std::max<Units>(0, found->second.available + found->second.unreserved()) : account.rule.amount;
   budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
   QuotaStatus status{.left = left,
                      .reset = limit.until_full(wall),
@@ -162,7 +162,7 @@
   return line;
 }
 
-std::optional<LeaseRequestLine> QuotaLeaseClient::account(const std::string& key, Time wall) const {
+std::optional<LeaseRequestLine> QuotaLeaseClient::describe_account(const std::string& key, Time wall) const {
   const auto found = std::find_if(accounts_.begin(), accounts_.end(),
                                   [&key](const Account& account) { return account.key == key; });
   if (found == accounts_.end()) return std::nullopt;
@@ -173,7 +173,7 @@
   std::vector<WindowStatus> statuses;
   for (const Account& account : accounts_) {
     for (const auto& [window, lease] : account.leases) {
-      statuses.push_back({account.key, window, account.rule.amount, lease.available, lease.in_hand(),
+      statuses.push_back({account.key, window, account.rule.amount, lease.available, lease.unreserved(),
                           lease.used, lease.reserved});
     }
   }
@@ -199,7 +199,7 @@
 }
 
 void QuotaLeaseClient::schedule() {
-  next_ = now_ + options_.lease;
+  next_ = now_ + options_.lease_duration;
   for (const Channel& channel : channels_) {
     if (!channel.accounts.empty() && !channel.has_left) next_ = std::min(next_, channel.due_at);
   }
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -25,16 +25,16 @@
 
 struct QuotaLeaseOptions {
   std::size_t self = 0;  // this router, in the roster
-  std::size_t ledgers = 1;
+  std::size_t ledger_count = 1;
   std::size_t replica_count = 3;  // replicas of a ledger
   std::shared_ptr<const membership::Roster> roster;
-  std::uint32_t instance_id = 1;       // drawn by this process
-  double block = 0.02;                 // part of a limit that is leased ahead of need at most
-  Time lease = seconds(6);             // duration, from the sending of the request
-  double clock_bound = 0.02;           // by how much two clocks' rates may differ, as a part
-  Time response_timeout = seconds(1);  // for a lease request
-  double overdraft = 0;                // part of each limit; 0: strict
-  bool outlive_lease = false;          // a seeded fault that the tests have to find; for tests only
+  std::uint32_t instance_id = 1;        // drawn by this process
+  double max_prefetch_fraction = 0.02;  // part of a limit that is leased ahead of need at most
+  Time lease_duration = seconds(6);     // duration, from the sending of the request
+  double max_clock_drift = 0.02;        // by how much two clocks' rates may differ, as a part
+  Time response_timeout = seconds(1);   // for a lease request
+  double overdraft_fraction = 0;        // part of each limit; 0: strict
+  bool use_expired_leases = false;      // a seeded fault that the tests have to find; for tests only
 };
 
 // Counters since the start.
@@ -65,7 +65,7 @@
 
   void tick(Time now);
   // When the next tick() is due.
-  Time next() const { return next_; }
+  Time next_tick() const { return next_; }
   // Handles a ledger's response. Ignores other messages.
   void on_message(Time now, std::size_t member, std::size_t ledger, MessageKind kind, std::string_view body);
   // Reports all use and gives all leases back, with one message per ledger, before the process ends.
@@ -78,11 +78,11 @@
   void correct(Time now, const Correction& correction, OperatorRequests::Done done);
   void replace(Time now, const Replacement& replacement, OperatorRequests::Done done);
   // Key, rule and current window of an account, for a correction. None if this router has no such account.
-  std::optional<LeaseRequestLine> account(const std::string& key, Time wall) const;
+  std::optional<LeaseRequestLine> describe_account(const std::string& key, Time wall) const;
 
   // Whether a majority of the ledger's replicas responds.
   bool has_majority(std::size_t ledger) const { return channels_.at(ledger).has_majority; }
-  std::size_t ledgers() const { return channels_.size(); }
+  std::size_t ledger_count() const { return channels_.size(); }
   // Routers with a replica of the ledger, as far as this router knows.
   const std::vector<std::size_t>& replica_routers(std::size_t ledger) const {
     return channels_.at(ledger).replica_routers;
@@ -95,7 +95,7 @@
     std::int64_t window = 0;
     Units limit = 0;
     Units available = 0;
-    Units in_hand = 0;
+    Units unreserved = 0;
     Units used = 0;
     Units reserved = 0;
   };
@@ -115,7 +115,7 @@
     bool known = false;   // a response has come
     Time requested_at = 0;
     // Quota that reservations may still use.
-    Units in_hand() const { return granted - used - reserved; }
+    Units unreserved() const { return granted - used - reserved; }
   };
   // One account, and its leases of all windows in use.
   struct Account {
--- a/src/replication/replica_placement.cpp
+++ b/src/replication/replica_placement.cpp
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::size_t ledgers_for(std::size_t routers) {
+std::size_t ledger_count_for(std::size_t routers) {
   return std::clamp<std::size_t>(routers / kRoutersALedger, 1, kMostLedgers);
 }
 
--- a/src/replication/replica_placement.hpp
+++ b/src/replication/replica_placement.hpp
@@ -17,7 +17,7 @@
 
 // The number of ledgers of a group, 1 to 16. It grows with the group, so that a router's share of the work
 // stays the same.
-std::size_t ledgers_for(std::size_t routers);
+std::size_t ledger_count_for(std::size_t routers);
 
 // The ledger that keeps this account.
 std::size_t ledger_of(std::string_view account, std::size_t ledgers);
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -8,7 +8,7 @@
 ReplicationNode::ReplicationNode(Options options, Dependencies dependencies, Time now)
     : options_(std::move(options)), dependencies_(std::move(dependencies)) {
   const LedgerReplicaOptions& replica = options_.replica;
-  for (std::size_t ledger = 0; ledger < options_.quota_client.ledgers; ++ledger) {
+  for (std::size_t ledger = 0; ledger < options_.quota_client.ledger_count; ++ledger) {
     const auto placed = place_replicas(*replica.roster, ledger, replica.replica_count);
     const bool is_placed_here = std::find(placed.begin(), placed.end(), replica.self) != placed.end();
     if (is_placed_here || has_records(ledger)) open(ledger, now);
@@ -46,7 +46,7 @@
 
 void ReplicationNode::tick(Time now) {
   for (auto& [ledger, replica] : ledger_replicas_) replica->tick(now);
-  if (now >= quota_client_->next()) quota_client_->tick(now);
+  if (now >= quota_client_->next_tick()) quota_client_->tick(now);
   deliver_to_self(now);
 }
 
@@ -89,7 +89,7 @@
     on_other_version(member, header->version);
     return;
   }
-  if (!header || header->ledger >= options_.quota_client.ledgers) {
+  if (!header || header->ledger >= options_.quota_client.ledger_count) {
     ++metrics_.unreadable;
     return;
   }
--- a/tests/compat/copies_disk.cpp
+++ b/tests/compat/copies_disk.cpp
@@ -205,7 +205,7 @@
     CHECK(pair.holder(i).stage() == Stage::member);
     CHECK_FALSE(pair.holder(i).discarded_disk());
     const auto& ledger = pair.holder(i).ledger();
-    CHECK(ledger.fault().empty());
+    CHECK(ledger.invariant_violation().empty());
     REQUIRE(ledger.accounts().contains("account"));
     const WindowLedger& book = ledger.accounts().at("account").windows.at(0);
     CHECK(book.amount == 100'000);
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -121,7 +121,7 @@
   all[0].command.lease_request = kAsk;
   all[1].command.elapsed = 1'500'000;
   all[2].command.correction = {.id = 77, .set = false, .units = 5'000, .account = kWindow};
-  all[3].command.expired = {kAsk.session};
+  all[3].command.expired_sessions = {kAsk.session};
   all[4].command.old_name = "r1", all[4].command.new_name = "r2";
   return all;
 }
@@ -325,29 +325,29 @@
   REQUIRE(ledger.apply(committed(kLedgerFile, "tick")));
   const auto corrected = ledger.apply(committed(kLedgerFile, "correct"));
   REQUIRE(corrected);
-  CHECK(corrected->corrected == CorrectionOutcome::applied);
+  CHECK(corrected->correction_outcome == CorrectionOutcome::applied);
   REQUIRE(ledger.apply(committed(kLedgerFile, "expire")));
   REQUIRE(ledger.apply(committed(kLedgerFile, "replace")));
-  CHECK(ledger.fault().empty());
+  CHECK(ledger.invariant_violation().empty());
   check_written(kLedgerFile, "snapshot", ledger.snapshot());
 }
 
 TEST_CASE("ledger: a committed snapshot restores the books") {
   Ledger ledger;
   REQUIRE(ledger.restore(committed(kLedgerFile, "snapshot")));
-  CHECK(ledger.fault().empty());
+  CHECK(ledger.invariant_violation().empty());
   REQUIRE(ledger.accounts().size() == 2);
   const AccountLedger& day = ledger.accounts().at("day");
   CHECK(day.span == 3);
   const WindowLedger& window = day.windows.at(20'000);
   CHECK(window.amount == 1'000'000'000'000'000'000);
-  CHECK(window.corrected == 1);  // of the 5'000: what is left and in hand is never above the amount
+  CHECK(window.correction_sum == 1);  // of the 5'000: what is left and in hand is never above the amount
   CHECK(ledger.accounts().at("tenant|*").per_s == 1'000);
   REQUIRE(ledger.sessions().size() == 1);
   CHECK(ledger.sessions().at(kAsk.session).number == 1);
   CHECK(ledger.sessions().at(kAsk.session).expired);
-  CHECK(ledger.has_corrected(77));
-  CHECK(ledger.replaced() == std::map<std::string, std::string>{{"r1", "r2"}});
+  CHECK(ledger.has_applied(77));
+  CHECK(ledger.replacements() == std::map<std::string, std::string>{{"r1", "r2"}});
   CHECK(to_hex(ledger.snapshot()) == to_hex(committed(kLedgerFile, "snapshot")));
 }
 
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -31,8 +31,8 @@
   return line;
 }
 
-std::optional<Applied> apply_request(Ledger& ledger, Session session, std::uint64_t number,
-                                     LeaseRequestLine line, std::int64_t elapsed = 0) {
+std::optional<CommandResult> apply_request(Ledger& ledger, Session session, std::uint64_t number,
+                                           LeaseRequestLine line, std::int64_t elapsed = 0) {
   Command command(CommandKind::lease_request);
   command.elapsed = elapsed;
   command.lease_request = {.session = session,
@@ -80,7 +80,7 @@
   void expire_sessions(std::size_t router) {
     Command command = next_command(CommandKind::expiry);
     for (const auto& [session, state] : ledger_.sessions()) {
-      if (router_of(session) == roster_->id_of(router)) command.expired.push_back(session);
+      if (router_of(session) == roster_->id_of(router)) command.expired_sessions.push_back(session);
     }
     ledger_.apply(Ledger::write(command));
   }
@@ -107,9 +107,9 @@
     options.roster = roster_;
     options.replica_count = 1;
     options.instance_id = 100 * static_cast<std::uint32_t>(router + 1);
-    options.lease = kLease;
-    options.block = 0.5;
-    options.outlive_lease = expiry == LeaseExpiry::ignored;
+    options.lease_duration = kLease;
+    options.max_prefetch_fraction = 0.5;
+    options.use_expired_leases = expiry == LeaseExpiry::ignored;
     const QuotaLeaseClient::Dependencies dependencies{
         .send = [this, router](std::size_t, std::string bytes) { sent_[router].push_back(std::move(bytes)); },
         .write_log = [](Severity, const std::string&) {}};
@@ -173,7 +173,7 @@
                       *rc::gen::inRange(0, 2'000'000));
       } else if (kind == 5) {
         Command command(CommandKind::expiry);
-        command.expired = {session};
+        command.expired_sessions = {session};
         ledger.apply(Ledger::write(command));
       } else if (kind == 6) {
         Command command(CommandKind::correction);
@@ -186,7 +186,7 @@
         RC_ASSERT(other.restore(ledger.snapshot()));
         RC_ASSERT(other.snapshot() == ledger.snapshot());
       }
-      RC_ASSERT(ledger.fault() == "");
+      RC_ASSERT(ledger.invariant_violation() == "");
     }
   });
 }
@@ -204,8 +204,8 @@
   CHECK(apply_request(ledger, session, 3, request_line(150, 50))->response->lines[0].available == 800);
   Command command(CommandKind::correction);
   command.correction = {77, false, -500, request_line(0, 0)};
-  CHECK(ledger.apply(Ledger::write(command))->corrected == CorrectionOutcome::applied);
-  CHECK(ledger.apply(Ledger::write(command))->corrected == CorrectionOutcome::already_applied);
+  CHECK(ledger.apply(Ledger::write(command))->correction_outcome == CorrectionOutcome::applied);
+  CHECK(ledger.apply(Ledger::write(command))->correction_outcome == CorrectionOutcome::already_applied);
   CHECK(ledger.accounts().at("a").windows.at(7).available == 300);
   CHECK_FALSE(ledger.apply("no command"));
 }
@@ -214,11 +214,11 @@
   Ledger ledger;
   for (std::uint32_t instance_id = 1; instance_id <= 6; ++instance_id)
     apply_request(ledger, session_of(1, instance_id), 1, request_line(0, 100, 100));
-  CHECK(ledger.sessions().size() == Ledger::kSessionsARouter);
+  CHECK(ledger.sessions().size() == Ledger::kMaxSessionsPerRouter);
   const WindowLedger& window = ledger.accounts().at("a").windows.at(7);
   CHECK(window.charged == 200);
   CHECK(window.available == 400);
-  CHECK(ledger.fault() == "");
+  CHECK(ledger.invariant_violation() == "");
   CHECK(apply_request(ledger, session_of(1, 1), 9, request_line(10, 0))->response->unknown_session);
 }
 
--- a/tests/replication/replica_placement.cpp
+++ b/tests/replication/replica_placement.cpp
@@ -57,18 +57,18 @@
     "places") {
   for (const std::size_t routers : {3, 9, 50, 300}) {
     const auto roster = make_roster(routers, 3);
-    CHECK(ledgers_for(routers) <= 16);
+    CHECK(ledger_count_for(routers) <= 16);
     std::size_t placed = 0;
     std::size_t most_of_a_router = 0;
     std::vector<std::size_t> placed_by_router(routers, 0);
-    for (std::size_t ledger = 0; ledger < ledgers_for(routers); ++ledger) {
+    for (std::size_t ledger = 0; ledger < ledger_count_for(routers); ++ledger) {
       for (const std::size_t member : place_replicas(roster, ledger, 3)) {
         ++placed;
         ++placed_by_router[member];
         most_of_a_router = std::max(most_of_a_router, placed_by_router[member]);
       }
     }
-    CHECK(placed == 3 * ledgers_for(routers));
+    CHECK(placed == 3 * ledger_count_for(routers));
     CHECK(most_of_a_router <= 6);
   }
   const auto roster = make_roster(9, 3);
