--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -65,7 +65,7 @@
       if (!node.suspended) flush(event.router);
       return;
     case EventKind::end:
-      if (event.version == node.identity.run) kill(event.router);
+      if (event.version == node.identity.instance_id) kill(event.router);
       return;
     case EventKind::view: return;
   }
@@ -80,14 +80,14 @@
 void Group::flush(std::size_t router) {
   Node& node = nodes_[router];
   for (const auto& change : node.swim->take_changes()) on_change(router, change);
-  for (const auto& sending : node.swim->take_sendings()) transmit(router, sending);
-  const Time due = std::max(now_ + 1, node.swim->next());
+  for (const auto& sending : node.swim->take_datagrams()) transmit(router, sending);
+  const Time due = std::max(now_ + 1, node.swim->next_tick());
   if (due == node.due) return;
   node.due = due;
   schedule(due, EventKind::timer, router, ++node.timer_version);
 }
 
-void Group::transmit(std::size_t from, const membership::Sending& sending) {
+void Group::transmit(std::size_t from, const membership::OutgoingDatagram& sending) {
   const int copies = random_.happens(options_.repeat) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
     if (is_blocked(from, sending.to) || random_.happens(options_.loss)) continue;
@@ -103,8 +103,8 @@
     const std::size_t other = (router + i) % size();
     if (!running(router) || !running(other) || is_blocked(router, other) || is_blocked(other, router))
       continue;
-    nodes_[other].swim->on_view(now_, router, at(router).claims());
-    nodes_[router].swim->on_view(now_, other, at(other).claims());
+    nodes_[other].swim->on_claims(now_, router, at(router).claims());
+    nodes_[router].swim->on_claims(now_, other, at(other).claims());
     flush(other);
     flush(router);
   }
@@ -121,21 +121,21 @@
 
 membership::Identity Group::next_identity(const Node& node, Disk disk) {
   membership::Identity identity = node.identity;
-  if (disk == Disk::older && node.older.disk != 0) identity = node.older;
-  const bool first = node.identity.disk == 0;
+  if (disk == Disk::older && node.older.disk_id != 0) identity = node.older;
+  const bool first = node.identity.disk_id == 0;
   if (disk == Disk::empty || first) {
-    identity.disk = static_cast<std::uint32_t>(random_.bits()) | 1;
-    identity.start = 0;
+    identity.disk_id = static_cast<std::uint32_t>(random_.bits()) | 1;
+    identity.start_number = 0;
   }
-  ++identity.start;
-  identity.run = static_cast<std::uint32_t>(random_.bits()) | 1;
+  ++identity.start_number;
+  identity.instance_id = static_cast<std::uint32_t>(random_.bits()) | 1;
   return identity;
 }
 
 void Group::start(std::size_t router, Disk disk) {
   Node& node = nodes_[router];
   if (node.swim) return;
-  const bool first = node.identity.disk == 0;
+  const bool first = node.identity.disk_id == 0;
   const membership::Identity identity = next_identity(node, disk);
   // An older copy of the disk is what it was before the last start.
   node.older = disk == Disk::kept && !first ? node.identity : membership::Identity{};
@@ -167,7 +167,7 @@
 void Group::shut_down(std::size_t router) {
   if (!running(router)) return;
   nodes_[router].swim->leave(now_);
-  schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.run);
+  schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.instance_id);
   flush(router);
 }
 
@@ -187,7 +187,7 @@
   using membership::MemberState;
   const membership::MemberView& view = at(observer).view(member);
   if (running(member)) return view.state == MemberState::alive && view.identity == identity(member);
-  return view.state == MemberState::gone || view.state == MemberState::left;
+  return view.state == MemberState::failed || view.state == MemberState::left;
 }
 
 std::string Group::disagreement() const {
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -51,7 +51,7 @@
     const membership::Metrics& metrics = group.at(i).metrics();
     totals.sent += metrics.sent;
     totals.bytes += metrics.sent_bytes;
-    totals.gone += metrics.gone;
+    totals.gone += metrics.failures;
     totals.suspicions += metrics.announced_suspicions;
   }
   return totals;
@@ -79,7 +79,7 @@
   detected[victim] = true;
   const auto all_detected = [&] {
     for (std::size_t i = 0; i < group.size(); ++i) {
-      if (detected[i] || group.at(i).view(victim).state != MemberState::gone) continue;
+      if (detected[i] || group.at(i).view(victim).state != MemberState::failed) continue;
       detected[i] = true;
       detection_times.push_back(group.now() - killed_at);
     }
--- a/src/membership/digest.cpp
+++ b/src/membership/digest.cpp
@@ -8,10 +8,10 @@
 
 void add_member(std::ostream& out, const MemberRecord& member) {
   const MemberView& view = member.view;
-  out << static_cast<int>(view.state) << ' ' << view.incarnation << ' ' << view.identity.run << ' '
+  out << static_cast<int>(view.state) << ' ' << view.incarnation << ' ' << view.identity.instance_id << ' '
       << static_cast<int>(view.recovery) << view.name_conflict << member.failed_rounds << ' '
       << member.indirect_excuses << member.probing << member.warn << member.answered_since_reset << ' '
-      << member.superseded_runs.size() << ' ' << view.stops << ';';
+      << member.superseded_instances.size() << ' ' << view.suspension_count << ';';
 }
 
 void add_round(std::ostream& out, const ProbeRound& round, Time now) {
@@ -30,9 +30,9 @@
     if (!round.over) add_round(out, round, now);
   }
   for (const auto& update : state_.gossip.updates()) out << update.claim.member << update.sent << ',';
-  out << condition.cut_off << condition.sure << state_.leaving << condition.unanswered_in_a_row << ' '
-      << probes.next_probe_at - now << ' ' << probes.expedited.size() << ' ' << probes.indirect.size() << ' '
-      << state_.loss.value();
+  out << condition.cut_off << condition.view_is_reliable << state_.leaving << condition.unanswered_in_a_row
+      << ' ' << probes.next_probe_at - now << ' ' << probes.expedited.size() << ' ' << probes.indirect.size()
+      << ' ' << state_.loss.value();
   return out.str();
 }
 
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -32,9 +32,9 @@
   MemberView& view = state_.members[member].view;
   if (view.state == state) return;
   state_.report(member, std::string(name_of(state)) + ", was " + name_of(view.state) + ": " + reason,
-                state == MemberState::gone ? Severity::warning : Severity::info);
+                state == MemberState::failed ? Severity::warning : Severity::info);
   view.state = state;
-  view.since = now_;
+  view.state_since = now_;
   mark_stale();
   refresh();
 }
@@ -68,22 +68,22 @@
 
 GroupEvaluation::Reach GroupEvaluation::count_members() {
   Reach reach;
-  std::size_t present = 1;
-  auto& by_site = state_.condition.present_by_site;
+  std::size_t running = 1;
+  auto& by_site = state_.condition.running_by_site;
   std::fill(by_site.begin(), by_site.end(), 0);
   ++by_site[state_.roster->site_of(state_.self)];
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
     if (i == state_.self) continue;
     const MemberRecord& member = state_.members[i];
     if (is_present(member.view.state)) {
-      ++present;
+      ++running;
       ++by_site[state_.roster->site_of(i)];
     }
     if (member.view.state == MemberState::left) continue;
     ++reach.all;
     if (!counts_as_unreachable(member)) ++reach.reachable;
   }
-  state_.condition.present = present;
+  state_.condition.running = running;
   return reach;
 }
 
@@ -91,9 +91,9 @@
 // another router suspects: one of this router's own rounds has to have failed.
 bool GroupEvaluation::counts_as_unreachable(const MemberRecord& member) const {
   switch (member.view.state) {
-    case MemberState::gone: return true;
+    case MemberState::failed: return true;
     case MemberState::suspected: return member.failed_rounds > 1;
-    case MemberState::silent:
+    case MemberState::unknown:
       return member.failed_rounds >= rounds_until_suspicion(state_, state_.loss.value());
     default: return false;
   }
@@ -115,7 +115,7 @@
 }  // namespace
 
 void GroupEvaluation::on_cut_off(const Reach& reach) {
-  state_.condition.sure = false;
+  state_.condition.view_is_reliable = false;
   const std::string evidence = state_.condition.unanswered_in_a_row > 1
                                    ? "nobody answers, of " + std::to_string(reach.all - 1) + " others"
                                    : describe_reach(reach.reachable, reach.all);
@@ -140,7 +140,7 @@
   const Time recent = kRecentFailurePeriods * state_.options.period;
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
     MemberRecord& member = state_.members[i];
-    if (member.view.state != MemberState::gone || now_ - member.view.since > recent) continue;
+    if (member.view.state != MemberState::failed || now_ - member.view.state_since > recent) continue;
     member.failed_rounds = 1;
     member.doubted_since = now_;
     set_state(i, MemberState::suspected, "it may be this router that is cut off");
@@ -150,7 +150,7 @@
 // ---------------------------------------------------------------- confidence
 
 void GroupEvaluation::update_confidence() {
-  if (state_.condition.sure || state_.condition.cut_off) return;
+  if (state_.condition.view_is_reliable || state_.condition.cut_off) return;
   std::size_t answered = 0;
   std::size_t others = 0;
   for (std::size_t i = 0; i < state_.members.size(); ++i) {
@@ -160,7 +160,7 @@
     if (member.answered_since_reset) ++answered;
   }
   if (answered < std::min(kEnoughAnswers, (others + 1) / 2)) return;
-  state_.condition.sure = true;
+  state_.condition.view_is_reliable = true;
   state_.report(state_.self, "what this router believes of the group holds: " + std::to_string(answered) +
                                  " of " + std::to_string(others) + " others answered");
 }
--- a/src/membership/member_record.hpp
+++ b/src/membership/member_record.hpp
@@ -41,8 +41,8 @@
       0;  // the latest at which this router contradicted a suspicion of it
 
   // Processes under its name.
-  std::deque<std::uint32_t> superseded_runs;  // the latest last
-  std::uint32_t returns = 0;                  // recent claims of superseded runs
+  std::deque<std::uint32_t> superseded_instances;  // the latest last
+  std::uint32_t returns = 0;                       // recent claims of superseded runs
   Time returned_at = 0;
   Time conflict_at = 0;  // when `view.name_conflict` was last confirmed
 
@@ -53,14 +53,16 @@
 };
 
 // Whether a member in this state is not expected to answer probes.
-inline bool is_absent(MemberState state) { return state == MemberState::gone || state == MemberState::left; }
+inline bool is_absent(MemberState state) {
+  return state == MemberState::failed || state == MemberState::left;
+}
 // Whether a member in this state counts as running.
 inline bool is_present(MemberState state) {
   return state == MemberState::alive || state == MemberState::leaving;
 }
 // Whether a member in this state has not answered for a while.
 inline bool is_doubted(MemberState state) {
-  return state == MemberState::suspected || state == MemberState::gone;
+  return state == MemberState::suspected || state == MemberState::failed;
 }
 
 }  // namespace thornwick::membership
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -32,9 +32,9 @@
   void claim(const Claim& claim) {
     number(claim.member);
     number<1>(static_cast<std::uint8_t>(claim.claim_kind));
-    number(claim.identity.disk);
-    number(claim.identity.start);
-    number(claim.identity.run);
+    number(claim.identity.disk_id);
+    number(claim.identity.start_number);
+    number(claim.identity.instance_id);
     number<kIncarnationBytes>(std::min(claim.incarnation, kMostIncarnation));
   }
   void checksum() { number<kSumBytes>(XXH32(bytes_.data(), bytes_.size(), 0)); }
@@ -65,9 +65,9 @@
     claim.member = number32();
     const std::uint8_t kind = byte();
     claim.claim_kind = static_cast<ClaimKind>(kind);
-    claim.identity.disk = number32();
-    claim.identity.start = number32();
-    claim.identity.run = number32();
+    claim.identity.disk_id = number32();
+    claim.identity.start_number = number32();
+    claim.identity.instance_id = number32();
     claim.incarnation = number<kIncarnationBytes>();
     if (kind > static_cast<std::uint8_t>(ClaimKind::leaving) || claim.member == 0) return std::nullopt;
     return claim;
@@ -94,7 +94,7 @@
 
 // Size, mark, version and checksum.
 ReadError check_frame(std::span<const std::uint8_t> bytes) {
-  if (bytes.size() < kFixedBytes || bytes.size() > kMostBytes) return ReadError::length;
+  if (bytes.size() < kFixedBytes || bytes.size() > kMaxDatagramBytes) return ReadError::length;
   if (!std::equal(std::begin(kMark), std::end(kMark), bytes.begin())) return ReadError::mark;
   if (bytes[kMarkBytes] != kVersion) return ReadError::version;
   const auto content = bytes.first(bytes.size() - kSumBytes);
@@ -104,7 +104,7 @@
 
 }  // namespace
 
-std::size_t room_for(std::size_t sites) { return (kMostBytes - kFixedBytes - sites) / kClaimBytes; }
+std::size_t room_for(std::size_t sites) { return (kMaxDatagramBytes - kFixedBytes - sites) / kClaimBytes; }
 
 std::string write(const Message& message) {
   Writer out;
@@ -114,11 +114,11 @@
   out.number(message.group);
   out.claim(message.from);
   out.number(message.number);
-  out.number(message.about);
-  out.number<2>(message.stops);
-  out.number<2>(message.stopped_s);
-  out.number<1>(message.seen.size());
-  for (const auto count : message.seen) out.number<1>(count);
+  out.number(message.subject_id);
+  out.number<2>(message.suspension_count);
+  out.number<2>(message.last_suspension_s);
+  out.number<1>(message.running_by_site.size());
+  for (const auto count : message.running_by_site) out.number<1>(count);
   for (const auto& claim : message.claims) out.claim(claim);
   out.checksum();
   return out.take();
@@ -137,25 +137,25 @@
   if (!from) return ReadResult(ReadError::content);
   message.from = *from;
   message.number = in.number32();
-  message.about = in.number32();
-  message.stops = in.number16();
-  message.stopped_s = in.number16();
+  message.subject_id = in.number32();
+  message.suspension_count = in.number16();
+  message.last_suspension_s = in.number16();
   const std::size_t sites = in.byte();
   if (in.left() < sites || (in.left() - sites) % kClaimBytes != 0) return ReadResult(ReadError::length);
-  for (std::size_t i = 0; i < sites; ++i) message.seen.push_back(in.byte());
+  for (std::size_t i = 0; i < sites; ++i) message.running_by_site.push_back(in.byte());
   auto claims = in.claims();
   if (!claims) return ReadResult(ReadError::content);
   message.claims = std::move(*claims);
   return ReadResult(std::move(message));
 }
 
-std::string write_view(const std::vector<Claim>& claims) {
+std::string write_claims(const std::vector<Claim>& claims) {
   Writer out;
   for (const auto& claim : claims) out.claim(claim);
   return out.take();
 }
 
-std::optional<std::vector<Claim>> read_view(std::string_view bytes, std::size_t most) {
+std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t most) {
   if (bytes.size() % kClaimBytes != 0 || bytes.size() / kClaimBytes > most) return std::nullopt;
   return Reader({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}).claims();
 }
--- a/src/membership/message.hpp
+++ b/src/membership/message.hpp
@@ -13,14 +13,14 @@
 
 namespace thornwick::membership {
 
-inline constexpr std::size_t kMostBytes = 256;  // of a datagram
+inline constexpr std::size_t kMaxDatagramBytes = 256;  // of a datagram
 inline constexpr std::uint8_t kVersion = 1;
 
 // Identifies the process that uses a router's name.
 struct Identity {
-  std::uint32_t disk = 0;   // drawn at random when the state file was made
-  std::uint32_t start = 0;  // counted in that file
-  std::uint32_t run = 0;    // drawn at random by the process
+  std::uint32_t disk_id = 0;       // drawn at random when the state file was made
+  std::uint32_t start_number = 0;  // counted in that file
+  std::uint32_t instance_id = 0;   // drawn at random by the process
 
   bool operator==(const Identity&) const = default;
 };
@@ -41,8 +41,8 @@
 enum class MessageKind : std::uint8_t {
   ping,          // asks for an ack
   ack,           // answers a ping; `number` is that of the ping
-  ping_request,  // asks the receiver to ping `about`
-  indirect_ack   // `about` answered; `number` is that of the request
+  ping_request,  // asks the receiver to ping the member `subject_id`
+  indirect_ack   // the member `subject_id` answered; `number` is that of the request
 };
 
 struct Message {
@@ -50,12 +50,12 @@
   std::uint32_t group = 0;  // Roster::hash()
   Claim from;               // the sender's claim of itself
   std::uint32_t number = 0;
-  std::uint32_t about = 0;      // id of a third member; 0: none
-  std::uint16_t stops = 0;      // how often the sender found that its process had been suspended
-  std::uint16_t stopped_s = 0;  // seconds that the last suspension took
+  std::uint32_t subject_id = 0;         // id of a third member; 0: none
+  std::uint16_t suspension_count = 0;   // how often the sender found that its process had been suspended
+  std::uint16_t last_suspension_s = 0;  // seconds that the last suspension took
   std::vector<std::uint8_t>
-      seen;  // by site, the number of routers that the sender believes to run; 255: 255 or more
-  std::vector<Claim> claims;  // at most room_for(seen.size())
+      running_by_site;  // by site, the number of routers that the sender believes to run; 255: 255 or more
+  std::vector<Claim> claims;  // at most room_for(running_by_site.size())
 };
 
 // The number of claims that fit into a message of a group with this many sites.
@@ -97,8 +97,8 @@
 [[nodiscard]] ReadResult read(std::span<const std::uint8_t> bytes, std::uint32_t group);
 
 // Encodes a list of claims, for links.
-std::string write_view(const std::vector<Claim>& claims);
+std::string write_claims(const std::vector<Claim>& claims);
 // Decodes a list of claims. None if the bytes are no list of claims, or of more than `most` claims.
-[[nodiscard]] std::optional<std::vector<Claim>> read_view(std::string_view bytes, std::size_t most);
+[[nodiscard]] std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t most);
 
 }  // namespace thornwick::membership
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -22,8 +22,8 @@
   MemberView& own = state_.own().view;
   own.state = MemberState::alive;
   own.identity = identity;
-  own.incarnation = first_incarnation(identity.start);
-  if (identity.start > 1) own.recovery = RecoveryState::kept;
+  own.incarnation = first_incarnation(identity.start_number);
+  if (identity.start_number > 1) own.recovery = RecoveryState::same_disk;
   const double delay = state_.random.unit() * static_cast<double>(options.period) / kFirstProbeFraction;
   state_.probes.next_probe_at = now + static_cast<Time>(delay);
   state_.probes.last_number = static_cast<std::uint32_t>(state_.random.draw());
@@ -33,7 +33,7 @@
   group.update_confidence();
 }
 
-Time Swim::next() const { return ProbeSchedule::next_due(state_); }
+Time Swim::next_tick() const { return ProbeSchedule::next_due(state_); }
 
 void Swim::tick(Time now) {
   check_suspension(state_, now);
@@ -56,7 +56,7 @@
   MessageHandler(state_, now).handle(bytes);
 }
 
-void Swim::on_view(Time now, std::size_t reporter, const std::vector<Claim>& claims) {
+void Swim::on_claims(Time now, std::size_t reporter, const std::vector<Claim>& claims) {
   check_suspension(state_, now);
   ClaimHandler handler(state_, now);
   for (const auto& claim : claims) handler.accept(claim, reporter);
--- a/src/membership/swim_state.cpp
+++ b/src/membership/swim_state.cpp
@@ -19,8 +19,8 @@
       members(roster->size(), MemberRecord(roster->size())),
       probes(now),
       last_call_at(now) {
-  condition.present_by_site.assign(roster->sites().size(), 0);
-  for (auto& member : members) member.view.since = now;
+  condition.running_by_site.assign(roster->sites().size(), 0);
+  for (auto& member : members) member.view.state_since = now;
 }
 
 Claim SwimState::claim_of(std::size_t member) const {
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -24,13 +24,13 @@
   Json members = Json::array();
   if (replica.consensus() == nullptr) return members;
   for (const auto& member : replica.consensus()->members())
-    members.push_back({{"router", member.name}, {"copy", member.id}, {"votes", member.votes}});
+    members.push_back({{"router", member.name}, {"copy", member.id}, {"votes", member.is_voter}});
   return members;
 }
 
 Json wanted_json(const replication::LedgerReplica& replica, const membership::Roster& roster) {
   Json wanted = Json::array();
-  for (const std::size_t member : replica.wanted()) wanted.push_back(roster.at(member).name);
+  for (const std::size_t member : replica.placed_members()) wanted.push_back(roster.at(member).name);
   return wanted;
 }
 
@@ -39,13 +39,13 @@
   const auto* consensus = replica.consensus();
   return {{"ledger", number},
           {"stage", name_of(replica.stage())},
-          {"leads", replica.leads()},
+          {"leads", replica.is_leader()},
           {"leader", replica.leader_name()},
           {"copy", replica.process().id},
-          {"start", replica.process().start},
-          {"was_older", replica.was_older()},
-          {"committed", consensus != nullptr ? consensus->committed() : 0},
-          {"last", consensus != nullptr ? consensus->last() : 0},
+          {"start", replica.process().start_number},
+          {"was_older", replica.discarded_disk()},
+          {"committed", consensus != nullptr ? consensus->commit_index() : 0},
+          {"last", consensus != nullptr ? consensus->last_index() : 0},
           {"members", members_json(replica)},
           {"wanted", wanted_json(replica, roster)},
           {"accounts", replica.ledger().accounts().size()},
@@ -80,9 +80,9 @@
                          {"limit", in_tokens(state.amount)},
                          {"left", in_tokens(state.available)},
                          {"charged", in_tokens(state.charged)},
-                         {"in_hand", in_tokens(state.in_hand())},
+                         {"in_hand", in_tokens(state.leased())},
                          {"open", in_tokens(expired_units(ledger, state))},
-                         {"corrected", in_tokens(state.corrected)}});
+                         {"corrected", in_tokens(state.correction_sum)}});
     }
   }
 }
@@ -103,7 +103,7 @@
                      {"window", line.window},
                      {"limit", in_tokens(line.limit)},
                      {"left", in_tokens(line.available)},
-                     {"in_hand", in_tokens(line.in_hand)},
+                     {"in_hand", in_tokens(line.unreserved)},
                      {"used", in_tokens(line.used)},
                      {"reserved", in_tokens(line.reserved)}});
   }
@@ -113,7 +113,7 @@
 Json majority_json(const ReplicationStatus& status) {
   const auto& quota_client = status.replication.quota_client();
   Json majority = Json::array();
-  for (std::size_t ledger = 0; ledger < quota_client.ledgers(); ++ledger)
+  for (std::size_t ledger = 0; ledger < quota_client.ledger_count(); ++ledger)
     majority.push_back(quota_client.has_majority(ledger));
   return majority;
 }
--- a/src/replication/ledger_command.hpp
+++ b/src/replication/ledger_command.hpp
@@ -17,8 +17,8 @@
 
 // One process of one router: the id of the router's name, and a number drawn by the process. Never 0.
 using Session = std::uint64_t;
-inline constexpr Session session_of(std::uint32_t router, std::uint32_t run) {
-  return std::uint64_t{router} << 32 | run;
+inline constexpr Session session_of(std::uint32_t router, std::uint32_t instance_id) {
+  return std::uint64_t{router} << 32 | instance_id;
 }
 inline constexpr std::uint32_t router_of(Session session) {
   return static_cast<std::uint32_t>(session >> 32);
@@ -90,11 +90,11 @@
   std::uint8_t kind = 0;     // a CommandKind, or of a later version
   std::int64_t elapsed = 0;  // since the leader's previous command, by its clock: refills follow this time
   LeaseRequest lease_request;
-  std::vector<Session> expired;
+  std::vector<Session> expired_sessions;
   Correction correction;
   std::string old_name;
   std::string new_name;
-  MSGPACK_DEFINE(kind, elapsed, lease_request, expired, correction, old_name, new_name)
+  MSGPACK_DEFINE(kind, elapsed, lease_request, expired_sessions, correction, old_name, new_name)
 };
 
 }  // namespace thornwick::replication
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -8,7 +8,7 @@
 ReplicationNode::ReplicationNode(Options options, Dependencies dependencies, Time now)
     : options_(std::move(options)), dependencies_(std::move(dependencies)) {
   const LedgerReplicaOptions& replica = options_.replica;
-  for (std::size_t ledger = 0; ledger < options_.quota_client.ledgers; ++ledger) {
+  for (std::size_t ledger = 0; ledger < options_.quota_client.ledger_count; ++ledger) {
     const auto placed = place_replicas(*replica.roster, ledger, replica.replica_count);
     const bool is_placed_here = std::find(placed.begin(), placed.end(), replica.self) != placed.end();
     if (is_placed_here || has_records(ledger)) open(ledger, now);
@@ -46,22 +46,22 @@
 
 void ReplicationNode::tick(Time now) {
   for (auto& [ledger, replica] : ledger_replicas_) replica->tick(now);
-  if (now >= quota_client_->next()) quota_client_->tick(now);
-  pump(now);
+  if (now >= quota_client_->next_tick()) quota_client_->tick(now);
+  deliver_to_self(now);
 }
 
-void ReplicationNode::durable(Time now, std::uint64_t number) {
-  for (auto& [ledger, replica] : ledger_replicas_) replica->durable(now, number);
-  pump(now);
+void ReplicationNode::on_durable(Time now, std::uint64_t number) {
+  for (auto& [ledger, replica] : ledger_replicas_) replica->on_durable(now, number);
+  deliver_to_self(now);
 }
 
 void ReplicationNode::on_message(Time now, std::size_t member, std::string_view bytes) {
   ++metrics_.received;
   deliver(now, member, bytes);
-  pump(now);
+  deliver_to_self(now);
 }
 
-void ReplicationNode::pump(Time now) {
+void ReplicationNode::deliver_to_self(Time now) {
   if (std::exchange(is_delivering_to_self_, true)) return;
   while (!to_self_.empty()) {
     const std::string bytes = std::move(to_self_.front());
@@ -89,7 +89,7 @@
     on_other_version(member, header->version);
     return;
   }
-  if (!header || header->ledger >= options_.quota_client.ledgers) {
+  if (!header || header->ledger >= options_.quota_client.ledger_count) {
     ++metrics_.unreadable;
     return;
   }
@@ -126,8 +126,8 @@
   const auto hello = read<Hello>(hello_body);
   if (!hello) return;
   const std::string& own_name = options_.replica.roster->at(options_.replica.self).name;
-  const bool is_wanted =
-      std::find(hello->wanted.begin(), hello->wanted.end(), own_name) != hello->wanted.end();
+  const bool is_wanted = std::find(hello->placed_routers.begin(), hello->placed_routers.end(), own_name) !=
+                         hello->placed_routers.end();
   if (is_wanted) open(ledger, now);
 }
 
--- a/tests/compat/copies_messages.cpp
+++ b/tests/compat/copies_messages.cpp
@@ -23,20 +23,25 @@
 constexpr std::size_t kLedgerNumber = 258;
 constexpr Time kMillisecond = milliseconds(1), kSecond = seconds(1);
 
-const Process kProcess = {
-    .id = 0x1122334455667788, .start = 3, .run = 0x99aabbcd, .term = 4, .last_term = 2, .last = 70'000};
+const Process kProcess = {.id = 0x1122334455667788,
+                          .start_number = 3,
+                          .instance_id = 0x99aabbcd,
+                          .term = 4,
+                          .last_term = 2,
+                          .last_index = 70'000};
 const Process kNoProcess = {};
 const Hello kHello = {
     .process = kProcess,
     .stage = static_cast<std::uint8_t>(Stage::entering),
     .founders = {{"r0", 11}, {"r1", 0x1122334455667788}},
-    .receiver_process = {.id = 11, .start = 1, .run = 9, .term = 1, .last_term = 1, .last = 5},
-    .wanted = {"r0", "r1", "r2"}};
+    .receiver_process =
+        {.id = 11, .start_number = 1, .instance_id = 9, .term = 1, .last_term = 1, .last_index = 5},
+    .placed_routers = {"r0", "r1", "r2"}};
 const RaftMessage kRaftWords = {.from = 11,
                                 .to = 0x1122334455667788,
                                 .term = 4,
                                 .last_term = 3,
-                                .last = 300,
+                                .last_index = 300,
                                 .bytes = std::string("\x00\xff raft", 7)};
 const LeaseRequestLine kBucket = {.key = "tenant|*",
                                   .span = 0,
@@ -86,8 +91,8 @@
 
 void check_same(const Process& read, const Process& expected) {
   CHECK(read.id == expected.id);
-  CHECK(read.start == expected.start);
-  CHECK(read.run == expected.run);
+  CHECK(read.start_number == expected.start_number);
+  CHECK(read.instance_id == expected.instance_id);
   CHECK(read.position() == expected.position());
 }
 
@@ -116,7 +121,7 @@
   all[0].command.lease_request = kAsk;
   all[1].command.elapsed = 1'500'000;
   all[2].command.correction = {.id = 77, .set = false, .units = 5'000, .account = kWindow};
-  all[3].command.expired = {kAsk.session};
+  all[3].command.expired_sessions = {kAsk.session};
   all[4].command.old_name = "r1", all[4].command.new_name = "r2";
   return all;
 }
@@ -138,7 +143,7 @@
         records.erase(key);
       }
     }
-    std::uint64_t mark() override { return 0; }
+    std::uint64_t last_write_number() override { return 0; }
   };
   using Send = std::function<void(ReplicaUid from, ReplicaUid to, std::string bytes)>;
 
@@ -152,10 +157,10 @@
     };
     const Consensus::Options options{.id = id,
                                      .name = name(id),
-                                     .election = 400 * kMillisecond,
-                                     .heartbeat = 200 * kMillisecond,
-                                     .snapshot_every = 4,
-                                     .trailing = 1};
+                                     .election_timeout = 400 * kMillisecond,
+                                     .heartbeat_interval = 200 * kMillisecond,
+                                     .snapshot_threshold = 4,
+                                     .trailing_entries = 1};
     node.consensus = std::make_unique<Consensus>(
         options,
         Consensus::Dependencies{
@@ -213,12 +218,12 @@
     if (now == kThirdComes) copies.begin(33, false, now);
     for (auto& [id, node] : copies.nodes) {
       node.consensus->tick(now);
-      if (now % (4 * kStep) == 0 && proposed < kProposals && node.consensus->leads()) {
+      if (now % (4 * kStep) == 0 && proposed < kProposals && node.consensus->is_leader()) {
         node.consensus->propose(now, command_number(++proposed), [](auto) {});
       }
-      if (now == kThirdComes && node.consensus->leads())
+      if (now == kThirdComes && node.consensus->is_leader())
         node.consensus->add(now, 33, VirtualCopies::name(33));
-      if (now == kThirdVotes && node.consensus->leads()) node.consensus->promote(now, 33);
+      if (now == kThirdVotes && node.consensus->is_leader()) node.consensus->promote(now, 33);
     }
     for (; delivered < sent.size(); ++delivered) {
       const SentMessage one = sent[delivered];
@@ -235,7 +240,7 @@
   CHECK(hello.stage == kHello.stage);
   CHECK(hello.founders == kHello.founders);
   check_same(hello.receiver_process, kHello.receiver_process);
-  CHECK(hello.wanted == kHello.wanted);
+  CHECK(hello.placed_routers == kHello.placed_routers);
 }
 
 TEST_CASE("copies: committed words of consensus read field by field") {
@@ -244,7 +249,7 @@
   CHECK(words.to == kRaftWords.to);
   CHECK(words.term == kRaftWords.term);
   CHECK(words.last_term == kRaftWords.last_term);
-  CHECK(words.last == kRaftWords.last);
+  CHECK(words.last_index == kRaftWords.last_index);
   CHECK(words.bytes == kRaftWords.bytes);
 }
 
@@ -320,29 +325,29 @@
   REQUIRE(ledger.apply(committed(kLedgerFile, "tick")));
   const auto corrected = ledger.apply(committed(kLedgerFile, "correct"));
   REQUIRE(corrected);
-  CHECK(corrected->corrected == CorrectionOutcome::applied);
+  CHECK(corrected->correction_outcome == CorrectionOutcome::applied);
   REQUIRE(ledger.apply(committed(kLedgerFile, "expire")));
   REQUIRE(ledger.apply(committed(kLedgerFile, "replace")));
-  CHECK(ledger.fault().empty());
+  CHECK(ledger.invariant_violation().empty());
   check_written(kLedgerFile, "snapshot", ledger.snapshot());
 }
 
 TEST_CASE("ledger: a committed snapshot restores the books") {
   Ledger ledger;
   REQUIRE(ledger.restore(committed(kLedgerFile, "snapshot")));
-  CHECK(ledger.fault().empty());
+  CHECK(ledger.invariant_violation().empty());
   REQUIRE(ledger.accounts().size() == 2);
   const AccountLedger& day = ledger.accounts().at("day");
   CHECK(day.span == 3);
   const WindowLedger& window = day.windows.at(20'000);
   CHECK(window.amount == 1'000'000'000'000'000'000);
-  CHECK(window.corrected == 1);  // of the 5'000: what is left and in hand is never above the amount
+  CHECK(window.correction_sum == 1);  // of the 5'000: what is left and in hand is never above the amount
   CHECK(ledger.accounts().at("tenant|*").per_s == 1'000);
   REQUIRE(ledger.sessions().size() == 1);
   CHECK(ledger.sessions().at(kAsk.session).number == 1);
   CHECK(ledger.sessions().at(kAsk.session).expired);
-  CHECK(ledger.has_corrected(77));
-  CHECK(ledger.replaced() == std::map<std::string, std::string>{{"r1", "r2"}});
+  CHECK(ledger.has_applied(77));
+  CHECK(ledger.replacements() == std::map<std::string, std::string>{{"r1", "r2"}});
   CHECK(to_hex(ledger.snapshot()) == to_hex(committed(kLedgerFile, "snapshot")));
 }
 
--- a/tests/compat/gossip.cpp
+++ b/tests/compat/gossip.cpp
@@ -26,15 +26,15 @@
 const std::vector<Claim> kClaims = {
     {.member = 0x11223344,
      .claim_kind = ClaimKind::alive,
-     .identity = {.disk = 5, .start = 6, .run = 7},
+     .identity = {.disk_id = 5, .start_number = 6, .instance_id = 7},
      .incarnation = 8},
     {.member = 0xfffffffe,
      .claim_kind = ClaimKind::suspected,
-     .identity = {.disk = 0x80000001, .start = 2, .run = 0x70000003},
+     .identity = {.disk_id = 0x80000001, .start_number = 2, .instance_id = 0x70000003},
      .incarnation = 0x123456789abc},
     {.member = 3,
      .claim_kind = ClaimKind::leaving,
-     .identity = {.disk = 1, .start = 1, .run = 1},
+     .identity = {.disk_id = 1, .start_number = 1, .instance_id = 1},
      .incarnation = 0},
 };
 
@@ -51,40 +51,40 @@
         .group = kGroup,
         .from = self,
         .number = 1,
-        .about = 0,
-        .stops = 0,
-        .stopped_s = 0,
-        .seen = {},
+        .subject_id = 0,
+        .suspension_count = 0,
+        .last_suspension_s = 0,
+        .running_by_site = {},
         .claims = {}}},
       {"ack",
        {.kind = MessageKind::ack,
         .group = kGroup,
         .from = self,
         .number = 0xa1b2c3d4,
-        .about = 0,
-        .stops = 2,
-        .stopped_s = 61,
-        .seen = {0, 1, 255},
+        .subject_id = 0,
+        .suspension_count = 2,
+        .last_suspension_s = 61,
+        .running_by_site = {0, 1, 255},
         .claims = kClaims}},
       {"ask_for",
        {.kind = MessageKind::ping_request,
         .group = kGroup,
         .from = kClaims[1],
         .number = 3,
-        .about = 0x55667788,
-        .stops = 0xffff,
-        .stopped_s = 0x0102,
-        .seen = {4},
+        .subject_id = 0x55667788,
+        .suspension_count = 0xffff,
+        .last_suspension_s = 0x0102,
+        .running_by_site = {4},
         .claims = {kClaims[2]}}},
       {"found_for",
        {.kind = MessageKind::indirect_ack,
         .group = kGroup,
         .from = kClaims[2],
         .number = 4,
-        .about = 9,
-        .stops = 1,
-        .stopped_s = 1,
-        .seen = {2, 2},
+        .subject_id = 9,
+        .suspension_count = 1,
+        .last_suspension_s = 1,
+        .running_by_site = {2, 2},
         .claims = {}}},
   };
 }
@@ -120,10 +120,10 @@
     CHECK(read->group == expected.group);
     CHECK(read->from == expected.from);
     CHECK(read->number == expected.number);
-    CHECK(read->about == expected.about);
-    CHECK(read->stops == expected.stops);
-    CHECK(read->stopped_s == expected.stopped_s);
-    CHECK(read->seen == expected.seen);
+    CHECK(read->subject_id == expected.subject_id);
+    CHECK(read->suspension_count == expected.suspension_count);
+    CHECK(read->last_suspension_s == expected.last_suspension_s);
+    CHECK(read->running_by_site == expected.running_by_site);
     CHECK(read->claims == expected.claims);
   }
 }
@@ -133,9 +133,9 @@
 }
 
 TEST_CASE("membership: a committed view reads as its claims") {
-  CHECK(read_view(committed(kMembershipFile, "view"), kClaims.size()) == kClaims);
+  CHECK(read_claims(committed(kMembershipFile, "view"), kClaims.size()) == kClaims);
 }
 
 TEST_CASE("membership: the same view is written as the committed bytes") {
-  check_written(kMembershipFile, "view", write_view(kClaims));
+  check_written(kMembershipFile, "view", write_claims(kClaims));
 }
--- a/tests/group/explore.cpp
+++ b/tests/group/explore.cpp
@@ -32,7 +32,7 @@
   std::vector<Swim> nodes;
   std::vector<bool> up;
   std::vector<Identity> identities;
-  std::vector<Sending> in_flight;
+  std::vector<OutgoingDatagram> in_flight;
   Time now = 0;
   std::size_t deaths = 0;
 };
@@ -74,7 +74,7 @@
     }
     for (std::size_t i = 0; i < state.in_flight.size(); ++i) {
       State next = state;
-      const Sending sending = next.in_flight[i];
+      const OutgoingDatagram sending = next.in_flight[i];
       next.in_flight.erase(next.in_flight.begin() + static_cast<std::ptrdiff_t>(i));
       explore(next, depth + 1);  // without the datagram, which was lost
       if (!state.up[sending.to]) continue;
@@ -106,22 +106,22 @@
   void start(State& state, std::size_t member, RestartDisk disk) {
     Identity& identity = state.identities[member];
     if (disk == RestartDisk::empty) {
-      identity.disk += 1000;
-      identity.start = 0;
+      identity.disk_id += 1000;
+      identity.start_number = 0;
     }
-    ++identity.start;
-    identity.run += 1000;
-    state.nodes[member] = Swim(roster_, member, identity, options_, identity.run, state.now);
+    ++identity.start_number;
+    identity.instance_id += 1000;
+    state.nodes[member] = Swim(roster_, member, identity, options_, identity.instance_id, state.now);
     state.up[member] = true;
     collect_sendings(state, member);
   }
   void collect_sendings(State& state, std::size_t member) {
     state.nodes[member].take_changes();
-    for (auto& sending : state.nodes[member].take_sendings()) {
+    for (auto& sending : state.nodes[member].take_datagrams()) {
       if (state.in_flight.size() < bounds_.in_flight) state.in_flight.push_back(std::move(sending));
     }
   }
-  void deliver(State& state, const Sending& sending) {
+  void deliver(State& state, const OutgoingDatagram& sending) {
     if (!state.up[sending.to]) return;
     state.nodes[sending.to].on_message(
         state.now, {reinterpret_cast<const std::uint8_t*>(sending.bytes.data()), sending.bytes.size()});
@@ -131,11 +131,11 @@
     std::size_t first = bounds_.members;
     for (std::size_t member = 0; member < bounds_.members; ++member) {
       if (state.up[member] &&
-          (first == bounds_.members || state.nodes[member].next() < state.nodes[first].next()))
+          (first == bounds_.members || state.nodes[member].next_tick() < state.nodes[first].next_tick()))
         first = member;
     }
     if (first == bounds_.members) return;
-    state.now = std::max(state.now, state.nodes[first].next());
+    state.now = std::max(state.now, state.nodes[first].next_tick());
     state.nodes[first].tick(state.now);
     collect_sendings(state, first);
   }
@@ -152,7 +152,7 @@
       for (std::size_t member = 0; member < bounds_.members; ++member) {
         if (observer == member || !state.up[observer] || !state.up[member]) continue;
         const auto& view = state.nodes[observer].view(member);
-        if (view.identity.run == state.identities[member].run &&
+        if (view.identity.instance_id == state.identities[member].instance_id &&
             view.incarnation > state.nodes[member].incarnation())
           broken_ = "an incarnation that its owner never had";
         if (view.name_conflict) broken_ = "one process of a name is taken for two";
@@ -172,7 +172,7 @@
       if (!state.up[observer]) continue;
       // With fewer than half of the members alive, a member has to find that it is cut off.
       if (2 * alive < bounds_.members) {
-        if (!state.nodes[observer].cut_off()) return false;
+        if (!state.nodes[observer].is_cut_off()) return false;
         continue;
       }
       for (std::size_t member = 0; member < bounds_.members; ++member) {
@@ -180,7 +180,7 @@
         const auto& view = state.nodes[observer].view(member);
         const bool is_correct =
             state.up[member] ? view.state == MemberState::alive && view.identity == state.identities[member]
-                             : view.state == MemberState::gone;
+                             : view.state == MemberState::failed;
         if (!is_correct) return false;
       }
     }
