--- a/src/net/handover_client.cpp
+++ b/src/net/handover_client.cpp
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-std::optional<HandoverState> inherit(const std::string& path) {
+std::optional<HandoverState> receive_handover(const std::string& path) {
   struct stat status {};
   if (path.empty() || stat(path.c_str(), &status) != 0) return std::nullopt;
   try {
     auto socket = connect_to_old_process(path);
     if (!socket) return std::nullopt;
     HandoverState handover_state = receive_offer(std::move(socket));
-    g_socket_set_timeout(handover_state.line.get(), 0);
+    g_socket_set_timeout(handover_state.connection.get(), 0);
     return handover_state;
   } catch (const std::exception& problem) {
     logging::warning("handover") << "handover from the process at " << path << " failed: " << problem.what();
@@ -48,30 +48,30 @@
   }
 }
 
-HandoverClient::HandoverClient(Owned<GSocket> line, Callbacks callbacks)
+HandoverClient::HandoverClient(Owned<GSocket> connection, Callbacks callbacks)
     : callbacks_(std::move(callbacks)),
       stream_({.connected = {},
                .arrived = [this](std::string_view bytes) { on_bytes(bytes); },
                .drained = {},
                .ended = [this] { on_ended(); }}) {
-  stream_.adopt(std::move(line));
+  stream_.adopt(std::move(connection));
 }
 
-void HandoverClient::serving() { stream_.write(std::string(to_line(HandoverMessage::serving))); }
+void HandoverClient::send_serving() { stream_.write(std::string(to_line(HandoverMessage::serving))); }
 
-void HandoverClient::passed_on() { stream_.write(std::string(to_line(HandoverMessage::passed_on))); }
+void HandoverClient::send_handed_over() { stream_.write(std::string(to_line(HandoverMessage::handed_over))); }
 
 void HandoverClient::on_bytes(std::string_view bytes) {
   if (line_.size() < kMaxHandoverLine) line_ += bytes;
   const auto message = parse_handover_line(line_);
   if (message == HandoverMessage::yielded || message == HandoverMessage::yielded_drained) {
-    callbacks_.yielded(message == HandoverMessage::yielded_drained);
+    callbacks_.predecessor_yielded(message == HandoverMessage::yielded_drained);
   }
 }
 
 void HandoverClient::on_ended() {
   stream_.close();
-  callbacks_.gone();
+  callbacks_.predecessor_exited();
 }
 
 }  // namespace thornwick::net
--- a/src/net/handover_protocol.cpp
+++ b/src/net/handover_protocol.cpp
@@ -126,7 +126,7 @@
 std::string_view to_line(HandoverMessage message) {
   switch (message) {
     case HandoverMessage::serving: return "serving\n";
-    case HandoverMessage::passed_on: return "passed on\n";
+    case HandoverMessage::handed_over: return "passed on\n";
     case HandoverMessage::yielded: return "yours\n";
     case HandoverMessage::yielded_drained: return "yours, drained\n";
   }
@@ -134,7 +134,7 @@
 }
 
 std::optional<HandoverMessage> parse_handover_line(std::string_view line) {
-  for (const HandoverMessage message : {HandoverMessage::serving, HandoverMessage::passed_on,
+  for (const HandoverMessage message : {HandoverMessage::serving, HandoverMessage::handed_over,
                                         HandoverMessage::yielded, HandoverMessage::yielded_drained}) {
     if (line == to_line(message)) return message;
   }
@@ -189,18 +189,18 @@
     handover_state.sockets[offer.names[i]] = descriptors.take_socket(i);
   }
   handover_state.drained = offer.drained;
-  handover_state.held = offer.held;
-  handover_state.list = std::move(offer.list);
+  handover_state.reserved_descriptors = offer.held;
+  handover_state.endpoint_list = std::move(offer.list);
   handover_state.learned_state = std::move(offer.learned_state);
-  handover_state.line = std::move(socket);
+  handover_state.connection = std::move(socket);
   return handover_state;
 }
 
 SentOffer send_offer_head(GSocket* socket, const HandoverState& handover_state) {
   Offer offer{.names = {},
               .drained = handover_state.drained,
-              .held = handover_state.held,
-              .list = handover_state.list,
+              .held = handover_state.reserved_descriptors,
+              .list = handover_state.endpoint_list,
               .learned_state = handover_state.learned_state};
   const Owned<GSocketControlMessage> descriptors(g_unix_fd_message_new());
   auto* descriptor_message = G_UNIX_FD_MESSAGE(descriptors.get());
--- a/src/net/handover_protocol.hpp
+++ b/src/net/handover_protocol.hpp
@@ -18,7 +18,7 @@
 
 enum class HandoverMessage {
   serving,         // from the new process: it serves
-  passed_on,       // from the new process: it has handed over to a successor of its own
+  handed_over,     // from the new process: it has handed over to a successor of its own
   yielded,         // from the old process, in answer to `serving`: it accepts no more
   yielded_drained  // the same from a process that an operator has drained; the new one is to be drained too
 };
@@ -39,10 +39,11 @@
 struct HandoverState {
   std::map<std::string, Owned<GSocket>> sockets;  // listening sockets, by their address in the configuration
   bool drained = false;                           // by an operator
-  std::size_t held = 0;       // the most descriptors that the old process keeps while it finishes requests
-  std::string list;           // discovery's endpoint list with its version, as JSON
+  // The largest number of descriptors that the old process holds while it finishes requests.
+  std::size_t reserved_descriptors = 0;
+  std::string endpoint_list;  // discovery's endpoint list with its version, as JSON
   std::string learned_state;  // as persistence::encode_handover_state() gives it; not read here
-  Owned<GSocket> line;        // the connection to the old process; not part of the offer
+  Owned<GSocket> connection;  // the connection to the old process; not part of the offer
 };
 
 // Why a handover does not take place.
@@ -69,8 +70,8 @@
   HandoverFault fault;
 };
 
-// Reads the offer from a connected socket, and keeps the socket as `line`. Blocks: for the head up to the
-// socket's own time-out, then for at most a second and one time-out. Throws HandoverError.
+// Reads the offer from a connected socket, and keeps the socket as `connection`. Blocks: for the head up to
+// the socket's own time-out, then for at most a second and one time-out. Throws HandoverError.
 HandoverState receive_offer(Owned<GSocket> socket);
 
 // An offer whose head was sent with the descriptors, in a single call.
@@ -80,7 +81,7 @@
   std::size_t sockets = 0;  // number of descriptors sent
 };
 
-// Sends the head of an offer. `line` is not used, and the sockets stay open in this process.
+// Sends the head of an offer. `connection` is not used, and the sockets stay open in this process.
 [[nodiscard]] SentOffer send_offer_head(GSocket* socket, const HandoverState& handover_state);
 
 }  // namespace thornwick::net
--- a/src/net/handover_server.cpp
+++ b/src/net/handover_server.cpp
@@ -68,7 +68,7 @@
     received_.erase(0, end + 1);
     if (message == HandoverMessage::serving && !served_) {
       on_serving();
-    } else if (message == HandoverMessage::passed_on && served_) {
+    } else if (message == HandoverMessage::handed_over && served_) {
       passed_on_ = true;
     } else {
       return on_lost();
@@ -81,7 +81,7 @@
   serving_timeout_.stop();
   served_ = true;
   listener_.reset();  // the path is the successor's from the answer on
-  const bool drained = callbacks_.serving();
+  const bool drained = callbacks_.successor_serving();
   successor_->write(
       std::string(to_line(drained ? HandoverMessage::yielded_drained : HandoverMessage::yielded)));
 }
@@ -93,7 +93,7 @@
   if (passed_on_) return;
   logging::warning("handover") << "the successor disconnected " << (served_ ? "after" : "before")
                                << " it was serving";
-  callbacks_.lost();
+  callbacks_.successor_lost();
   if (!listener_) reopen();
 }
 
--- a/src/net/handover_server.hpp
+++ b/src/net/handover_server.hpp
@@ -18,12 +18,12 @@
 class HandoverServer {
  public:
   struct Callbacks {
-    // Returns the state for the successor, without `line`. The sockets stay open here.
+    // Returns the state for the successor, without `connection`. The sockets stay open here.
     std::function<HandoverState()> offer;
     // The successor serves. Returns whether this router is drained.
-    std::function<bool()> serving;
+    std::function<bool()> successor_serving;
     // The successor has ended, before or after it served.
-    std::function<void()> lost;
+    std::function<void()> successor_lost;
   };
 
   // Removes a file that an earlier process left at the path. Throws NetError if it cannot listen there.
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -27,8 +27,8 @@
   std::size_t& limit = net::descriptors().limit;
   limit -= std::min(limit / 2, predecessor_descriptors);
   net::HandoverClient::Callbacks callbacks;
-  callbacks.yielded = [this](bool drained) { on_predecessor_yielded(drained); };
-  callbacks.gone = [this] {
+  callbacks.predecessor_yielded = [this](bool drained) { on_predecessor_yielded(drained); };
+  callbacks.predecessor_exited = [this] {
     logging::info("handover") << "the predecessor has exited";
     // Deferred: on_predecessor_gone destroys the client, whose callback this is.
     timer_.start(0, [this] { on_predecessor_gone(); });
@@ -58,7 +58,7 @@
     timer_.start(kReadinessInterval, [this] { report_serving(); });
     return;
   }
-  client_->serving();
+  client_->send_serving();
   logging::info("handover") << "serving in the place of the predecessor";
 }
 
@@ -69,8 +69,8 @@
   if (path.empty()) return;
   net::HandoverServer::Callbacks callbacks;
   callbacks.offer = [this] { return offer(); };
-  callbacks.serving = [this] { return on_successor_serving(); };
-  callbacks.lost = [this] { on_successor_lost(); };
+  callbacks.successor_serving = [this] { return on_successor_serving(); };
+  callbacks.successor_lost = [this] { on_successor_lost(); };
   try {
     server_ = std::make_unique<net::HandoverServer>(path, std::move(callbacks));
   } catch (const net::NetError& problem) {
@@ -86,18 +86,18 @@
   lend_socket(state, dependencies_.config.listeners.peers, dependencies_.peers.socket());
   state.drained = dependencies_.router_lifecycle.drained();
   const std::size_t spare = descriptor_limit_ / kSpareDescriptorsDivisor;
-  state.held = std::min(descriptor_limit_, net::descriptors().held + spare);
-  state.list = dependencies_.endpoints.list();
+  state.reserved_descriptors = std::min(descriptor_limit_, net::descriptors().held + spare);
+  state.endpoint_list = dependencies_.endpoints.list();
   state.learned_state = persistence::encode_handover_state(dependencies_.core.decider().learned_state(),
                                                            dependencies_.affinity_table);
-  net::descriptors().limit = state.held;
+  net::descriptors().limit = state.reserved_descriptors;
   return state;
 }
 
 // Returns whether this router is drained; the successor then starts drained too.
 bool HandoverCoordinator::on_successor_serving() {
   dependencies_.router_lifecycle.hand_over(net::now_us());
-  if (client_) client_->passed_on();
+  if (client_) client_->send_handed_over();
   callbacks_.close_cluster();  // the successor uses its addresses from now on
   dependencies_.peers.pause_reading();
   callbacks_.phase_changed(PhaseChange::successor_serving);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -61,11 +61,11 @@
   restore_state(handover_state);
   if (handover_state.drained) lifecycle_.begin_drain(net::now_us());
   fronts_.open(*core_, handover_state);
-  if (!handover_state.line) open_cluster();
+  if (!handover_state.connection) open_cluster();
   if (config_.listeners.operators.empty()) return;
   open_admin_endpoint();
-  if (handover_state.line) {
-    handover_.join_predecessor(std::move(handover_state.line), handover_state.held);
+  if (handover_state.connection) {
+    handover_.join_predecessor(std::move(handover_state.connection), handover_state.reserved_descriptors);
   } else {
     handover_.host();
   }
@@ -133,7 +133,7 @@
 // Prefers the predecessor's endpoint list, which is current, to that of the configuration, which may be old.
 void Node::restore_endpoints(const net::HandoverState& handover_state) {
   const std::string& list =
-      handover_state.list.empty() ? config_.discovery.known_endpoints : handover_state.list;
+      handover_state.endpoint_list.empty() ? config_.discovery.known_endpoints : handover_state.endpoint_list;
   if (list.empty()) return;
   simdjson::dom::parser parser;
   simdjson::dom::element known;
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -91,7 +91,7 @@
 void serve(const ServeOptions& options) {
   const config::Config config = config::read_config(options.config, options.operator_file);
   set_connection_limit(config);
-  auto handover_state = net::inherit(node::handover_path(config));
+  auto handover_state = net::receive_handover(node::handover_path(config));
   node::Node node(config, handover_state ? std::move(*handover_state) : net::HandoverState{});
   const MainLoop loop = make_main_loop();
   node.on_shut_down([&loop] { g_main_loop_quit(loop.get()); });
--- a/tests/compat/handover.cpp
+++ b/tests/compat/handover.cpp
@@ -51,8 +51,8 @@
   HandoverState handover_state;
   handover_state.sockets[kListenAddress] = listen_unix(scratch.path("served"));
   handover_state.drained = true;
-  handover_state.held = 300;
-  handover_state.list = kList;
+  handover_state.reserved_descriptors = 300;
+  handover_state.endpoint_list = kList;
   handover_state.learned_state = kLearned;
   return handover_state;
 }
@@ -120,21 +120,22 @@
   const Scratch scratch;
   const std::string path = scratch.path("old");
   CommittedPredecessor predecessor_process(path, scratch);
-  auto inherited = inherit(path);
+  auto inherited = receive_handover(path);
   REQUIRE(inherited);
   CHECK(inherited->sockets.size() == 1);
   CHECK(inherited->sockets.contains(kListenAddress));
   CHECK(inherited->drained);
-  CHECK(inherited->held == 300);
-  CHECK(inherited->list == kList);
+  CHECK(inherited->reserved_descriptors == 300);
+  CHECK(inherited->endpoint_list == kList);
   CHECK(inherited->learned_state == kLearned);
   std::optional<bool> yielded;
-  HandoverClient predecessor(std::move(inherited->line),
-                             {.yielded = [&](bool drained) { yielded = drained; }, .gone = [] {}});
-  predecessor.serving();
+  HandoverClient predecessor(
+      std::move(inherited->connection),
+      {.predecessor_yielded = [&](bool drained) { yielded = drained; }, .predecessor_exited = [] {}});
+  predecessor.send_serving();
   loop_until([&] { return yielded.has_value(); });
   CHECK(*yielded);
-  predecessor.passed_on();
+  predecessor.send_handed_over();
   CHECK(predecessor_process.received() == committed(kFile, "serving") + committed(kFile, "passed-on"));
 }
 
@@ -146,8 +147,8 @@
     const std::string path = scratch.path("old");
     bool lost = false;
     const HandoverServer server(path, {.offer = [&] { return handover_state(scratch); },
-                                       .serving = [&] { return drained; },
-                                       .lost = [&] { lost = true; }});
+                                       .successor_serving = [&] { return drained; },
+                                       .successor_lost = [&] { lost = true; }});
     std::string received;
     Stream successor({.connected = [] {},
                       .arrived = [&](std::string_view bytes) { received += bytes; },
