--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -25,24 +25,25 @@
 
 }  // namespace
 
-Datagrams::Datagrams(const std::string& address, Owned<GSocket> bound, Arrived arrived, AddressUse use)
+DatagramSocket::DatagramSocket(const std::string& address, Owned<GSocket> bound, Arrived arrived,
+                               AddressUse use)
     : arrived_(std::move(arrived)), socket_(bound ? std::move(bound) : bind_socket(address, use)) {
   g_socket_set_blocking(socket_.get(), FALSE);
   resume_reading();
 }
 
-void Datagrams::resume_reading() {
+void DatagramSocket::resume_reading() {
   watcher_.stop();
   watcher_.start(socket_.get(), G_IO_IN, [this] { on_readable(); });
 }
 
-void Datagrams::pause_reading() { watcher_.stop(); }
+void DatagramSocket::pause_reading() { watcher_.stop(); }
 
-bool Datagrams::send(GSocketAddress* to, const std::string& bytes) {
+bool DatagramSocket::send(GSocketAddress* to, const std::string& bytes) {
   return g_socket_send_to(socket_.get(), to, bytes.data(), bytes.size(), nullptr, nullptr) >= 0;
 }
 
-void Datagrams::on_readable() {
+void DatagramSocket::on_readable() {
   std::array<std::uint8_t, kReadSize> bytes{};
   for (int i = 0; i < kReadsAtOnce; ++i) {
     GSocketAddress* sender = nullptr;
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -10,17 +10,17 @@
 
 namespace thornwick::net {
 
-class Datagrams {
+class DatagramSocket {
  public:
   using Arrived = std::function<void(GSocketAddress* from, std::span<const std::uint8_t> bytes)>;
 
   // Takes over the socket `bound`; if it is null, binds a new one to `address`. `use`: a shared address may
   // be bound by another socket of this user too, and the kernel distributes the datagrams between them;
   // binding an exclusive one twice is an error. Throws NetError.
-  Datagrams(const std::string& address, Owned<GSocket> bound, Arrived arrived,
-            AddressUse use = AddressUse::exclusive);
-  Datagrams(const Datagrams&) = delete;
-  Datagrams& operator=(const Datagrams&) = delete;
+  DatagramSocket(const std::string& address, Owned<GSocket> bound, Arrived arrived,
+                 AddressUse use = AddressUse::exclusive);
+  DatagramSocket(const DatagramSocket&) = delete;
+  DatagramSocket& operator=(const DatagramSocket&) = delete;
 
   // Reads datagrams from now on, as it does once constructed.
   void resume_reading();
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Links::Link::Link(Links& owner, std::size_t member, Origin origin)
+PeerLinks::Link::Link(PeerLinks& owner, std::size_t member, Origin origin)
     : owner_(owner),
       member_(member),
       origin_(origin),
@@ -22,34 +22,34 @@
                .drained = [this] { owner_.on_drained(*this); },
                .ended = [this] { owner_.on_ended(*this); }}) {}
 
-bool Links::Link::dial(GSocketAddress* address) {
+bool PeerLinks::Link::dial(GSocketAddress* address) {
   expect_bytes_within(kGreetingHeartbeats);
   return stream_.connect(address);
 }
 
-void Links::Link::adopt(Owned<GSocket> socket) {
+void PeerLinks::Link::adopt(Owned<GSocket> socket) {
   stream_.adopt(std::move(socket));
   expect_bytes_within(kGreetingHeartbeats);
 }
 
-void Links::Link::greet() {
+void PeerLinks::Link::greet() {
   write(write_greeting({kLinkVersion, owner_.options_.group, owner_.options_.self, member_}));
 }
 
-void Links::Link::mark_up() {
+void PeerLinks::Link::mark_up() {
   up_ = true;
   up_since_ = now_us();
   start_heartbeat();
 }
 
-void Links::Link::write(std::string frame) {
+void PeerLinks::Link::write(std::string frame) {
   ++owner_.counters_.frames_out;
   owner_.counters_.bytes_out += frame.size();
   sent_since_heartbeat_ = true;
   stream_.write(std::move(frame));
 }
 
-void Links::Link::close() {
+void PeerLinks::Link::close() {
   stream_.close();
   heartbeat_.stop();
   silence_.stop();
@@ -57,21 +57,21 @@
 
 // ---------------------------------------------------------------- heartbeats
 
-void Links::Link::expect_bytes_within(int heartbeats) {
+void PeerLinks::Link::expect_bytes_within(int heartbeats) {
   silence_.start(heartbeats * owner_.options_.heartbeat, [this] { on_silence(); });
 }
 
-void Links::Link::on_silence() {
+void PeerLinks::Link::on_silence() {
   ++owner_.counters_.timed_out;
   owner_.on_ended(*this);
 }
 
 // Heartbeats detect a connection whose other end has vanished without closing it.
-void Links::Link::start_heartbeat() {
+void PeerLinks::Link::start_heartbeat() {
   heartbeat_.start(owner_.options_.heartbeat, [this] { on_heartbeat(); });
 }
 
-void Links::Link::on_heartbeat() {
+void PeerLinks::Link::on_heartbeat() {
   if (!sent_since_heartbeat_) write(write_frame(kControlChannel, {}));
   sent_since_heartbeat_ = false;
   start_heartbeat();
@@ -79,7 +79,7 @@
 
 // ---------------------------------------------------------------- frames
 
-void Links::Link::on_bytes(std::string_view bytes) {
+void PeerLinks::Link::on_bytes(std::string_view bytes) {
   owner_.counters_.bytes_in += bytes.size();
   if (up_) expect_bytes_within(kSilenceHeartbeats);
   reader_.feed(bytes);
@@ -89,7 +89,7 @@
 }
 
 // Returns false if no further whole frame has come yet, or the link has ended.
-bool Links::Link::read_frame() {
+bool PeerLinks::Link::read_frame() {
   try {
     const auto frame = reader_.next();
     return frame && on_frame(*frame);
@@ -103,7 +103,7 @@
 }
 
 // Returns false if the link has ended.
-bool Links::Link::on_frame(const LinkFrame& frame) {
+bool PeerLinks::Link::on_frame(const LinkFrame& frame) {
   ++owner_.counters_.frames_in;
   if (frame.channel == kControlChannel) {
     const bool is_heartbeat = frame.bytes.empty();
@@ -117,7 +117,7 @@
   return stream_.open();
 }
 
-bool Links::Link::is_acceptable(const LinkGreeting& greeting) const {
+bool PeerLinks::Link::is_acceptable(const LinkGreeting& greeting) const {
   const Options& options = owner_.options_;
   const bool for_this_router =
       greeting.version == kLinkVersion && greeting.group == options.group && greeting.to == options.self;
@@ -126,7 +126,7 @@
 }
 
 // Returns false if the link has ended.
-bool Links::Link::on_greeting(const LinkGreeting& greeting) {
+bool PeerLinks::Link::on_greeting(const LinkGreeting& greeting) {
   if (is_acceptable(greeting) && !up_) return owner_.on_greeted(*this, greeting.from);
   ++owner_.counters_.rejected;
   const bool same_group = greeting.group == owner_.options_.group;
@@ -137,7 +137,7 @@
   return false;
 }
 
-void Links::Link::fail(FrameFault fault) {
+void PeerLinks::Link::fail(FrameFault fault) {
   ++owner_.counters_.malformed;
   logging::warning("links") << "link closed: " << to_string(fault);
   owner_.on_ended(*this);
--- a/src/net/link.hpp
+++ b/src/net/link.hpp
@@ -12,15 +12,15 @@
 namespace thornwick::net {
 
 // Reads and writes frames over one connection: first the greetings, then heartbeats and the frames of other
-// channels. A link that ends calls Links::on_ended(), which may happen within any of its functions; it stays
-// allocated until the loop's next round.
-class Links::Link : public DeferredDeletable {
+// channels. A link that ends calls PeerLinks::on_ended(), which may happen within any of its functions; it
+// stays allocated until the loop's next round.
+class PeerLinks::Link : public DeferredDeletable {
  public:
   enum class Origin { dialed, accepted };
 
   // `member`: the other end; for an accepted link the group's size, which is no member's number, until its
   // greeting has come.
-  Link(Links& owner, std::size_t member, Origin origin);
+  Link(PeerLinks& owner, std::size_t member, Origin origin);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
@@ -55,7 +55,7 @@
   bool is_acceptable(const LinkGreeting& greeting) const;
   void fail(FrameFault fault);
 
-  Links& owner_;
+  PeerLinks& owner_;
   std::size_t member_;
   Origin origin_;
   bool up_ = false;
--- a/src/net/links.cpp
+++ b/src/net/links.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Links::Links(Options options, Callbacks callbacks)
+PeerLinks::PeerLinks(Options options, Callbacks callbacks)
     : options_(std::move(options)), callbacks_(std::move(callbacks)), peers_(options_.addresses.size()) {
   if (options_.listen.empty()) return;
   listener_ = std::make_unique<Listener>(
@@ -26,27 +26,27 @@
       [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); });
 }
 
-Links::~Links() = default;
+PeerLinks::~PeerLinks() = default;
 
-bool Links::has_room() const {
+bool PeerLinks::has_room() const {
   return ungreeted_.size() < kMaxUngreeted && descriptors().held < descriptors().limit;
 }
 
-std::uint64_t Links::next_random() {
+std::uint64_t PeerLinks::next_random() {
   options_.seed += kRandomStep;
   return mix(options_.seed);
 }
 
 // ---------------------------------------------------------------- kept links
 
-void Links::keep_link(std::size_t member) {
+void PeerLinks::maintain_link(std::size_t member) {
   Peer& peer = peers_.at(member);
   if (member == options_.self || std::exchange(peer.kept, true)) return;
   peer.retry_pause = kMinRetryPause;
   if (!peer.link) dial(member);
 }
 
-void Links::dial(std::size_t member) {
+void PeerLinks::dial(std::size_t member) {
   Peer& peer = peers_[member];
   if (!peer.kept || peer.link) return;
   const auto address = parse_address(options_.addresses[member]);
@@ -58,7 +58,7 @@
 
 // Exponential backoff with jitter, so that routers that lost their links at the same time do not retry at the
 // same time.
-void Links::schedule_retry(std::size_t member) {
+void PeerLinks::schedule_retry(std::size_t member) {
   Peer& peer = peers_[member];
   if (!peer.kept) return;
   const double jitter = kMinJitter + unit(next_random());
@@ -69,18 +69,18 @@
 
 // ---------------------------------------------------------------- connections
 
-void Links::on_accepted(Owned<GSocket> socket) {
+void PeerLinks::on_accepted(Owned<GSocket> socket) {
   ++counters_.accepted;
   ungreeted_.push_back(std::make_unique<Link>(*this, peers_.size(), Link::Origin::accepted));
   ungreeted_.back()->adopt(std::move(socket));
 }
 
-Links::LinkList::iterator Links::find_ungreeted(const Link& link) {
+PeerLinks::LinkList::iterator PeerLinks::find_ungreeted(const Link& link) {
   return std::find_if(ungreeted_.begin(), ungreeted_.end(),
                       [&](const auto& ungreeted) { return ungreeted.get() == &link; });
 }
 
-std::unique_ptr<Links::Link> Links::remove_ungreeted(LinkList::iterator link) {
+std::unique_ptr<PeerLinks::Link> PeerLinks::remove_ungreeted(LinkList::iterator link) {
   auto removed = std::move(*link);
   ungreeted_.erase(link);
   return removed;
@@ -88,7 +88,7 @@
 
 // If both routers have dialed each other, both keep the link that the router with the lower number dialed.
 // Returns false if this link has ended.
-bool Links::on_greeted(Link& link, std::size_t member) {
+bool PeerLinks::on_greeted(Link& link, std::size_t member) {
   Peer& peer = peers_[member];
   if (!link.dialed()) {
     const bool keeps_dialed_link = peer.link && peer.link->dialed() && options_.self < member;
@@ -107,7 +107,7 @@
 
 // An accepted link replaces an earlier one with the same member: the member would not have dialed again
 // unless it knew that the earlier one is dead.
-void Links::replace_link(Link& accepted, std::size_t member) {
+void PeerLinks::replace_link(Link& accepted, std::size_t member) {
   Peer& peer = peers_[member];
   auto replacement = remove_ungreeted(find_ungreeted(accepted));
   if (listener_) listener_->resume();
@@ -123,7 +123,7 @@
   accepted.greet();
 }
 
-void Links::on_ended(Link& link) {
+void PeerLinks::on_ended(Link& link) {
   link.close();
   if (const auto ungreeted = find_ungreeted(link); ungreeted != ungreeted_.end()) {
     deferred_delete(remove_ungreeted(ungreeted));
@@ -142,20 +142,20 @@
   schedule_retry(member);
 }
 
-void Links::on_lost(std::size_t member) {
+void PeerLinks::on_lost(std::size_t member) {
   ++counters_.lost;
   callbacks_.changed(member, LinkState::lost);
 }
 
 // ---------------------------------------------------------------- frames
 
-bool Links::up(std::size_t member) const { return peers_.at(member).link && peers_[member].link->up(); }
+bool PeerLinks::up(std::size_t member) const { return peers_.at(member).link && peers_[member].link->up(); }
 
-std::size_t Links::queued_bytes(std::size_t member) const {
+std::size_t PeerLinks::queued_bytes(std::size_t member) const {
   return peers_.at(member).link ? peers_[member].link->queued_bytes() : 0;
 }
 
-bool Links::send(std::size_t member, std::uint8_t channel, std::string_view bytes) {
+bool PeerLinks::send(std::size_t member, std::uint8_t channel, std::string_view bytes) {
   if (!up(member) || channel == kControlChannel) return false;
   Peer& peer = peers_[member];
   // An upper bound: the head, and as much again for the MessagePack around the bytes.
@@ -169,7 +169,7 @@
   return true;
 }
 
-void Links::on_drained(const Link& link) {
+void PeerLinks::on_drained(const Link& link) {
   const std::size_t member = link.member();
   if (member >= peers_.size() || !std::exchange(peers_[member].send_rejected, false)) return;
   callbacks_.writable(member);
--- a/src/net/links.hpp
+++ b/src/net/links.hpp
@@ -37,7 +37,7 @@
 
 // All links of this router. Each link sends heartbeats while it carries nothing else; a lost one is dialed
 // again with backoff. Everything runs on the loop's thread, and the callbacks are called from the loop.
-class Links {
+class PeerLinks {
  public:
   struct Options {
     std::string listen;                  // empty: no connection is accepted
@@ -56,14 +56,14 @@
   };
 
   // Throws NetError if it cannot listen.
-  Links(Options options, Callbacks callbacks);
-  Links(const Links&) = delete;
-  Links& operator=(const Links&) = delete;
-  ~Links();
+  PeerLinks(Options options, Callbacks callbacks);
+  PeerLinks(const PeerLinks&) = delete;
+  PeerLinks& operator=(const PeerLinks&) = delete;
+  ~PeerLinks();
 
   // Dials this member, now and whenever the link is lost. The member may keep a link with this router whether
   // or not this is called.
-  void keep_link(std::size_t member);
+  void maintain_link(std::size_t member);
   bool up(std::size_t member) const;
   // Sends a frame on a channel from 1 to 255. Returns false, and sends nothing, if there is no link, its
   // queue is full, or the frame is too long.
--- a/src/net/message_fragmenter.hpp
+++ b/src/net/message_fragmenter.hpp
@@ -32,7 +32,7 @@
   // attach() has to be called before anything is sent.
   explicit MessageFragmenter(std::uint8_t channel) : channel_(channel) {}
   // The links are not owned and have to outlive the fragmenter.
-  void attach(Links& links) { links_ = &links; }
+  void attach(PeerLinks& links) { links_ = &links; }
 
   // Returns false if the message is lost because there is no link or no room.
   bool send(std::size_t member, std::string_view bytes);
@@ -51,7 +51,7 @@
   };
 
   std::uint8_t channel_;
-  Links* links_ = nullptr;
+  PeerLinks* links_ = nullptr;
   std::map<std::size_t, Queue> queues_;         // by member
   std::map<std::size_t, std::string> partial_;  // by member: the fragments of a message that have come so far
   FragmentCounters counters_;
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -13,7 +13,7 @@
   for (const auto& name : names_) addresses_.push_back(parse_address(name));
   broadcast_ = parse_address(options.broadcast);
   try {
-    socket_ = std::make_unique<Datagrams>(
+    socket_ = std::make_unique<DatagramSocket>(
         options.listen, std::move(options.bound),
         [this](GSocketAddress* from, auto bytes) { on_datagram(from, bytes); }, AddressUse::shared);
   } catch (const NetError& problem) {
--- a/src/net/peer_socket.hpp
+++ b/src/net/peer_socket.hpp
@@ -44,7 +44,7 @@
   std::vector<std::string> names_;                // addresses as text, by rank
   std::vector<Owned<GSocketAddress>> addresses_;  // by rank
   Owned<GSocketAddress> broadcast_;
-  std::unique_ptr<Datagrams> socket_;
+  std::unique_ptr<DatagramSocket> socket_;
 };
 
 }  // namespace thornwick::net
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -55,7 +55,7 @@
   const auto& roster = *membership_.roster;
   for (std::size_t member = 0; member < roster.size(); ++member)
     addresses_.push_back(net::parse_address(roster.at(member).address));
-  datagrams_ = std::make_unique<net::Datagrams>(
+  datagrams_ = std::make_unique<net::DatagramSocket>(
       listen_address(), nullptr,
       [this](GSocketAddress*, std::span<const std::uint8_t> bytes) { on_datagram(bytes); });
 }
@@ -69,7 +69,7 @@
 
 void Cluster::open_links() {
   const auto& roster = *membership_.roster;
-  net::Links::Options options;
+  net::PeerLinks::Options options;
   for (std::size_t member = 0; member < roster.size(); ++member)
     options.addresses.push_back(roster.at(member).address);
   options.listen = file_.links ? listen_address() : "";
@@ -77,7 +77,7 @@
   options.self = membership_.self;
   options.heartbeat = std::max(period_, kMinLinkHeartbeat);
   options.seed = random_number();
-  net::Links::Callbacks callbacks;
+  net::PeerLinks::Callbacks callbacks;
   callbacks.received = [this](std::size_t member, std::uint8_t channel, std::string_view bytes) {
     on_link_message(member, channel, bytes);
   };
@@ -85,10 +85,10 @@
   callbacks.writable = [this](std::size_t member) {
     if (replication_) replication_->on_link_writable(member);
   };
-  links_ = std::make_unique<net::Links>(std::move(options), std::move(callbacks));
+  links_ = std::make_unique<net::PeerLinks>(std::move(options), std::move(callbacks));
   if (!file_.links) return;
   for (std::size_t k = 1; k <= kNeighbours && k < roster.size(); ++k)
-    links_->keep_link((membership_.self + k) % roster.size());
+    links_->maintain_link((membership_.self + k) % roster.size());
 }
 
 // If the file of the ledgers cannot be opened, the router stays in its group without replicated budgets.
--- a/src/node/cluster.hpp
+++ b/src/node/cluster.hpp
@@ -62,8 +62,8 @@
   bool empty_start_ = false;
   std::vector<net::Owned<GSocketAddress>> addresses_;  // by member
   std::unique_ptr<membership::Swim> swim_;
-  std::unique_ptr<net::Datagrams> datagrams_;
-  std::unique_ptr<net::Links> links_;
+  std::unique_ptr<net::DatagramSocket> datagrams_;
+  std::unique_ptr<net::PeerLinks> links_;
   std::unique_ptr<ClusterReplication> replication_;    // null unless enabled and its file could be opened
   std::unique_ptr<net::AdminEndpoint> status_socket_;  // null unless the operator's file names one
   net::Timer tick_timer_;
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -73,8 +73,8 @@
 // ---------------------------------------------------------------- construction
 
 ClusterReplication::ClusterReplication(const config::Config& config, const Membership& membership,
-                                       net::Links& links, LocalQuotaProxy& quota_proxy, std::uint8_t channel,
-                                       std::uint32_t run)
+                                       net::PeerLinks& links, LocalQuotaProxy& quota_proxy,
+                                       std::uint8_t channel, std::uint32_t run)
     : file_(config.operator_file.replication),
       roster_(membership.roster),
       self_(membership.self),
@@ -138,7 +138,7 @@
 void ClusterReplication::keep_replica_links() {
   const auto keep = [this](const std::vector<std::size_t>& members) {
     for (const std::size_t member : members) {
-      if (member != self_) links_.keep_link(member);
+      if (member != self_) links_.maintain_link(member);
     }
   };
   const auto& quota_client = replication_->quota_client();
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -23,7 +23,7 @@
   // Takes part in the replication from then on, and serves the calls of `quota_proxy`. `channel`: the channel
   // of the links that only this object uses. `run`: a random number of this process. `links` and
   // `quota_proxy` are not owned and have to outlive this object. Throws store::StoreError.
-  ClusterReplication(const config::Config& config, const Membership& membership, net::Links& links,
+  ClusterReplication(const config::Config& config, const Membership& membership, net::PeerLinks& links,
                      LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t run);
   ~ClusterReplication();
   ClusterReplication(const ClusterReplication&) = delete;
@@ -64,7 +64,7 @@
   config::ReplicationFile file_;
   std::shared_ptr<const membership::Roster> roster_;
   std::size_t self_;
-  net::Links& links_;
+  net::PeerLinks& links_;
   LocalQuotaProxy& quota_proxy_;
   net::MessageFragmenter fragmenter_;
   LoopNotifier store_notifier_;  // outlives the store, whose thread triggers it
--- a/src/node/cluster_status.hpp
+++ b/src/node/cluster_status.hpp
@@ -13,7 +13,7 @@
 struct GroupStatus {
   const std::string& group;
   const membership::Swim& swim;
-  const net::Links& links;
+  const net::PeerLinks& links;
   Time now;
   Time started;      // when this process started
   bool empty_start;  // this process found no state of an earlier one on its disk
--- a/src/testbed/faulty_link.cpp
+++ b/src/testbed/faulty_link.cpp
@@ -92,7 +92,7 @@
         });
     side.address = side.listener->address();
     try {
-      side.socket = std::make_unique<net::Datagrams>(
+      side.socket = std::make_unique<net::DatagramSocket>(
           side.address, nullptr, [this, way](GSocketAddress*, std::span<const std::uint8_t> bytes) {
             arrived(way, std::string(bytes.begin(), bytes.end()));
           });
--- a/src/testbed/faulty_link.hpp
+++ b/src/testbed/faulty_link.hpp
@@ -55,7 +55,7 @@
   struct Side {  // what comes in here goes to `datagrams` and `links`
     std::string address, datagrams, links;
     LinkFaults faults;
-    std::unique_ptr<net::Datagrams> socket;
+    std::unique_ptr<net::DatagramSocket> socket;
     std::unique_ptr<net::Listener> listener;
     std::vector<std::string> held;
   };
--- a/tests/compat/links.cpp
+++ b/tests/compat/links.cpp
@@ -34,17 +34,17 @@
 class Conversation {
  public:
   explicit Conversation(Time beat = kNoBeat) {
-    Links::Options options;
+    PeerLinks::Options options;
     options.listen = "127.0.0.1:0";
     options.group = kGroup;
     options.self = kSelf;
     options.addresses = {"127.0.0.1:1", "127.0.0.1:1"};
     options.heartbeat = beat;
-    links_ = std::make_unique<Links>(
-        options,
-        Links::Callbacks{.received = [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
-          received.push_back({from, channel, std::string(bytes)});
-        }});
+    links_ = std::make_unique<PeerLinks>(
+        options, PeerLinks::Callbacks{
+                     .received = [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
+                       received.push_back({from, channel, std::string(bytes)});
+                     }});
     const auto address = parse_address(links_->address());
     REQUIRE(stranger_.connect(address.get()));
     until([this] { return connected_; });
@@ -71,7 +71,7 @@
     while (!late && !holds()) g_main_context_iteration(nullptr, TRUE);
     REQUIRE_FALSE(late);
   }
-  Links& links() { return *links_; }
+  PeerLinks& links() { return *links_; }
 
   struct ReceivedFrame {
     std::size_t from;
@@ -83,7 +83,7 @@
  private:
   bool connected_ = false;
   std::string said_;
-  std::unique_ptr<Links> links_;
+  std::unique_ptr<PeerLinks> links_;
   Stream stranger_{{.connected = [this] { connected_ = true; },
                     .arrived = [this](std::string_view bytes) { said_ += bytes; },
                     .drained = {},
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -25,8 +25,8 @@
     options.seed = number + 1;
   }
   void open() {
-    links = std::make_unique<Links>(
-        options, Links::Callbacks{
+    links = std::make_unique<PeerLinks>(
+        options, PeerLinks::Callbacks{
                      .received =
                          [this](std::size_t from, std::uint8_t channel, std::string_view bytes) {
                            received.push_back(std::to_string(from) + "/" + std::to_string(channel) + "/" +
@@ -36,8 +36,8 @@
                                        LinkState state) { connections += state == LinkState::up ? 1 : 0; },
                      .writable = [this](std::size_t) { ++room_callbacks; }});
   }
-  Links::Options options;
-  std::unique_ptr<Links> links;
+  PeerLinks::Options options;
+  std::unique_ptr<PeerLinks> links;
   std::vector<std::string> received;
   int connections = 0;
   int room_callbacks = 0;
@@ -74,8 +74,8 @@
   LinkEnd first(0);
   LinkEnd second(1);
   join(first, second);
-  first.links->keep_link(1);
-  second.links->keep_link(0);
+  first.links->maintain_link(1);
+  second.links->maintain_link(0);
   REQUIRE(loop_until([&] { return first.links->up(1) && second.links->up(0); }));
   CHECK(first.links->send(1, 5, "first"));
   CHECK(first.links->send(1, 6, "second"));
@@ -105,14 +105,14 @@
     LinkEnd first(0);
     LinkEnd second(1, 8);
     join(first, second);
-    second.links->keep_link(0);
+    second.links->maintain_link(0);
     REQUIRE(loop_until([&] { return first.links->counters().rejected > 0; }));
     CHECK((!first.links->up(1) && first.received.empty()));
   }
   LinkEnd first(0);
   LinkEnd second(1);
   join(first, second);
-  second.links->keep_link(0);
+  second.links->maintain_link(0);
   REQUIRE(loop_until([&] { return second.links->up(0); }));
   const std::string address = first.links->address();
   first.links.reset();
@@ -145,8 +145,8 @@
 }
 
 TEST_CASE("datagrams: a second socket at the same address is an error") {
-  const Datagrams first("127.0.0.1:0", nullptr, [](auto, auto) {});
-  CHECK_THROWS_AS(Datagrams(first.address(), nullptr, [](auto, auto) {}), NetError);
+  const DatagramSocket first("127.0.0.1:0", nullptr, [](auto, auto) {});
+  CHECK_THROWS_AS(DatagramSocket(first.address(), nullptr, [](auto, auto) {}), NetError);
 }
 
 TEST_CASE(
