--- a/src/fronts/chat.cpp
+++ b/src/fronts/chat.cpp
@@ -81,7 +81,7 @@
   return all;
 }
 
-void read_common(Json json, Chat& chat) {
+void read_common(Json json, ChatRequest& chat) {
   chat.model = text_at(json, "/model");
   chat.max_tokens = count_at(json, "/max_tokens");
   bool stream = false;
@@ -90,7 +90,7 @@
   chat.top_p = number_at(json, "top_p");
 }
 
-void read_turns(Json json, Chat& chat) {
+void read_turns(Json json, ChatRequest& chat) {
   simdjson::dom::array turns;
   if (json.at_key("messages").get(turns) != simdjson::SUCCESS)
     throw http::BadMessage(kBadRequest, "no messages");
@@ -103,7 +103,7 @@
   }
 }
 
-void read_stops(Json json, std::string_view key, Chat& chat) {
+void read_stops(Json json, std::string_view key, ChatRequest& chat) {
   Json stops;
   std::string_view one;
   simdjson::dom::array many;
@@ -115,7 +115,7 @@
   }
 }
 
-std::string write_common(const Chat& chat) {
+std::string write_common(const ChatRequest& chat) {
   std::string text = "\"model\":" + json_text(chat.model) + ",\"stream\":" + (chat.stream ? "true" : "false");
   if (chat.max_tokens > 0) text += ",\"max_tokens\":" + std::to_string(chat.max_tokens);
   if (!chat.temperature.empty()) text += ",\"temperature\":" + chat.temperature;
@@ -123,14 +123,14 @@
   return text;
 }
 
-std::string write_stops(std::string_view key, const Chat& chat) {
+std::string write_stops(std::string_view key, const ChatRequest& chat) {
   if (chat.stops.empty()) return {};
   std::string text;
   for (const auto& stop : chat.stops) text += (text.empty() ? "" : ",") + json_text(stop);
   return ",\"" + std::string(key) + "\":[" + text + "]";
 }
 
-std::string write_turn(const Chat::Turn& turn) {
+std::string write_turn(const ChatRequest::Turn& turn) {
   return "{\"role\":" + json_text(turn.role) + ",\"content\":" + json_text(turn.text) + "}";
 }
 
--- a/src/fronts/chat.hpp
+++ b/src/fronts/chat.hpp
@@ -56,15 +56,15 @@
 // part.
 std::string content_text(Json content);
 // Model, limits, streaming and sampling.
-void read_common(Json json, Chat& chat);
+void read_common(Json json, ChatRequest& chat);
 // The messages, in order. Throws http::BadMessage where there are none, or one has no content.
-void read_turns(Json json, Chat& chat);
+void read_turns(Json json, ChatRequest& chat);
 // Stop sequences under this key: one string, or a list of them.
-void read_stops(Json json, std::string_view key, Chat& chat);
+void read_stops(Json json, std::string_view key, ChatRequest& chat);
 
 // The same as members of a JSON object, without its braces.
-std::string write_common(const Chat& chat);
-std::string write_stops(std::string_view key, const Chat& chat);
-std::string write_turn(const Chat::Turn& turn);
+std::string write_common(const ChatRequest& chat);
+std::string write_stops(std::string_view key, const ChatRequest& chat);
+std::string write_turn(const ChatRequest::Turn& turn);
 
 }  // namespace thornwick::fronts
--- a/src/fronts/dialect.cpp
+++ b/src/fronts/dialect.cpp
@@ -94,7 +94,7 @@
   }
 }
 
-void read_identity(const http::Head& head, const Names& names, Request& request) {
+void read_identity(const http::Head& head, const RequestNames& names, Request& request) {
   const auto* id = head.find("X-Request-ID");
   if (id == nullptr || id->empty() || id->size() > kMaxIdLength)
     throw BadMessage(kBadRequest, "no good X-Request-ID");
@@ -121,7 +121,7 @@
   if (const auto* attributes = head.find("X-Attrs")) read_attributes(*attributes, request);
 }
 
-void read_model(Json body, const Names& names, Request& request) {
+void read_model(Json body, const RequestNames& names, Request& request) {
   if (!names.model) return;
   const std::string model = text_at(body, "/model");
   request.model = names.model(model);
@@ -139,9 +139,9 @@
 }
 
 // Estimates the sizes that the client's headers do not give from the body.
-void estimate_sizes(const Call& call, Request& request) {
+void estimate_sizes(const ClientRequest& call, Request& request) {
   if (request.prompt_tokens > 0 && request.max_tokens > 0) return;
-  const Chat chat = call.dialect->read_chat(*call.body);
+  const ChatRequest chat = call.dialect->read_chat(*call.body);
   double characters = 0;
   for (const auto& turn : chat.turns) characters += static_cast<double>(turn.text.size());
   if (request.prompt_tokens <= 0) request.prompt_tokens = characters / kCharactersPerToken;
@@ -150,30 +150,30 @@
 
 // The body of an attempt whose replica speaks the client's dialect. It is the client's body, with the model
 // replaced if `model` is not empty.
-std::shared_ptr<const std::string> same_dialect_body(const Call& call, std::string_view model) {
+std::shared_ptr<const std::string> same_dialect_body(const ClientRequest& call, std::string_view model) {
   if (model.empty()) return call.body;
   std::string renamed = with_model(*call.body, model);
   if (renamed == *call.body) return call.body;
   return std::make_shared<const std::string>(std::move(renamed));
 }
 
-std::shared_ptr<const std::string> translated_body(const Call& call, const Dialect& target,
+std::shared_ptr<const std::string> translated_body(const ClientRequest& call, const Dialect& target,
                                                    std::string_view model) {
-  Chat chat = call.dialect->read_chat(*call.body);
+  ChatRequest chat = call.dialect->read_chat(*call.body);
   if (!model.empty()) chat.model = model;
   return std::make_shared<const std::string>(target.write_chat(chat));
 }
 
 }  // namespace
 
-const Dialect* dialect_named(std::string_view name) {
-  for (const Dialect* dialect : {&platform(), &messages()}) {
+const Dialect* find_dialect(std::string_view name) {
+  for (const Dialect* dialect : {&platform_dialect(), &messages_dialect()}) {
     if (dialect->name() == name) return dialect;
   }
   return nullptr;
 }
 
-Request read_request(const Call& call, const Names& names, Time now) {
+Request read_request(const ClientRequest& call, const RequestNames& names, Time now) {
   const auto& head = call.head;
   Request request;
   check_single_headers(head);
@@ -214,7 +214,8 @@
   return out.append(body, copied);
 }
 
-AttemptBytes write_attempt(const Call& call, const Dialect& target, Time wait, std::string_view model) {
+AttemptBytes write_attempt(const ClientRequest& call, const Dialect& target, Time wait,
+                           std::string_view model) {
   const bool same = &target == call.dialect;
   AttemptBytes bytes;
   bytes.body = same ? same_dialect_body(call, model) : translated_body(call, target, model);
--- a/src/fronts/dialect.hpp
+++ b/src/fronts/dialect.hpp
@@ -16,14 +16,14 @@
 class Dialect;
 
 // A request as its client sent it.
-struct Call : core::Payload {
+struct ClientRequest : core::Payload {
   const Dialect* dialect = nullptr;
   http::Head head;
   std::shared_ptr<const std::string> body;
 };
 
 // The parts of a chat request that both dialects have. Translation drops everything else in a body.
-struct Chat {
+struct ChatRequest {
   struct Turn {
     std::string role;
     std::string text;
@@ -38,7 +38,7 @@
 };
 
 // The names of priority classes, tenants and models, which the settings number.
-struct Names {
+struct RequestNames {
   std::vector<std::string> classes;
   std::vector<std::string> tenants;  // empty: requests have none
   // Returns the number of the model with this name in the catalogue; 0 if the catalogue has no such model.
@@ -80,10 +80,10 @@
   // The path of chat requests, on both sides.
   virtual std::string_view path() const = 0;
   // Reads the body of a chat request. Throws http::BadMessage (400) if it cannot be translated.
-  virtual Chat read_chat(std::string_view body) const = 0;
-  virtual std::string write_chat(const Chat& chat) const = 0;
-  virtual std::unique_ptr<EventReader> reader() const = 0;
-  virtual std::unique_ptr<EventWriter> writer(std::string_view request_id) const = 0;
+  virtual ChatRequest read_chat(std::string_view body) const = 0;
+  virtual std::string write_chat(const ChatRequest& chat) const = 0;
+  virtual std::unique_ptr<EventReader> event_reader() const = 0;
+  virtual std::unique_ptr<EventWriter> event_writer(std::string_view request_id) const = 0;
   // Whether this answer of a replica proves that it never began the request, so that a repeat is harmless.
   virtual bool proves_not_started(const http::Head& answer) const = 0;
   virtual ErrorAnswer error(Rejection rejection, std::string_view message) const = 0;
@@ -92,15 +92,15 @@
 };
 
 // Chat completions, the platform's own API.
-const Dialect& platform();
+const Dialect& platform_dialect();
 // The messages API.
-const Dialect& messages();
+const Dialect& messages_dialect();
 // The dialect of this name; null if there is none.
-const Dialect* dialect_named(std::string_view name);
+const Dialect* find_dialect(std::string_view name);
 
 // Reads the request that a client's head and body describe. Its deadline counts from `now`, the time on the
 // router's clock. Throws http::BadMessage with the status for the client.
-[[nodiscard]] Request read_request(const Call& call, const Names& names, Time now);
+[[nodiscard]] Request read_request(const ClientRequest& call, const RequestNames& names, Time now);
 
 // One attempt as it is written to a replica.
 struct AttemptBytes {
@@ -111,7 +111,7 @@
 // the client's, byte for byte; otherwise it is translated. In both cases `wait` (microseconds) replaces the
 // client's time limit, and `model`, unless empty, replaces the model in the body. Throws http::BadMessage if
 // the body cannot be translated.
-[[nodiscard]] AttemptBytes write_attempt(const Call& call, const Dialect& target, Time wait,
+[[nodiscard]] AttemptBytes write_attempt(const ClientRequest& call, const Dialect& target, Time wait,
                                          std::string_view model = {});
 
 // Returns the JSON object with another value for its top-level "model"; every other byte stays. Throws
--- a/src/fronts/messages.cpp
+++ b/src/fronts/messages.cpp
@@ -189,10 +189,10 @@
   std::string_view name() const override { return "messages"; }
   std::string_view path() const override { return "/v1/messages"; }
 
-  Chat read_chat(std::string_view body) const override {
+  ChatRequest read_chat(std::string_view body) const override {
     const ChatBody parsed(body);
     const Json json = parsed.root();
-    Chat chat;
+    ChatRequest chat;
     Json system;
     if (json.at_key("system").get(system) == simdjson::SUCCESS) {
       chat.turns.push_back({"system", content_text(system)});
@@ -203,7 +203,7 @@
     return chat;
   }
 
-  std::string write_chat(const Chat& chat) const override {
+  std::string write_chat(const ChatRequest& chat) const override {
     std::string turns;
     std::string system;
     for (const auto& turn : chat.turns) {
@@ -217,8 +217,8 @@
            (system.empty() ? "" : ",\"system\":" + json_text(system)) + ",\"messages\":[" + turns + "]}";
   }
 
-  std::unique_ptr<EventReader> reader() const override { return std::make_unique<Reader>(); }
-  std::unique_ptr<EventWriter> writer(std::string_view request_id) const override {
+  std::unique_ptr<EventReader> event_reader() const override { return std::make_unique<Reader>(); }
+  std::unique_ptr<EventWriter> event_writer(std::string_view request_id) const override {
     return std::make_unique<Writer>(request_id);
   }
 
@@ -242,7 +242,7 @@
 
 }  // namespace
 
-const Dialect& messages() {
+const Dialect& messages_dialect() {
   static const Messages dialect;
   return dialect;
 }
--- a/src/fronts/platform.cpp
+++ b/src/fronts/platform.cpp
@@ -110,24 +110,26 @@
   std::string_view name() const override { return "platform"; }
   std::string_view path() const override { return "/v1/chat/completions"; }
 
-  Chat read_chat(std::string_view body) const override {
+  ChatRequest read_chat(std::string_view body) const override {
     const ChatBody parsed(body);
     const Json json = parsed.root();
-    Chat chat;
+    ChatRequest chat;
     read_common(json, chat);
     read_turns(json, chat);
     read_stops(json, "stop", chat);
     return chat;
   }
 
-  std::string write_chat(const Chat& chat) const override {
+  std::string write_chat(const ChatRequest& chat) const override {
     std::string turns;
     for (const auto& turn : chat.turns) turns += (turns.empty() ? "" : ",") + write_turn(turn);
     return "{" + write_common(chat) + write_stops("stop", chat) + ",\"messages\":[" + turns + "]}";
   }
 
-  std::unique_ptr<EventReader> reader() const override { return std::make_unique<Reader>(); }
-  std::unique_ptr<EventWriter> writer(std::string_view) const override { return std::make_unique<Writer>(); }
+  std::unique_ptr<EventReader> event_reader() const override { return std::make_unique<Reader>(); }
+  std::unique_ptr<EventWriter> event_writer(std::string_view) const override {
+    return std::make_unique<Writer>();
+  }
 
   bool proves_not_started(const http::Head& answer) const override { return rejected_by_replica(answer); }
 
@@ -146,7 +148,7 @@
 
 }  // namespace
 
-const Dialect& platform() {
+const Dialect& platform_dialect() {
   static const Platform dialect;
   return dialect;
 }
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -149,7 +149,7 @@
 }
 
 core::Arrival DownstreamServer::Connection::read_arrival() {
-  auto call = std::make_shared<fronts::Call>();
+  auto call = std::make_shared<fronts::ClientRequest>();
   call->dialect = &dialect();
   call->head = reader_.head();
   call->body = std::make_shared<const std::string>(std::exchange(body_, {}));
@@ -189,7 +189,7 @@
 void DownstreamServer::Connection::event(const core::StreamEvent& event) {
   // An event from a replica of the client's own dialect is forwarded byte for byte.
   const bool same = event.dialect == dialect().name();
-  if (!same && !writer_) writer_ = dialect().writer(request_id_);
+  if (!same && !writer_) writer_ = dialect().event_writer(request_id_);
   const std::string bytes = same ? event.raw : writer_->write(event);
   if (bytes.empty()) return;
   drop_keep_while_draining();
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-DownstreamServer::DownstreamServer(Options options, const fronts::Names& names, core::RequestManager& core,
-                                   SharedAdmissionState& shared_admission)
+DownstreamServer::DownstreamServer(Options options, const fronts::RequestNames& names,
+                                   core::RequestManager& core, SharedAdmissionState& shared_admission)
     : options_(std::move(options)), names_(names), core_(core), shared_admission_(shared_admission) {
   listener_ = listen();
 }
--- a/src/net/downstream_server.hpp
+++ b/src/net/downstream_server.hpp
@@ -57,7 +57,7 @@
 
   // Listens from then on. `names`, `core` and `shared_admission` are not owned and have to outlive the
   // server. Throws NetError if it cannot listen.
-  DownstreamServer(Options options, const fronts::Names& names, core::RequestManager& core,
+  DownstreamServer(Options options, const fronts::RequestNames& names, core::RequestManager& core,
                    SharedAdmissionState& shared_admission);
   ~DownstreamServer();
 
@@ -86,7 +86,7 @@
   void close_unused();
 
   Options options_;
-  const fronts::Names& names_;
+  const fronts::RequestNames& names_;
   core::RequestManager& core_;
   DownstreamCounters counters_;
   SharedAdmissionState& shared_admission_;
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -83,7 +83,7 @@
   timeout_.stop();  // the idle timeout would close the connection during the attempt
   reader_ = MessageReader(MessageReader::Kind::answer);
   frames_ = {};
-  events_ = owner_.core_ == nullptr ? nullptr : dialect_.reader();
+  events_ = owner_.core_ == nullptr ? nullptr : dialect_.event_reader();
   body_.clear();
   report_.clear();
   written_ = false;
@@ -126,7 +126,7 @@
     ++owner_.counters_.replica_draining;
     return finish(Outcome::not_sent, Reuse::keep, "the replica drains since the connection was begun");
   }
-  const auto& call = static_cast<const fronts::Call&>(*payload_);
+  const auto& call = static_cast<const fronts::ClientRequest&>(*payload_);
   try {
     const bool named = model_ != 0 && owner_.options_.model_name;
     auto bytes = fronts::write_attempt(call, dialect_, deadline_ - now_us(),
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -90,7 +90,7 @@
 }  // namespace
 
 const fronts::Dialect& dialect_named(const std::string& name) {
-  const auto* found = fronts::dialect_named(name);
+  const auto* found = fronts::find_dialect(name);
   if (found == nullptr) throw config::BadConfig("operator's file: no such dialect: " + name);
   return *found;
 }
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -10,9 +10,9 @@
 
 void DownstreamFronts::open(core::RequestManager& core, net::HandoverState& handover_state) {
   const config::Config& config = dependencies_.config;
-  open_server(config.listeners.requests, fronts::platform(), core, handover_state);
+  open_server(config.listeners.requests, fronts::platform_dialect(), core, handover_state);
   if (!config.operator_file.messages_listen.empty())
-    open_server(config.operator_file.messages_listen, fronts::messages(), core, handover_state);
+    open_server(config.operator_file.messages_listen, fronts::messages_dialect(), core, handover_state);
 }
 
 void DownstreamFronts::open_server(const std::string& address, const fronts::Dialect& dialect,
--- a/src/node/downstream_fronts.hpp
+++ b/src/node/downstream_fronts.hpp
@@ -19,7 +19,7 @@
   struct Dependencies {
     const config::Config& config;
     const lifecycle::Lifecycle& router_lifecycle;
-    const fronts::Names& names;
+    const fronts::RequestNames& names;
     metrics::Metrics& metrics;
   };
   explicit DownstreamFronts(Dependencies dependencies) : dependencies_(dependencies) {}
--- a/src/node/node.hpp
+++ b/src/node/node.hpp
@@ -93,7 +93,7 @@
   config::Config config_;  // as read at the start, with the changes that reload() has applied
   lifecycle::Lifecycle lifecycle_{net::now_us()};
   metrics::Metrics metrics_;
-  fronts::Names names_;
+  fronts::RequestNames names_;
   LoopClock clock_;
   net::EndpointTable endpoints_;
   net::PeerSocket peers_;
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -120,7 +120,7 @@
     const http::Head& head = line.reader.head();
     if (head.method == "GET") return line.write(empty_answer(200));
     const fronts::Dialect* dialect = nullptr;
-    for (const auto* known : {&fronts::platform(), &fronts::messages()}) {
+    for (const auto* known : {&fronts::platform_dialect(), &fronts::messages_dialect()}) {
       if (head.target == known->path()) dialect = known;
     }
     const auto* id = head.find("X-Request-ID");
@@ -129,13 +129,13 @@
     }
     ++owner_.metrics_.asked;
     owner_.options_.asked(*id, drains_since == 0 ? 0 : std::max<Time>(1, net::now_us() - drains_since));
-    fronts::Call call;
+    fronts::ClientRequest call;
     call.dialect = dialect;
     call.head = head;
     call.body = std::make_shared<const std::string>(std::move(line.body));
     Request request;
     try {
-      fronts::Names names;
+      fronts::RequestNames names;
       for (const auto& d : owner_.options_.scenario.classes) names.classes.push_back(d.name);
       request = fronts::read_request(call, names, net::now_us());
     } catch (const http::BadMessage& bad) {
@@ -157,7 +157,7 @@
       ++owner_.metrics_.full;
       return line.write(turned_away());
     }
-    answers_[job] = {line.number, dialect->writer(*id), request.prompt_tokens, generated, 0, 0, false};
+    answers_[job] = {line.number, dialect->event_writer(*id), request.prompt_tokens, generated, 0, 0, false};
     plan();
   }
 
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -44,7 +44,7 @@
 
 Load::Load(LoadOptions options)
     : options_(std::move(options)),
-      dialect_(fronts::dialect_named(options_.dialect)),
+      dialect_(fronts::find_dialect(options_.dialect)),
       chance_(options_.seed, emulator::Concern::clients) {
   if (dialect_ == nullptr) throw std::invalid_argument("no such dialect: " + options_.dialect);
   if (options_.routers.empty()) throw std::invalid_argument("no router's address");
@@ -90,7 +90,7 @@
 std::string Load::bytes_of(const Turn& turn, Time limit) const {
   const auto& a = turn.asked;
   const auto& s = options_.scenario;
-  fronts::Chat chat;
+  fronts::ChatRequest chat;
   chat.model = "model";
   chat.stream = true;
   chat.max_tokens = static_cast<std::uint64_t>(a.max_tokens);
--- a/src/testbed/request_audit.cpp
+++ b/src/testbed/request_audit.cpp
@@ -14,13 +14,13 @@
 
 std::string request_bytes(const std::string& id, Time limit, const std::string& cls,
                           const std::string& member) {
-  fronts::Chat chat;
+  fronts::ChatRequest chat;
   chat.model = "model";
   chat.stream = true;
   chat.max_tokens = 20;
   chat.turns.push_back({"user", "what does the log say?"});
-  const std::string body = fronts::platform().write_chat(chat);
-  return http::write_head("POST " + std::string(fronts::platform().path()) + " HTTP/1.1",
+  const std::string body = fronts::platform_dialect().write_chat(chat);
+  return http::write_head("POST " + std::string(fronts::platform_dialect().path()) + " HTTP/1.1",
                           {{"Host", "thornwick"},
                            {"Content-Type", "application/json"},
                            {"X-Request-ID", id},
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-const std::vector<const fronts::Dialect*> kDialects = {&fronts::platform(), &fronts::messages()};
+const std::vector<const fronts::Dialect*> kDialects = {&fronts::platform_dialect(),
+                                                       &fronts::messages_dialect()};
 
 const fronts::Dialect& dialect_of(const std::string& name) {
-  const fronts::Dialect* found = fronts::dialect_named(name);
+  const fronts::Dialect* found = fronts::find_dialect(name);
   REQUIRE(found != nullptr);
   return *found;
 }
@@ -85,8 +86,8 @@
   return text_of_fields(fields);
 }
 
-fronts::Names names() {
-  fronts::Names names;
+fronts::RequestNames names() {
+  fronts::RequestNames names;
   names.classes = {"chat", "quick"};
   names.tenants = {"acme", "other"};
   names.model = [](std::string_view name) { return static_cast<std::uint16_t>(name == "m" ? 3 : 0); };
@@ -119,7 +120,7 @@
 }
 
 std::string written(const fronts::Dialect& dialect, const std::vector<core::StreamEvent>& events) {
-  const auto writer = dialect.writer("r1");
+  const auto writer = dialect.event_writer("r1");
   std::string bytes;
   for (const auto& event : events) bytes += writer->write(event);
   return bytes;
@@ -210,7 +211,7 @@
 TEST_CASE("each event is read unchanged in both dialects") {
   check_table("events_read.txt", [](const std::string& input) {
     const auto first = input.find('\n');
-    const auto reader = dialect_of(input.substr(0, first)).reader();
+    const auto reader = dialect_of(input.substr(0, first)).event_reader();
     fronts::FrameSplitter splitter;
     splitter.feed(input.substr(first + 1));
     std::string text;
@@ -221,9 +222,9 @@
 
 TEST_CASE("requests are read, and malformed ones rejected, as before") {
   check_table("requests.txt", [](const std::string& input) {
-    fronts::Call call;
+    fronts::ClientRequest call;
     const bool other = input.find(" /v1/messages ") != std::string::npos;
-    call.dialect = other ? &fronts::messages() : &fronts::platform();
+    call.dialect = other ? &fronts::messages_dialect() : &fronts::platform_dialect();
     try {
       ReadMessage message = read_message(request_bytes(input), http::MessageReader::Kind::request);
       call.head = message.head;
@@ -237,9 +238,9 @@
 
 TEST_CASE("the request of an attempt is unchanged for replicas of both dialects") {
   check_table("attempts.txt", [](const std::string& input) {
-    fronts::Call call;
+    fronts::ClientRequest call;
     const bool other = input.find(" /v1/messages ") != std::string::npos;
-    call.dialect = other ? &fronts::messages() : &fronts::platform();
+    call.dialect = other ? &fronts::messages_dialect() : &fronts::platform_dialect();
     ReadMessage message = read_message(request_bytes(input), http::MessageReader::Kind::request);
     call.head = message.head;
     call.body = std::make_shared<const std::string>(std::move(message.body));
