--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -29,7 +29,7 @@
     : options_(std::move(options)),
       callbacks_(std::move(callbacks)),
       counters_(counters),
-      schedule_(options_.calls,
+      schedule_(options_.schedule,
                 [random = boost::random::mt19937_64(options_.seed)]() mutable {
                   return boost::random::uniform_01<double>()(random);
                 }),
@@ -167,7 +167,7 @@
   if (!failure.detail.empty()) line << " (" << logging::field("detail", failure.detail) << ")";
   describe_call(line, call);
   if (call.number == counters_.calls) call_at(schedule_.on_call_failed(now_us(), call.plan));
-  if (!options_.calls.pushed) callbacks_.failed();
+  if (!options_.schedule.pushed) callbacks_.failed();
 }
 
 void DiscoveryClient::schedule_after_list(const DiscoveryCall& call, std::uint64_t revision_before) {
@@ -210,17 +210,17 @@
 }
 
 // A discovery that has restarted may send a list of long ago. The list in use stays until discovery has sent
-// only older ones for `max_old_list_time`.
+// only older ones for `stale_list_delay`.
 bool DiscoveryClient::is_too_old(simdjson::dom::element list) {
   const auto revision = read_revision(list);
-  const bool older = options_.calls.pushed && has_revision_ && revision && *revision < revision_;
+  const bool older = options_.schedule.pushed && has_revision_ && revision && *revision < revision_;
   if (!older) {
     old_since_ = 0;
     return false;
   }
   ++counters_.stale_lists;
   if (old_since_ == 0) old_since_ = now_us();
-  return now_us() - old_since_ < options_.max_old_list_time;
+  return now_us() - old_since_ < options_.stale_list_delay;
 }
 
 }  // namespace thornwick::net
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -34,11 +34,11 @@
  public:
   struct Options {
     std::string address;
-    core::DiscoverySchedule::Options calls;  // when discovery is called
-    std::uint64_t seed = 0;                  // of the schedule's jitter
+    core::DiscoverySchedule::Options schedule;  // when discovery is called
+    std::uint64_t seed = 0;                     // of the schedule's jitter
     // A list that is older than the one in use is applied only after discovery has sent nothing newer for
     // this time.
-    Time max_old_list_time = 0;
+    Time stale_list_delay = 0;
   };
   struct Callbacks {
     std::function<void(simdjson::dom::element list)> list;  // an object, whose revision is noted already
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -262,7 +262,8 @@
 // Rejects the request and closes its connection.
 void DownstreamServer::Connection::reject_for_overload() {
   ++owner_.counters_.overload_rejections;
-  if (const auto* priority = reader_.head().find("X-Priority-Class")) owner_.options_.rejected(*priority);
+  if (const auto* priority = reader_.head().find("X-Priority-Class"))
+    owner_.options_.on_overload_rejection(*priority);
   keep_ = false;
   reject(owner_.options_.overload_retry_after);
 }
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -23,7 +23,8 @@
 std::unique_ptr<Listener> DownstreamServer::listen() {
   const auto room = [this] { return has_room(); };
   const auto accepted = [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); };
-  if (options_.listening) return std::make_unique<Listener>(std::move(options_.listening), room, accepted);
+  if (options_.listening_socket)
+    return std::make_unique<Listener>(std::move(options_.listening_socket), room, accepted);
   return std::make_unique<Listener>(options_.address, room, accepted, options_.address_use);
 }
 
@@ -95,7 +96,7 @@
 
 // ---------------------------------------------------------------- the router's lifecycle
 
-void DownstreamServer::phase_changed() {
+void DownstreamServer::on_phase_changed() {
   if (router_lifecycle().accepts_connections()) {
     listener_->resume();
   } else {
--- a/src/net/downstream_server.hpp
+++ b/src/net/downstream_server.hpp
@@ -45,12 +45,12 @@
     // Unsent bytes to one client, above which reading from its replica pauses.
     std::size_t congestion_bytes = 256UL * 1024;
     Time overload_retry_after = 0;                   // advised with a rejection for overload; 0: no advice
-    Owned<GSocket> listening = {};                   // a listening socket; null: one is opened at the address
+    Owned<GSocket> listening_socket = {};            // a listening socket; null: one is opened at the address
     AddressUse address_use = AddressUse::exclusive;  // shared: a successor may listen at the same address
     const lifecycle::Lifecycle* router_lifecycle = nullptr;  // not owned
     // A request was rejected for overload before the request manager had it. The argument is its class, as
     // the client names it.
-    std::function<void(std::string_view)> rejected = [](std::string_view) {};
+    std::function<void(std::string_view)> on_overload_rejection = [](std::string_view) {};
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
   };
@@ -63,10 +63,10 @@
 
   // To be called after the router's lifecycle has entered another phase: accepts, keeps and closes
   // connections as the phase wants.
-  void phase_changed();
+  void on_phase_changed();
   std::string address() const { return listener_->address(); }
   GSocket* socket() const { return listener_->socket(); }
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   const DownstreamCounters& counters() const { return counters_; }
 
  private:
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -36,9 +36,9 @@
     : names_{.zones = std::move(options.zones), .kinds = std::move(options.kinds)},
       on_update_(std::move(on_update)),
       client_({.address = std::move(options.address),
-               .calls = options.calls,
+               .schedule = options.schedule,
                .seed = options.seed,
-               .max_old_list_time = options.max_old_list_time},
+               .stale_list_delay = options.stale_list_delay},
               {.list = [this](simdjson::dom::element list) { apply_list(list, Source::discovery); },
                .failed = [this] { on_update_(EndpointUpdate::failed, {}); }},
               counters_) {}
@@ -53,18 +53,18 @@
   return entry != nullptr && entry->listing.state == EndpointState::ready && !is_reported(replica);
 }
 
-std::size_t EndpointTable::listed() const {
+std::size_t EndpointTable::listed_count() const {
   const auto is_listed = [](const auto& known) { return known.second.listing.state != EndpointState::gone; };
   return static_cast<std::size_t>(std::count_if(endpoints_.begin(), endpoints_.end(), is_listed));
 }
 
-void EndpointTable::start_from(simdjson::dom::element known) {
+void EndpointTable::apply_known_list(simdjson::dom::element known) {
   if (!known.is_object()) return;
   client_.note_revision(known);
   apply_list(known, Source::cache);
 }
 
-std::string EndpointTable::list() const {
+std::string EndpointTable::list_json() const {
   std::string entries;
   bool any_reported = false;
   for (const auto& [id, entry] : endpoints_) {
--- a/src/net/endpoint_table.hpp
+++ b/src/net/endpoint_table.hpp
@@ -43,11 +43,11 @@
     std::vector<std::string> zones;  // as the settings name them
     std::vector<std::string> kinds;
     // When discovery is called. The routing policy's own intervals have no effect here.
-    core::DiscoverySchedule::Options calls;
+    core::DiscoverySchedule::Options schedule;
     std::uint64_t seed = 0;  // of the schedule's jitter
     // A list that is older than the one in use is applied only after discovery has sent nothing newer for
     // this time.
-    Time max_old_list_time = seconds(10);
+    Time stale_list_delay = seconds(10);
   };
   // Called after the table has changed, with the changed entries; and after a call has failed, without
   // entries.
@@ -58,14 +58,14 @@
 
   // Sets the function that tells whether peers report a replica as draining or gone. Such a replica gets no
   // new attempt even if the list has it as ready. The function is called until the table is destroyed.
-  void consult_peers(std::function<bool(ReplicaId)> reported) { reported_by_peers_ = std::move(reported); }
+  void set_peer_reports(std::function<bool(ReplicaId)> reported) { reported_by_peers_ = std::move(reported); }
 
   // Applies a list that is known at the start, before discovery has answered.
-  void start_from(simdjson::dom::element known);
+  void apply_known_list(simdjson::dom::element known);
   // The current list in discovery's format, for a successor. Replicas that peers report are listed as
   // draining; the list then has no revision, so that the successor requests the whole list. If such a report
   // is wrong, no later change of the list would correct it.
-  std::string list() const;
+  std::string list_json() const;
 
   // Does nothing: the schedule keeps a watch open by itself.
   void watch() override {}
@@ -82,7 +82,7 @@
   bool may_send(ReplicaId replica) const;
   std::size_t size() const { return endpoints_.size(); }
   // The number of replicas that are not gone.
-  std::size_t listed() const;
+  std::size_t listed_count() const;
   const DiscoveryCounters& counters() const { return counters_; }
 
  private:
--- a/src/net/flow_exporter.cpp
+++ b/src/net/flow_exporter.cpp
@@ -43,7 +43,7 @@
   const Time now = now_us();
   const bool with_template = template_sent_at_ == 0 || now - template_sent_at_ >= kTemplateInterval;
   if (with_template) template_sent_at_ = now;
-  sent_ += writer_.pending();
+  sent_records_ += writer_.pending();
   const std::string message =
       writer_.take(now, with_template ? FlowWriter::Template::included : FlowWriter::Template::omitted);
   GLibError error;
--- a/src/net/flow_exporter.hpp
+++ b/src/net/flow_exporter.hpp
@@ -22,7 +22,7 @@
   // Sends the record together with others, after one second at most.
   void add(const core::RequestSummary& summary, std::string_view replica);
   // The number of records that were sent, including lost ones.
-  std::uint64_t sent() const { return sent_; }
+  std::uint64_t sent_records() const { return sent_records_; }
 
  private:
   void flush();
@@ -33,7 +33,7 @@
   HeldDescriptor held_descriptor_;
   Timer delay_;
   Time template_sent_at_ = 0;  // 0: not yet
-  std::uint64_t sent_ = 0;
+  std::uint64_t sent_records_ = 0;
 };
 
 }  // namespace thornwick::net
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -14,7 +14,7 @@
   broadcast_ = parse_address(options.broadcast);
   try {
     socket_ = std::make_unique<DatagramSocket>(
-        options.listen, std::move(options.bound),
+        options.listen, std::move(options.bound_socket),
         [this](GSocketAddress* from, auto bytes) { on_datagram(from, bytes); }, AddressUse::shared);
   } catch (const NetError& problem) {
     throw NetError(std::string("peers: ") + problem.what());
--- a/src/net/peer_socket.hpp
+++ b/src/net/peer_socket.hpp
@@ -19,10 +19,10 @@
 class PeerSocket : public core::PeerTransport {
  public:
   struct Options {
-    std::string listen;              // address; empty: there are no peers
-    std::string broadcast;           // address for a message to all peers
-    std::vector<std::string> peers;  // by rank, this router's own included
-    Owned<GSocket> bound = {};       // a socket that is bound already; null: a new one is bound
+    std::string listen;                // address; empty: there are no peers
+    std::string broadcast;             // address for a message to all peers
+    std::vector<std::string> peers;    // by rank, this router's own included
+    Owned<GSocket> bound_socket = {};  // a socket that is bound already; null: a new one is bound
   };
   using OnMessage = std::function<void(std::uint32_t rank, std::span<const std::uint8_t>)>;
 
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -145,7 +145,7 @@
 
 void UpstreamPool::Connection::on_drained() {
   if (!written_ || stream_.broken() || stream_.unsent() > 0) return;
-  if (!std::exchange(sent_, true)) owner_.options_.sent();
+  if (!std::exchange(sent_, true)) owner_.options_.on_attempt_sent();
 }
 
 // ---------------------------------------------------------------- the answer
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -43,7 +43,7 @@
     std::map<std::string, const fronts::Dialect*> dialects_by_uid;
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
-    std::function<void()> sent = [] {};  // the last byte of an attempt was written
+    std::function<void()> on_attempt_sent = [] {};  // the last byte of an attempt was written
   };
 
   // The table is not owned.
@@ -64,7 +64,7 @@
   void resume_reading(core::AttemptId attempt) override;
   void probe(ReplicaId replica) override;
 
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   const UpstreamCounters& counters() const { return counters_; }
 
  private:
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -31,16 +31,17 @@
     out << " accepted=" << counters.accepted << " bad=" << counters.invalid_requests
         << " health=" << counters.health_checks << " crowded=" << counters.overload_rejections
         << " mute=" << counters.timed_out << " evicted=" << counters.evicted
-        << " clients=" << front->connections();
+        << " clients=" << front->connection_count();
   }
 }
 
 void print_upstream_counters(const net::UpstreamPool& upstream, std::ostream& out) {
   const auto& counters = upstream.counters();
-  out << " opened=" << counters.opened << " reused=" << counters.reused << " lines=" << upstream.connections()
-      << " silent=" << counters.stalled_streams << " no_descriptor=" << counters.no_descriptor
-      << " drained_meanwhile=" << counters.replica_draining << " probes=" << counters.probes
-      << " spoilt=" << counters.malformed_answers << " unclean=" << counters.unexpected_bytes;
+  out << " opened=" << counters.opened << " reused=" << counters.reused
+      << " lines=" << upstream.connection_count() << " silent=" << counters.stalled_streams
+      << " no_descriptor=" << counters.no_descriptor << " drained_meanwhile=" << counters.replica_draining
+      << " probes=" << counters.probes << " spoilt=" << counters.malformed_answers
+      << " unclean=" << counters.unexpected_bytes;
 }
 
 void print_discovery_counters(const net::EndpointTable& endpoints, std::ostream& out) {
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -19,10 +19,10 @@
                                    core::RequestManager& core, net::HandoverState& handover_state) {
   auto options = downstream_options(dependencies_.config);
   options.router_lifecycle = &dependencies_.router_lifecycle;
-  options.rejected = [&metrics = dependencies_.metrics](std::string_view cls) {
+  options.on_overload_rejection = [&metrics = dependencies_.metrics](std::string_view cls) {
     metrics.count_request(cls, metrics::RequestState::deferred);
   };
-  options.listening = std::move(handover_state.sockets[address]);
+  options.listening_socket = std::move(handover_state.sockets[address]);
   options.address = address;
   options.dialect = &dialect;
   servers_.push_back(std::make_unique<net::DownstreamServer>(std::move(options), dependencies_.names, core,
@@ -38,12 +38,12 @@
 }
 
 void DownstreamFronts::phase_changed() {
-  for (auto& server : servers_) server->phase_changed();
+  for (auto& server : servers_) server->on_phase_changed();
 }
 
 bool DownstreamFronts::has_connections() const {
   return std::any_of(servers_.begin(), servers_.end(),
-                     [](const auto& server) { return server->connections() > 0; });
+                     [](const auto& server) { return server->connection_count() > 0; });
 }
 
 void lend_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket) {
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -87,7 +87,7 @@
   state.drained = dependencies_.router_lifecycle.drained();
   const std::size_t spare = descriptor_limit_ / kSpareDescriptorsDivisor;
   state.reserved_descriptors = std::min(descriptor_limit_, net::descriptors().held + spare);
-  state.endpoint_list = dependencies_.endpoints.list();
+  state.endpoint_list = dependencies_.endpoints.list_json();
   state.learned_state = persistence::encode_handover_state(dependencies_.core.decider().learned_state(),
                                                            dependencies_.affinity_table);
   net::descriptors().limit = state.reserved_descriptors;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -30,7 +30,7 @@
       peers_({.listen = config.listeners.peers,
               .broadcast = config.peers.all,
               .peers = config.peers.each,
-              .bound = std::move(handover_state.sockets[config.listeners.peers])},
+              .bound_socket = std::move(handover_state.sockets[config.listeners.peers])},
              [this](std::uint32_t rank, std::span<const std::uint8_t> message) {
                core_->on_peer_message(rank, message);
              }),
@@ -77,17 +77,17 @@
   options.address = config_.discovery.address;
   options.zones = config_.names.zones;
   options.kinds = config_.names.kinds;
-  options.calls.max_poll_interval = settings.max_poll_interval;
-  options.calls.routers = settings.group_size;
-  options.calls.pushed = !settings.discovery_by_polling;
+  options.schedule.max_poll_interval = settings.max_poll_interval;
+  options.schedule.routers = settings.group_size;
+  options.schedule.pushed = !settings.discovery_by_polling;
   options.seed = settings.seed;
-  options.max_old_list_time = settings.max_poll_interval;
+  options.stale_list_delay = settings.max_poll_interval;
   return options;
 }
 
 net::UpstreamPool::Options Node::upstream_pool_options() {
   auto options = upstream_options(config_);
-  options.sent = [this] { metrics_.count_attempt(); };
+  options.on_attempt_sent = [this] { metrics_.count_attempt(); };
   return options;
 }
 
@@ -101,7 +101,7 @@
   DeciderChain chain = build_decider_chain(config_, endpoints_, durable_state_);
   pools_ = chain.pools;
   if (chain.drain_tracker != nullptr) {
-    endpoints_.consult_peers(
+    endpoints_.set_peer_reports(
         [tracker = chain.drain_tracker](ReplicaId replica) { return tracker->is_reported(replica); });
   }
   core::Dependencies dependencies{clock_,
@@ -137,7 +137,7 @@
   if (list.empty()) return;
   simdjson::dom::parser parser;
   simdjson::dom::element known;
-  if (parser.parse(list).get(known) == simdjson::SUCCESS) endpoints_.start_from(known);
+  if (parser.parse(list).get(known) == simdjson::SUCCESS) endpoints_.apply_known_list(known);
 }
 
 void Node::open_admin_endpoint() {
@@ -224,7 +224,7 @@
 
 std::string Node::metrics() const {
   return metrics_.text({.in_flight = core_->open(),
-                        .replicas = endpoints_.listed(),
+                        .replicas = endpoints_.listed_count(),
                         .ejected_replicas = core_->ejected().size()});
 }
 
@@ -242,7 +242,7 @@
         << " silent_calls=" << calls.timed_out;
   }
   out << " reloads=" << reloads_;
-  if (flow_exporter_) out << " flow_records=" << flow_exporter_->sent();
+  if (flow_exporter_) out << " flow_records=" << flow_exporter_->sent_records();
 }
 
 }  // namespace thornwick::node
