--- a/src/net/io_watcher.cpp
+++ b/src/net/io_watcher.cpp
@@ -88,7 +88,7 @@
     if (!was_watched) operation = EPOLL_CTL_ADD;
     if (!is_watched) operation = EPOLL_CTL_DEL;
     if (epoll_ctl(epoll_, operation, descriptor, &event) != 0) {
-      logging::warning("net") << "cannot watch a socket: " << g_strerror(errno);
+      logging::warning("socket") << "cannot watch a socket: " << g_strerror(errno);
     }
   }
 
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -130,7 +130,7 @@
   if (is_acceptable(greeting) && !up_) return owner_.on_greeted(*this, greeting.from);
   ++owner_.counters_.rejected;
   const bool same_group = greeting.group == owner_.options_.group;
-  logging::warning("links") << "greeting rejected: version " << greeting.version
+  logging::warning("peer_link") << "greeting rejected: version " << greeting.version
                             << (same_group ? "" : ", another group") << ", from member " << greeting.from
                             << " to member " << greeting.to;
   owner_.on_ended(*this);
@@ -139,7 +139,7 @@
 
 void PeerLinks::Link::fail(FrameFault fault) {
   ++owner_.counters_.malformed;
-  logging::warning("links") << "link closed: " << to_string(fault);
+  logging::warning("peer_link") << "link closed: " << to_string(fault);
   owner_.on_ended(*this);
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -68,7 +68,7 @@
     if (!socket) {
       if (error.would_block()) return;
       // For instance EMFILE. Without a pause the loop would spin, as the listener stays readable.
-      logging::warning("net") << "accepting connections paused: " << error.message();
+      logging::warning("socket") << "accepting connections paused: " << error.message();
       return pause();
     }
     accepted_(std::move(socket));
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -36,7 +36,7 @@
   socket_.reset(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
                              G_SOCKET_PROTOCOL_TCP, no_socket.out()));
   if (!socket_) {
-    logging::warning("net") << "cannot create a socket: " << no_socket.message();
+    logging::warning("socket") << "cannot create a socket: " << no_socket.message();
     return false;
   }
   held_descriptor_.emplace();
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -145,7 +145,8 @@
 
 void Cluster::on_link_changed(std::size_t member, net::LinkState state) {
   const bool up = state == net::LinkState::up;
-  logging::info("links") << "link to " << membership_.roster->at(member).name << (up ? " is up" : " is down");
+  logging::info("peer_link") << "link to " << membership_.roster->at(member).name
+                             << (up ? " is up" : " is down");
   if (replication_ && !up) replication_->on_link_lost(member);
   if (up) view_timer_.start(0, [this] { send_view(); });
 }
