--- a/tests/faults/discovery_calls.cpp
+++ b/tests/faults/discovery_calls.cpp
@@ -38,8 +38,8 @@
   Scratch scratch;
   CountingReplica draining, staying;
   Socket discovery;
-  const std::string discovery_address = discovery.bind_any();
-  discovery.let_in();
+  const std::string discovery_address = discovery.bind_any_port();
+  discovery.start_listening();
   const std::string config = scratch.path("config.json");
   std::ofstream(config) << testing::write_router_config(
       {.discovery = discovery_address,
@@ -50,11 +50,11 @@
   Socket call = discovery.accept_one();
   call.read_until("\r\n\r\n");
   faults.add({.call = SystemCall::connect, .error = error});
-  REQUIRE(router.says("call failed: no connection") != "");
+  REQUIRE(router.wait_for_line("call failed: no connection") != "");
   faults.clear();
   call.send_all(ok_answer(R"({"rev":2,"all":true,"targets":[)" + draining.entry("s-01", "DRAINING") + "," +
                           staying.entry("s-02", "SERVING") + "]}"));
-  REQUIRE(router.says("replica s-01: ready -> draining") != "");
+  REQUIRE(router.wait_for_line("replica s-01: ready -> draining") != "");
 
   std::vector<Socket> clients(kRequests);
   for (std::size_t i = 0; i < kRequests; ++i) {
--- a/tests/faults/faulty_site.cpp
+++ b/tests/faults/faulty_site.cpp
@@ -90,7 +90,7 @@
 
 int FaultySite::end(int signal) {
   router_->signal(signal);
-  return router_->status();
+  return router_->wait_for_exit();
 }
 
 std::size_t FaultySite::descriptors() const {
--- a/tests/incidents/drain.cpp
+++ b/tests/incidents/drain.cpp
@@ -55,7 +55,7 @@
   void restart_all(int signal, const SlowDiscovery& discovery) {
     for (auto& program : programs_) {
       program->signal(signal);
-      program->status();
+      program->wait_for_exit();
     }
     programs_.clear();
     addresses_.clear();
--- a/tests/incidents/peer_reports.cpp
+++ b/tests/incidents/peer_reports.cpp
@@ -34,7 +34,7 @@
 // A replica whose connections do not come up before it lets them in: its queue is full.
 class LateReplica {
  public:
-  LateReplica() : address_(listener_.bind_any()) {
+  LateReplica() : address_(listener_.bind_any_port()) {
     REQUIRE(listen(listener_.fd(), 0) == 0);
     REQUIRE(in_the_way_.connect_to(address_));
   }
@@ -75,7 +75,7 @@
         config_(scratch_.path("config.json")),
         tmp_(scratch_.path("tmp")) {
     std::filesystem::create_directory(tmp_);
-    const std::string peer_address = peer_.bind_any();
+    const std::string peer_address = peer_.bind_any_port();
     datagram_address_ = testing::free_datagram_address();
     std::ofstream(config_) << testing::write_router_config({.group_size = 2,
                                                             .discovery = discovery_.address(),
@@ -98,7 +98,7 @@
     REQUIRE(peer_.connect_to(datagram_address_));
     const core::DrainReport report{.replica = net::preferred_id(kDrainingUid), .start = 0};
     peer_.send_all(core::encode_drain_message({&report, 1}));
-    REQUIRE(first().says("a peer reports it draining or gone") != "");
+    REQUIRE(first().wait_for_line("a peer reports it draining or gone") != "");
   }
   // Each on a connection of its own; answers are not waited for.
   void request(std::size_t count) {
@@ -145,7 +145,7 @@
   RouterWithPeer router(draining.entry(kDrainingUid, "SERVING") + "," + staying.entry("s-02", "SERVING"));
   router.report_drain();
   router.start();
-  REQUIRE(router.first().says("handed-over: a successor serves") != "");
+  REQUIRE(router.first().wait_for_line("handed-over: a successor serves") != "");
   router.request(kRequests);
   run_until([&] { return staying.requests() == kRequests; }, seconds(3));
   CHECK(staying.requests() == kRequests);
--- a/tests/incidents/router_config.cpp
+++ b/tests/incidents/router_config.cpp
@@ -47,7 +47,7 @@
 
 std::string free_datagram_address() {
   Socket socket_of_a_moment(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  return socket_of_a_moment.bind_any();
+  return socket_of_a_moment.bind_any_port();
 }
 
 }  // namespace thornwick::testing
--- a/tests/net/client_connections.cpp
+++ b/tests/net/client_connections.cpp
@@ -102,7 +102,7 @@
 }
 
 TEST_CASE("silent connections are closed to make room for a client with a request") {
-  ScenarioRunner runner({.most_clients = 2});
+  ScenarioRunner runner({.max_clients = 2});
   runner.run(R"(
     client1 send
     client2 send
@@ -147,7 +147,7 @@
 // With few descriptors the router once closed connections whose first request it had not read yet.
 TEST_CASE(
     "beyond the clients' share idle connections are closed and new requests are rejected, but none is lost") {
-  ScenarioRunner runner({.most_clients = 1});
+  ScenarioRunner runner({.max_clients = 1});
   runner.run(R"(
     client1 send $ask(r1)
     attempt1 expect X-Request-ID: r1\r\n
--- a/tests/net/event_streaming.cpp
+++ b/tests/net/event_streaming.cpp
@@ -39,7 +39,7 @@
 TEST_CASE("a client that reads slowly makes its replica wait, and gets every event") {
   constexpr int kEvents = 3000;
   const std::string text(12'000, 'y');
-  ScenarioRunner runner({.silence_limit = 1'000'000});
+  ScenarioRunner runner({.silence_timeout = 1'000'000});
   runner.run("client1 send $ask(r1)\nattempt1 send $stream$delta(one)\nclient1 expect one\nclient1 hold");
   for (int i = 0; i < kEvents; ++i) runner.run("attempt1 send $delta(" + text + std::to_string(i) + "end)");
   runner.run("attempt1 send $done\nwait 1300");
--- a/tests/net/handover.cpp
+++ b/tests/net/handover.cpp
@@ -85,9 +85,9 @@
 class Replica {
  public:
   Replica() {
-    const std::string address = listener_.bind_any();
+    const std::string address = listener_.bind_any_port();
     port = std::stoi(address.substr(address.rfind(':') + 1));
-    listener_.let_in();
+    listener_.start_listening();
   }
   void begin() {
     attempt_ = listener_.accept_one();
@@ -124,9 +124,9 @@
 // A router with a admin endpoint; its ports as it says them.
 struct Serving {
   Serving(const std::string& config, const std::string& folder) : program(config, "text", folder) {
-    front = port_in(program.says("platform front on"));
-    admin_endpoint = port_in(program.says("admin endpoint on"));
-    REQUIRE(program.says("n1 serves on") != "");
+    front = port_in(program.wait_for_line("platform front on"));
+    admin_endpoint = port_in(program.wait_for_line("admin endpoint on"));
+    REQUIRE(program.wait_for_line("n1 serves on") != "");
   }
   static int port_in(const std::string& line) { return std::atoi(line.substr(line.rfind(':') + 1).c_str()); }
   Program program;
@@ -175,7 +175,7 @@
   });
   Serving second(place.config, place.tmp);
   CHECK(second.front == first.front);
-  CHECK(first.program.says("handed-over: a successor serves, 1 requests in flight") != "");
+  CHECK(first.program.wait_for_line("handed-over: a successor serves, 1 requests in flight") != "");
   CHECK(call(first.admin_endpoint, "HEALTH") == "-ERR handed-over\n");
   CHECK(call(second.admin_endpoint, "HEALTH") == "+OK serving\n");
   early.send("GET /health/ready HTTP/1.1\r\n\r\n");
@@ -183,12 +183,12 @@
   CHECK(answer.starts_with("HTTP/1.1 200"));
   CHECK(answer.find("Connection: close") != std::string::npos);
   Serving third(place.config, place.tmp);
-  CHECK(second.program.says("handed-over: a successor serves") != "");
-  CHECK(second.program.status() == 0);  // it has nothing to finish
+  CHECK(second.program.wait_for_line("handed-over: a successor serves") != "");
+  CHECK(second.program.wait_for_exit() == 0);  // it has nothing to finish
   first.program.signal(SIGTERM);
   replica.finish();
   CHECK(stream.until("0\r\n\r\n").find("[DONE]") != std::string::npos);
-  CHECK(first.program.status() == 0);
+  CHECK(first.program.wait_for_exit() == 0);
   over = true;
   crowd.join();
   CHECK(received == sent);
@@ -206,14 +206,14 @@
   const std::string request = ask();
   half.send(request.substr(0, 60));
   Serving second(place.config, place.tmp);
-  CHECK(first.program.says("handed-over: a successor serves") != "");
+  CHECK(first.program.wait_for_line("handed-over: a successor serves") != "");
   half.send(request.substr(60));
   replica.begin();
   replica.finish();
   const std::string answer = half.until("0\r\n\r\n");
   CHECK(answer.find("[DONE]") != std::string::npos);
   CHECK(answer.find("Connection: close") != std::string::npos);
-  CHECK(first.program.status() == 0);
+  CHECK(first.program.wait_for_exit() == 0);
   CHECK(ready(second.front).starts_with("HTTP/1.1 200"));
 }
 
@@ -227,7 +227,7 @@
   discovery.tell(R"({"rev":2,"all":true,"targets":[{"uid":"s-2","endpoint":"127.0.0.1:)" +
                  std::to_string(new_replica.port) + R"(","state":"SERVING"}]})");
   Serving second(place.config, place.tmp);
-  CHECK(first.program.says("handed-over: a successor serves") != "");
+  CHECK(first.program.wait_for_line("handed-over: a successor serves") != "");
   Wire client(second.front);
   client.send(ask());
   new_replica.begin();
@@ -241,20 +241,20 @@
   Place place(replica.port);
   Serving first(place.config, place.tmp);
   { Wire dies(place.path); }
-  CHECK(first.program.says("the successor disconnected before it was serving") != "");
+  CHECK(first.program.wait_for_line("the successor disconnected before it was serving") != "");
   Wire stream(first.front);  // keeps the old process in work
   stream.send(ask());
   replica.begin();
   CHECK(stream.until("begins") != "");
   {
     Serving second(place.config, place.tmp);
-    CHECK(first.program.says("handed-over: a successor serves") != "");
+    CHECK(first.program.wait_for_line("handed-over: a successor serves") != "");
   }
-  CHECK(first.program.says("serving: the successor is gone") != "");
+  CHECK(first.program.wait_for_line("serving: the successor is gone") != "");
   CHECK(ready(first.front).starts_with("HTTP/1.1 200"));
   CHECK(call(first.admin_endpoint, "LEAVE") == "+OK drained\n");
   Serving third(place.config, place.tmp);  // a drain holds for the router, whichever process serves it
-  CHECK(first.program.says("handed-over: a successor serves") != "");
+  CHECK(first.program.wait_for_line("handed-over: a successor serves") != "");
   CHECK(ready(third.front).starts_with("HTTP/1.1 503"));
   CHECK(call(third.admin_endpoint, "JOIN") == "+OK serving\n");
 }
@@ -264,14 +264,14 @@
   {
     Serving killed(place.config, place.tmp);
     killed.program.signal(SIGKILL);
-    killed.program.status();
+    killed.program.wait_for_exit();
   }
   REQUIRE(std::filesystem::exists(place.path));
   {
     Serving again(place.config, place.tmp);
     CHECK(ready(again.front).starts_with("HTTP/1.1 200"));
     again.program.signal(SIGKILL);
-    again.program.status();
+    again.program.wait_for_exit();
   }
   for (const std::string& said :
        {std::string(), std::string("another version of it"), std::string("1HWT\xff\xff\xff\xff"),
@@ -290,23 +290,23 @@
       close(come);
     });
     Program program(place.config, "text", place.tmp);
-    CHECK(program.says("handover from the process at ").find(" failed: ") != std::string::npos);
-    CHECK(program.says("n1 serves on") != "");
+    CHECK(program.wait_for_line("handover from the process at ").find(" failed: ") != std::string::npos);
+    CHECK(program.wait_for_line("n1 serves on") != "");
     host.join();
     close(listener);
   }
   Program elsewhere(place.config, "text", place.scratch.path("no such folder"));
-  CHECK(elsewhere.says("no successor can come") != "");
-  CHECK(elsewhere.says("n1 serves on") != "");
+  CHECK(elsewhere.wait_for_line("no successor can come") != "");
+  CHECK(elsewhere.wait_for_line("n1 serves on") != "");
 }
 
 TEST_CASE("SIGTERM before the successor serves is a graceful shutdown") {
   Place place;
   Serving first(place.config, place.tmp);
   Wire waits(place.path);
-  CHECK(first.program.says("successor connected") != "");
+  CHECK(first.program.wait_for_line("successor connected") != "");
   first.program.signal(SIGTERM);
-  CHECK(first.program.says("winding-down: shutdown requested") != "");
+  CHECK(first.program.wait_for_line("winding-down: shutdown requested") != "");
   CHECK(ready(first.front).starts_with("HTTP/1.1 503"));
-  CHECK(first.program.status() == 0);
+  CHECK(first.program.wait_for_exit() == 0);
 }
--- a/tests/net/outage.cpp
+++ b/tests/net/outage.cpp
@@ -71,7 +71,7 @@
 }
 
 std::string address_of(Program& program) {
-  std::string said = program.says(" serves on ");
+  std::string said = program.wait_for_line(" serves on ");
   REQUIRE(said.find("127.0.0.1:") != std::string::npos);
   said = said.substr(said.find("127.0.0.1:"));
   return said.substr(0, said.find(','));
@@ -95,10 +95,10 @@
   Socket first;
   Socket second;
   Socket discovery;
-  const std::string first_at = first.bind_any(), second_at = second.bind_any(),
-                    discovery_at = discovery.bind_any();
-  first.let_in();
-  second.let_in();
+  const std::string first_at = first.bind_any_port(), second_at = second.bind_any_port(),
+                    discovery_at = discovery.bind_any_port();
+  first.start_listening();
+  second.start_listening();
   const std::string path = write_config("n1", "127.0.0.1:0", discovery_at, first_at, limit);
   {
     Program program(path);
@@ -107,7 +107,7 @@
     served(address, first, "r1");
     // Discovery is back: the router has a descriptor for it, and what it tells holds at once.
     auto more = crowd(address, limit);
-    discovery.let_in();
+    discovery.start_listening();
     Socket call = discovery.accept_one();
     CHECK(call.read_until("\r\n\r\n").find("GET /registry/instances?after=1&wait_ms=0 ") !=
           std::string::npos);
@@ -120,7 +120,7 @@
     more.clear();
     idle.clear();
     program.signal(SIGTERM);
-    CHECK(program.status() == 0);
+    CHECK(program.wait_for_exit() == 0);
   }
   std::remove(path.c_str());
 }
@@ -130,8 +130,8 @@
   constexpr int kCount = 8;
   Socket replica;
   Socket discovery;
-  const std::string replica_at = replica.bind_any(), discovery_at = discovery.bind_any();
-  replica.let_in();
+  const std::string replica_at = replica.bind_any_port(), discovery_at = discovery.bind_any_port();
+  replica.start_listening();
   std::vector<std::string> paths, addresses(kCount, "127.0.0.1:0");
   for (const char* life : {"first", "killed at once and started again"}) {
     INFO(life);
@@ -158,13 +158,13 @@
   Socket discovery;
   Socket own(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   Socket peer(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  const std::string first_at = first.bind_any();
-  const std::string second_at = second.bind_any();
-  const std::string discovery_at = discovery.bind_any();
-  const std::string own_at = own.bind_any();
-  const std::string peer_at = peer.bind_any();
+  const std::string first_at = first.bind_any_port();
+  const std::string second_at = second.bind_any_port();
+  const std::string discovery_at = discovery.bind_any_port();
+  const std::string own_at = own.bind_any_port();
+  const std::string peer_at = peer.bind_any_port();
   { const Socket closed_here = std::move(own); }
-  second.let_in();  // nobody listens at the first: an attempt there fails, and the counters say so
+  second.start_listening();  // nobody listens at the first: an attempt there fails, and the counters say so
   const std::string others =
       "," + entry("s-02", second_at, "SERVING") + "," + entry("s-03", second_at, "SERVING");
   const std::string path =
@@ -179,7 +179,7 @@
     peer.send_all(std::string("\x44\x01\x01\0\0\0\0\0\0\0", 10));
     for (int i = 0; i < 12; ++i) served(address, second, "r" + std::to_string(i));
     program.signal(SIGUSR1);
-    const std::string counters = program.says("counters");
+    const std::string counters = program.wait_for_line("counters");
     INFO(counters);
     CHECK(counters.find("attempts=12 ") != std::string::npos);
     CHECK(counters.find("attempt_connect_failed") == std::string::npos);
--- a/tests/net/process.cpp
+++ b/tests/net/process.cpp
@@ -25,19 +25,19 @@
   write_config(path, "127.0.0.1:1");
   {
     Program program(path);
-    CHECK(program.says("n1 serves on 127.0.0.1:") != "");
+    CHECK(program.wait_for_line("n1 serves on 127.0.0.1:") != "");
     write_config(path, "no address at all");
     program.signal(SIGHUP);
-    CHECK(program.says("configuration rejected: ").find("no address at all") != std::string::npos);
+    CHECK(program.wait_for_line("configuration rejected: ").find("no address at all") != std::string::npos);
     write_config(path, "127.0.0.1:2");
     program.signal(SIGHUP);
-    CHECK(program.says("discovery address changed from 127.0.0.1:1 to 127.0.0.1:2") != "");
-    CHECK(program.says("configuration reloaded") != "");
+    CHECK(program.wait_for_line("discovery address changed from 127.0.0.1:1 to 127.0.0.1:2") != "");
+    CHECK(program.wait_for_line("configuration reloaded") != "");
     program.signal(SIGTERM);
-    CHECK(program.says("shutting down") != "");
+    CHECK(program.wait_for_line("shutting down") != "");
     program.signal(SIGHUP);
-    CHECK(program.says("configuration reloaded") != "");
-    CHECK(program.status() == 0);
+    CHECK(program.wait_for_line("configuration reloaded") != "");
+    CHECK(program.wait_for_exit() == 0);
   }
   std::remove(path.c_str());
 }
@@ -48,19 +48,19 @@
   write_config(path, "127.0.0.1:1");
   {
     Program program(path, "json");
-    const auto start = nlohmann::json::parse(program.says("serves on"));
+    const auto start = nlohmann::json::parse(program.wait_for_line("serves on"));
     CHECK(start.at("level") == "info");
     CHECK(start.at("part") == "main");
     CHECK(start.at("message").get<std::string>().starts_with("n1 serves on 127.0.0.1:"));
     CHECK(start.at("time").get<std::string>().size() == std::string("2026-12-01T00:00:00.000Z").size());
     write_config(path, "no \\\"address\\\" at all");
     program.signal(SIGHUP);
-    const auto rejected = nlohmann::json::parse(program.says("configuration rejected"));
+    const auto rejected = nlohmann::json::parse(program.wait_for_line("configuration rejected"));
     CHECK(rejected.at("level") == "error");
     CHECK(rejected.at("message").get<std::string>().find("no \"address\" at all") != std::string::npos);
     program.signal(SIGTERM);
-    CHECK(nlohmann::json::parse(program.says("shutting down")).at("part") == "main");
-    CHECK(program.status() == 0);
+    CHECK(nlohmann::json::parse(program.wait_for_line("shutting down")).at("part") == "main");
+    CHECK(program.wait_for_exit() == 0);
   }
   std::remove(path.c_str());
 }
--- a/tests/net/program.hpp
+++ b/tests/net/program.hpp
@@ -47,7 +47,7 @@
   }
 
   // The first line from here on with this text in it; empty if the program ends without it.
-  std::string says(const std::string& text) {
+  std::string wait_for_line(const std::string& text) {
     std::array<char, 4096> line;
     while (fgets(line.data(), line.size(), said_) != nullptr) {
       if (std::string(line.data()).find(text) != std::string::npos) return line.data();
@@ -56,14 +56,14 @@
   }
   // The address at which it serves clients, once it says so.
   std::string serving_address() {
-    const std::string line = says(" serves on ");
+    const std::string line = wait_for_line(" serves on ");
     const auto begin = line.find("127.0.0.1:");
     REQUIRE(begin != std::string::npos);
     return line.substr(begin, line.find(',') - begin);
   }
   void signal(int number) { kill(pid_, number); }
   pid_t pid() const { return pid_; }
-  int status() {
+  int wait_for_exit() {
     int status = -1;
     waitpid(std::exchange(pid_, 0), &status, 0);
     return status;
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -51,8 +51,6 @@
   }
 };
 
-// ---------------------------------------------------------------- set-up
-
 ScenarioRunner::ScenarioRunner(const Setup& setup) {
   const auto saved = net::descriptors();
   net::descriptors().limit = std::max<std::size_t>(saved.limit, 256);
@@ -95,9 +93,9 @@
   config_.names.kinds = {"m"};
   config_.names.report_fields = {"errors_per_s", "backlog"};
   config_.timeouts.keepalive = setup.keepalive;
-  config_.limits.max_client_connections = setup.most_clients;
+  config_.limits.max_client_connections = setup.max_clients;
   config_.limits.memory_mb = setup.memory_mb;
-  config_.timeouts.stream_silence = setup.silence_limit;
+  config_.timeouts.stream_silence = setup.silence_timeout;
 }
 
 void ScenarioRunner::read_operator_text(const std::string& text) {
@@ -158,8 +156,6 @@
   }
 }
 
-// ---------------------------------------------------------------- actors
-
 bool ScenarioRunner::wait_for(const std::function<bool()>& done) {
   bool late = false;
   net::Timer timeout;
@@ -222,8 +218,6 @@
 
 std::string ScenarioRunner::received(const std::string& actor) { return connection(actor).received; }
 
-// ---------------------------------------------------------------- steps
-
 // The router reads each fragment before the next one is sent.
 void ScenarioRunner::send(const std::string& actor, const std::string& bytes) {
   connection(actor);  // a client connects even if there is nothing to send
--- a/tests/net/scenario_runner.hpp
+++ b/tests/net/scenario_runner.hpp
@@ -40,13 +40,13 @@
   int replicas = 1;
   std::string replica_dialect = "platform";
   Time keepalive = seconds(5);
-  Time silence_limit = seconds(3);
+  Time silence_timeout = seconds(3);
   std::string known_state = "SERVING";
   std::string ops = {};            // address of the admin endpoint
   std::string settings = {};       // further settings, as path=value lines
   std::size_t fragment_bytes = 0;  // actors send their texts in fragments of this size; 0: whole
   std::string flow_collector = {};
-  std::size_t most_clients = 0;
+  std::size_t max_clients = 0;
   std::size_t memory_mb = 192;
   std::vector<std::string> replica_models = {};  // in discovery's list; "m" for further replicas
   std::string operator_text = {};                // an operator's file with models and budgets
--- a/tests/net/simulated_fleet.cpp
+++ b/tests/net/simulated_fleet.cpp
@@ -37,8 +37,6 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- servers
-
 struct HttpServer::Connection {
   std::unique_ptr<net::Stream> stream;
   http::MessageReader reader{http::MessageReader::Kind::request};
@@ -69,8 +67,6 @@
 
 HttpServer::~HttpServer() = default;
 
-// ---------------------------------------------------------------- replicas
-
 CachingReplica::CachingReplica(std::string uid, double memory_tokens, double tokens_per_s)
     : uid_(std::move(uid)),
       memory_tokens_(memory_tokens),
@@ -139,8 +135,6 @@
   });
 }
 
-// ---------------------------------------------------------------- discovery
-
 std::string SimulatedFleet::list_json() const {
   std::string targets;
   for (const auto& replica : replicas_) targets += (targets.empty() ? "" : ",") + replica->entry();
@@ -156,8 +150,6 @@
   }
 }
 
-// ---------------------------------------------------------------- clients
-
 struct SimulatedFleet::Client {
   std::unique_ptr<net::Stream> stream;
   std::optional<http::MessageReader> reader;
@@ -196,8 +188,6 @@
       ",max_out=100\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-// ---------------------------------------------------------------- the installation
-
 SimulatedFleet::SimulatedFleet(const Options& options) : options_(options) {
   net::descriptors().limit = std::max<std::size_t>(net::descriptors().limit, 512);
   discovery_ = std::make_unique<HttpServer>([this](HttpServer::Connection& connection) {
--- a/tests/net/socket.hpp
+++ b/tests/net/socket.hpp
@@ -14,7 +14,7 @@
 
 namespace thornwick::testing {
 
-constexpr int kPatienceMs = 20'000;  // far above any wait in a test: only a hang reaches it
+constexpr int kTimeoutMs = 20'000;  // far above any wait in a test: only a hang reaches it
 
 class Socket {
  public:
@@ -30,7 +30,7 @@
   int fd() const { return fd_; }
 
   // At a port of the system's choice; nobody is let in before listen().
-  std::string bind_any() {
+  std::string bind_any_port() {
     sockaddr_in at{};
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -39,7 +39,7 @@
     REQUIRE(getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) == 0);
     return "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
   }
-  void let_in() { REQUIRE(listen(fd_, 64) == 0); }
+  void start_listening() { REQUIRE(listen(fd_, 64) == 0); }
   Socket accept_one() {
     REQUIRE(ready());
     return Socket(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
@@ -64,7 +64,7 @@
  private:
   bool ready() const {
     pollfd asked{fd_, POLLIN, 0};
-    return poll(&asked, 1, kPatienceMs) == 1;
+    return poll(&asked, 1, kTimeoutMs) == 1;
   }
   int fd_;
 };
--- a/tests/wording/answers.cpp
+++ b/tests/wording/answers.cpp
@@ -150,7 +150,7 @@
   if (name == "budget") setup.operator_text = kOperatorText;
   if (name == "small-context") setup.operator_text = replaced(kOperatorText, "1000", "80");
   if (name == "no-replica") setup.replicas = 0;
-  if (name == "silent-replica") setup.silence_limit = 200'000;
+  if (name == "silent-replica") setup.silence_timeout = 200'000;
   return setup;
 }
 
--- a/tests/wording/counters.cpp
+++ b/tests/wording/counters.cpp
@@ -155,10 +155,10 @@
   const Scratch scratch;
   write_bytes(scratch.path("c"), served_config());
   Program program(scratch.path("c"), format.c_str(), scratch.folder());
-  const std::string serves = program.says(" serves on ");
+  const std::string serves = program.wait_for_line(" serves on ");
   REQUIRE_FALSE(serves.empty());
   program.signal(SIGUSR1);
-  const std::string line = program.says("taken=");
+  const std::string line = program.wait_for_line("taken=");
   const auto begin = line.find("taken="),
              level = line.find("\"level\"");  // ahead of the level stands the time of day
   REQUIRE(begin != std::string::npos);
@@ -166,7 +166,7 @@
   check_expected("counter_line_" + format + ".txt",
                  line.substr(shown, begin - shown) + "\n" + names_in(line.substr(begin)));
   program.signal(SIGTERM);
-  CHECK(program.status() == 0);
+  CHECK(program.wait_for_exit() == 0);
 }
 
 TEST_CASE("trace lines keep their fields, and scripts/fleet_counts reads them") {
