--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -25,21 +25,20 @@
 struct DiscoveryCounters {
   std::uint64_t calls = 0;
   std::uint64_t failures = 0;
-  std::uint64_t changes = 0;  // entries applied
-  std::uint64_t old = 0;      // lists of an older revision than the one in use, not applied
-  std::uint64_t bad =
-      0;  // entries without a uid or a usable address, or with a uid that the list has already had
+  std::uint64_t entries_applied = 0;  // entries of lists from discovery
+  std::uint64_t stale_lists = 0;      // lists of an older revision than the one in use, not applied
+  std::uint64_t invalid_entries = 0;  // no uid, a uid that the list has already had, or no usable address
 };
 
 class DiscoveryClient {
  public:
   struct Options {
     std::string address;
-    core::DiscoverySchedule::Options calls;  // when discovery is called
-    std::uint64_t seed = 0;                  // of the schedule's jitter
+    core::DiscoverySchedule::Options schedule;  // when discovery is called
+    std::uint64_t seed = 0;                     // of the schedule's jitter
     // A list that is older than the one in use is applied only after discovery has sent nothing newer for
     // this time.
-    Time max_old_list_time = 0;
+    Time stale_list_delay = 0;
   };
   struct Callbacks {
     std::function<void(simdjson::dom::element list)> list;  // an object, whose revision is noted already
--- a/src/net/downstream_server.hpp
+++ b/src/net/downstream_server.hpp
@@ -19,12 +19,13 @@
 
 // Events of the connections of clients since the start.
 struct DownstreamCounters {
-  std::uint64_t accepted = 0;  // connections
-  std::uint64_t bad = 0;       // requests that cannot be read or used
-  std::uint64_t health = 0;    // health checks
-  std::uint64_t crowded = 0;   // requests rejected for overload before the request manager had them
-  std::uint64_t silent = 0;    // connections closed that sent no request in time
-  std::uint64_t evicted = 0;   // connections without a request closed to make room
+  std::uint64_t accepted = 0;          // connections
+  std::uint64_t invalid_requests = 0;  // requests that cannot be read or used
+  std::uint64_t health_checks = 0;     // answered, of load balancers
+  // Requests rejected for overload before the request manager had them.
+  std::uint64_t overload_rejections = 0;
+  std::uint64_t timed_out = 0;  // connections closed that sent no request in time
+  std::uint64_t evicted = 0;    // connections without a request closed to make room
 };
 
 // State that all servers of a router share.
@@ -44,28 +45,28 @@
     // Unsent bytes to one client, above which reading from its replica pauses.
     std::size_t congestion_bytes = 256UL * 1024;
     Time overload_retry_after = 0;                   // advised with a rejection for overload; 0: no advice
-    Owned<GSocket> listening = {};                   // a listening socket; null: one is opened at the address
+    Owned<GSocket> listening_socket = {};            // a listening socket; null: one is opened at the address
     AddressUse address_use = AddressUse::exclusive;  // shared: a successor may listen at the same address
     const lifecycle::Lifecycle* router_lifecycle = nullptr;  // not owned
     // A request was rejected for overload before the request manager had it. The argument is its class, as
     // the client names it.
-    std::function<void(std::string_view)> rejected = [](std::string_view) {};
+    std::function<void(std::string_view)> on_overload_rejection = [](std::string_view) {};
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
   };
 
   // Listens from then on. `names`, `core` and `shared_admission` are not owned and have to outlive the
   // server. Throws NetError if it cannot listen.
-  DownstreamServer(Options options, const fronts::Names& names, core::RequestManager& core,
+  DownstreamServer(Options options, const fronts::RequestNames& names, core::RequestManager& core,
                    SharedAdmissionState& shared_admission);
   ~DownstreamServer();
 
   // To be called after the router's lifecycle has entered another phase: accepts, keeps and closes
   // connections as the phase wants.
-  void phase_changed();
+  void on_phase_changed();
   std::string address() const { return listener_->address(); }
   GSocket* socket() const { return listener_->socket(); }
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   const DownstreamCounters& counters() const { return counters_; }
 
  private:
@@ -85,7 +86,7 @@
   void close_unused();
 
   Options options_;
-  const fronts::Names& names_;
+  const fronts::RequestNames& names_;
   core::RequestManager& core_;
   DownstreamCounters counters_;
   SharedAdmissionState& shared_admission_;
--- a/src/net/links.hpp
+++ b/src/net/links.hpp
@@ -21,15 +21,15 @@
   std::uint64_t dialed = 0;
   std::uint64_t accepted = 0;  // connections from other routers
   std::uint64_t up = 0;
-  std::uint64_t lost = 0;      // links that were up and ended
-  std::uint64_t rejected = 0;  // greetings of another version, group or number
-  std::uint64_t spoilt = 0;    // links that ended for a frame that cannot be read
-  std::uint64_t silent = 0;    // links that ended because no byte came in time
+  std::uint64_t lost = 0;       // links that were up and ended
+  std::uint64_t rejected = 0;   // greetings of another version, group or number
+  std::uint64_t malformed = 0;  // links that ended for a frame that cannot be read
+  std::uint64_t timed_out = 0;  // links that ended because no byte came in time
   std::uint64_t frames_out = 0;
   std::uint64_t frames_in = 0;
   std::uint64_t bytes_out = 0;
   std::uint64_t bytes_in = 0;
-  std::uint64_t held_back = 0;  // frames that send() rejected because the queue was full
+  std::uint64_t queue_full = 0;  // frames that send() rejected because the queue was full
 };
 
 // A link as its users see it.
@@ -37,7 +37,7 @@
 
 // All links of this router. Each link sends heartbeats while it carries nothing else; a lost one is dialed
 // again with backoff. Everything runs on the loop's thread, and the callbacks are called from the loop.
-class Links {
+class PeerLinks {
  public:
   struct Options {
     std::string listen;                  // empty: no connection is accepted
@@ -56,14 +56,14 @@
   };
 
   // Throws NetError if it cannot listen.
-  Links(Options options, Callbacks callbacks);
-  Links(const Links&) = delete;
-  Links& operator=(const Links&) = delete;
-  ~Links();
+  PeerLinks(Options options, Callbacks callbacks);
+  PeerLinks(const PeerLinks&) = delete;
+  PeerLinks& operator=(const PeerLinks&) = delete;
+  ~PeerLinks();
 
   // Dials this member, now and whenever the link is lost. The member may keep a link with this router whether
   // or not this is called.
-  void keep_link(std::size_t member);
+  void maintain_link(std::size_t member);
   bool up(std::size_t member) const;
   // Sends a frame on a channel from 1 to 255. Returns false, and sends nothing, if there is no link, its
   // queue is full, or the frame is too long.
--- a/src/net/message_fragmenter.hpp
+++ b/src/net/message_fragmenter.hpp
@@ -17,8 +17,8 @@
 namespace thornwick::net {
 
 struct FragmentCounters {
-  std::uint64_t lost = 0;    // messages not sent because there was no link or no room
-  std::uint64_t spoilt = 0;  // fragments that cannot be reassembled
+  std::uint64_t lost = 0;       // messages not sent because there was no link or no room
+  std::uint64_t malformed = 0;  // fragments that cannot be reassembled
 };
 
 class MessageFragmenter {
@@ -32,7 +32,7 @@
   // attach() has to be called before anything is sent.
   explicit MessageFragmenter(std::uint8_t channel) : channel_(channel) {}
   // The links are not owned and have to outlive the fragmenter.
-  void attach(Links& links) { links_ = &links; }
+  void attach(PeerLinks& links) { links_ = &links; }
 
   // Returns false if the message is lost because there is no link or no room.
   bool send(std::size_t member, std::string_view bytes);
@@ -42,7 +42,7 @@
   void on_link_lost(std::size_t member);
   // To be called for each frame of the channel. Calls `on_message` if the frame completes a message.
   void on_frame(std::size_t member, std::string_view bytes, const OnMessage& on_message);
-  const FragmentCounters& metrics() const { return metrics_; }
+  const FragmentCounters& counters() const { return counters_; }
 
  private:
   struct Queue {
@@ -51,10 +51,10 @@
   };
 
   std::uint8_t channel_;
-  Links* links_ = nullptr;
+  PeerLinks* links_ = nullptr;
   std::map<std::size_t, Queue> queues_;         // by member
   std::map<std::size_t, std::string> partial_;  // by member: the fragments of a message that have come so far
-  FragmentCounters metrics_;
+  FragmentCounters counters_;
 };
 
 }  // namespace thornwick::net
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -13,8 +13,8 @@
   for (const auto& name : names_) addresses_.push_back(parse_address(name));
   broadcast_ = parse_address(options.broadcast);
   try {
-    socket_ = std::make_unique<Datagrams>(
-        options.listen, std::move(options.bound),
+    socket_ = std::make_unique<DatagramSocket>(
+        options.listen, std::move(options.bound_socket),
         [this](GSocketAddress* from, auto bytes) { on_datagram(from, bytes); }, AddressUse::shared);
   } catch (const NetError& problem) {
     throw NetError(std::string("peers: ") + problem.what());
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -83,7 +83,7 @@
   timeout_.stop();  // the idle timeout would close the connection during the attempt
   reader_ = MessageReader(MessageReader::Kind::answer);
   frames_ = {};
-  events_ = owner_.core_ == nullptr ? nullptr : dialect_.reader();
+  events_ = owner_.core_ == nullptr ? nullptr : dialect_.event_reader();
   body_.clear();
   report_.clear();
   written_ = false;
@@ -123,10 +123,10 @@
     return finish(Outcome::not_sent, Reuse::keep, "its time was over when the connection came up");
   // A draining replica gets no new attempt: the endpoint list may have changed while the connection came up.
   if (!owner_.endpoints_.may_send(replica_)) {
-    ++owner_.counters_.drained_meanwhile;
+    ++owner_.counters_.replica_draining;
     return finish(Outcome::not_sent, Reuse::keep, "the replica drains since the connection was begun");
   }
-  const auto& call = static_cast<const fronts::Call&>(*payload_);
+  const auto& call = static_cast<const fronts::ClientRequest&>(*payload_);
   try {
     const bool named = model_ != 0 && owner_.options_.model_name;
     auto bytes = fronts::write_attempt(call, dialect_, deadline_ - now_us(),
@@ -145,7 +145,7 @@
 
 void UpstreamPool::Connection::on_drained() {
   if (!written_ || stream_.broken() || stream_.unsent() > 0) return;
-  if (!std::exchange(sent_, true)) owner_.options_.sent();
+  if (!std::exchange(sent_, true)) owner_.options_.on_attempt_sent();
 }
 
 // ---------------------------------------------------------------- the answer
@@ -249,7 +249,7 @@
 // The answer violates the protocol, but the replica may have run the request: the attempt has failed as if
 // its connection had broken. The connection cannot be reused.
 void UpstreamPool::Connection::on_broken_answer(std::string_view reason) {
-  ++owner_.counters_.spoilt;
+  ++owner_.counters_.malformed_answers;
   describe_attempt(logging::warning("upstream"))
       << "invalid response from the replica: " << logging::field("reason", reason);
   finish(Outcome::reset, Reuse::close, reason);
@@ -269,7 +269,7 @@
 void UpstreamPool::Connection::watch_silence() {
   if (reading_paused_) return timeout_.stop();  // the client is slow, not the replica
   timeout_.start(owner_.options_.silence_timeout, [this] {
-    ++owner_.counters_.silent;
+    ++owner_.counters_.stalled_streams;
     finish(Outcome::reset, Reuse::close, "the answer fell silent");
   });
 }
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -20,12 +20,12 @@
 struct UpstreamCounters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  std::uint64_t drained_meanwhile = 0;  // attempts not sent because the replica was draining once connected
-  std::uint64_t no_descriptor = 0;      // connections not opened because no descriptor was left
-  std::uint64_t silent = 0;             // answers that stopped in mid-stream
+  std::uint64_t replica_draining = 0;  // attempts not sent because the replica was draining once connected
+  std::uint64_t no_descriptor = 0;     // connections not opened because no descriptor was left
+  std::uint64_t stalled_streams = 0;   // answers that stopped in mid-stream
   std::uint64_t probes = 0;
-  std::uint64_t spoilt = 0;   // answers that violate the protocol
-  std::uint64_t unclean = 0;  // idle connections closed because of unexpected bytes
+  std::uint64_t malformed_answers = 0;  // answers that violate the protocol
+  std::uint64_t unexpected_bytes = 0;   // idle connections closed because of unexpected bytes
 };
 
 // A connection carries one attempt at a time. Between attempts it is kept for reuse while its replica is
@@ -43,7 +43,7 @@
     std::map<std::string, const fronts::Dialect*> dialects_by_uid;
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
-    std::function<void()> sent = [] {};  // the last byte of an attempt was written
+    std::function<void()> on_attempt_sent = [] {};  // the last byte of an attempt was written
   };
 
   // The table is not owned.
@@ -64,7 +64,7 @@
   void resume_reading(core::AttemptId attempt) override;
   void probe(ReplicaId replica) override;
 
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   const UpstreamCounters& counters() const { return counters_; }
 
  private:
