--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -131,8 +131,8 @@
   ++owner_.counters_.rejected;
   const bool same_group = greeting.group == owner_.options_.group;
   logging::warning("peer_link") << "greeting rejected: version " << greeting.version
-                            << (same_group ? "" : ", another group") << ", from member " << greeting.from
-                            << " to member " << greeting.to;
+                                << (same_group ? "" : ", another group") << ", from member " << greeting.from
+                                << " to member " << greeting.to;
   owner_.on_ended(*this);
   return false;
 }
