--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -32,7 +32,7 @@
   affinity::Session session;
   session.prefix = i % 200 + 1;
   session.cached_size = 5000;
-  session.copies.entry_for(0) = {5000, static_cast<std::uint32_t>(i / 64), 1'000'000, 0, 0};
+  session.copies.copy_for(0) = {5000, static_cast<std::uint32_t>(i / 64), 1'000'000, 0, 0};
   return session;
 }
 
@@ -47,7 +47,7 @@
   {
     store::File file(options, persistence::state_tables());
     affinity::Replica replica;
-    replica.id = 1, replica.used = true;
+    replica.id = 1, replica.in_use = true;
     std::vector<store::Change> changes{
         {persistence::kReplicaTable, persistence::encode_key(0), persistence::encode(replica, "s-01")}};
     for (std::uint64_t i = 0; i < entries; ++i) {
--- a/src/affinity/copy_recorder.cpp
+++ b/src/affinity/copy_recorder.cpp
@@ -37,7 +37,7 @@
   if (!lookup_.has_valid_copy(session.copies, whole_seconds(now)))
     session.cached_size = whole_tokens(request.prompt_tokens + request.max_tokens);
   session.prefix = request.prefix;
-  session.copies.entry_for(slot) = make_copy(now, slot, request.prompt_tokens);
+  session.copies.copy_for(slot) = make_copy(now, slot, request.prompt_tokens);
   journal_.save(request.session, session);
 }
 
@@ -46,7 +46,7 @@
     static_cast<void>(journal_.erase(key, evicted));
   });
   const double tokens = std::min<double>(request.prefix_tokens, request.prompt_tokens);
-  prefix.copies.entry_for(slot) = make_copy(now, slot, tokens);
+  prefix.copies.copy_for(slot) = make_copy(now, slot, tokens);
   journal_.save(request.prefix, prefix);
 }
 
--- a/src/affinity/entry_table.hpp
+++ b/src/affinity/entry_table.hpp
@@ -51,7 +51,7 @@
   }
   // The entry to write a copy on this replica to: the replica's own, an unused one, or the least recently
   // used.
-  Copy& entry_for(Slot replica) {
+  Copy& copy_for(Slot replica) {
     Copy* oldest = items.data();
     for (Copy& copy : all()) {
       if (copy.replica == replica) return copy;
--- a/src/tools/store.cpp
+++ b/src/tools/store.cpp
@@ -55,7 +55,7 @@
   for (const auto& copy : copies.all()) {
     out += (out.size() > 1 ? ",{" : "{") + std::string("\"slot\":") + std::to_string(copy.replica) +
            ",\"epoch\":" + std::to_string(copy.epoch) + ",\"tokens\":" + std::to_string(copy.tokens) +
-           ",\"seen\":" + std::to_string(copy.seen) + "}";
+           ",\"seen\":" + std::to_string(copy.last_used_s) + "}";
   }
   return out + "]";
 }
@@ -116,10 +116,10 @@
   if (!record) return print_unreadable("box", key);
   const auto& replica = record->replica;
   std::cout << "{\"box\":" << json_text(record->uid) << ",\"slot\":" << record->slot
-            << ",\"epoch\":" << replica.epoch << ",\"listed\":" << (replica.used ? "true" : "false")
-            << ",\"boot_ms\":" << replica.started / milliseconds(1)
-            << ",\"sent_tokens\":" << static_cast<std::uint64_t>(replica.sent)
-            << ",\"tokens_per_s\":" << static_cast<std::uint64_t>(replica.pace) << "}\n";
+            << ",\"epoch\":" << replica.epoch << ",\"listed\":" << (replica.in_use ? "true" : "false")
+            << ",\"boot_ms\":" << replica.started_at / milliseconds(1)
+            << ",\"sent_tokens\":" << static_cast<std::uint64_t>(replica.sent_tokens)
+            << ",\"tokens_per_s\":" << static_cast<std::uint64_t>(replica.sent_tokens_per_s) << "}\n";
 }
 
 void print_prefix(std::string_view key, std::string_view bytes) {
--- a/tests/affinity/bounded_map.cpp
+++ b/tests/affinity/bounded_map.cpp
@@ -184,7 +184,7 @@
 TEST_CASE("a copy is written to the entry of its replica, an unused one, or the least recently used") {
   Copies<3> copies;
   const auto put = [&](Slot replica, std::uint32_t last_used_s) {
-    copies.entry_for(replica) = {
+    copies.copy_for(replica) = {
         .tokens = 100, .odometer = 0, .last_used_s = last_used_s, .replica = replica, .epoch = 1};
   };
   put(1, 10);
