--- a/src/budgets/account_backend.cpp
+++ b/src/budgets/account_backend.cpp
@@ -6,37 +6,35 @@
 namespace thornwick::budgets {
 namespace {
 
-// Microseconds: about as long as a journal that is behind takes to make a record durable.
+// Advised while the journal is behind: about the time that it then takes to make a record durable.
 constexpr Time kJournalRetryAfter = seconds(1);
 
-// Whether `remaining` holds a request back for longer than `right`; without a time to retry it is for ever.
+// Whether `left` delays a request longer than `right`. A denial without a time to retry never ends.
 bool outlasts(const Denial& left, const Denial& right) {
   if (!left.retry_after) return true;
   return right.retry_after && *left.retry_after > *right.retry_after;
 }
 
-void keep_longest(std::optional<Denial>& longest, Denial denial) {
+void keep_longer_denial(std::optional<Denial>& longest, Denial denial) {
   if (!longest || outlasts(denial, *longest)) longest = std::move(denial);
 }
 
 }  // namespace
 
-// ---------------------------------------------------------------- counted by this router
-
-Units LocalBackend::block_of(const Account& account) const {
+Units LocalBackend::block_units(const Account& account) const {
   const auto amount = static_cast<double>(account.limit.rule().amount);
   return std::max<Units>(1, static_cast<Units>(amount * options_.block_fraction));
 }
 
 void LocalBackend::advance_mark(Account& account, Time wall_time) {
   if (journal_ == nullptr) return;
-  account.mark.advance(account.key, account.limit, block_of(account), *journal_, wall_time);
+  account.mark.advance(account.key, account.limit, block_units(account), *journal_, wall_time);
 }
 
 LocalBackend::Coverage LocalBackend::coverage_of(Account& account, Units amount, Time wall_time) {
   if (account.limit.remaining(wall_time) < amount) return Coverage::over_limit;
   if (journal_ == nullptr) return Coverage::granted;
-  const bool covered = account.mark.covers(account.limit, amount, block_of(account), *journal_, wall_time);
+  const bool covered = account.mark.covers(account.limit, amount, block_units(account), *journal_, wall_time);
   return covered ? Coverage::granted : Coverage::awaiting_journal;
 }
 
@@ -58,7 +56,7 @@
     const Coverage coverage = coverage_of(*account, amount, wall_time);
     if (coverage == Coverage::granted) continue;
     if (account->hard) {
-      keep_longest(result.denial, denial_of(*account, amount, coverage, wall_time));
+      keep_longer_denial(result.denial, denial_of(*account, amount, coverage, wall_time));
       if (coverage == Coverage::awaiting_journal) advance_mark(*account, wall_time);
     } else if (coverage == Coverage::over_limit) {
       ++result.soft_overruns;
@@ -76,7 +74,7 @@
 void LocalBackend::settle(const Reservation& reservation, Units used, Time wall_time) {
   for (Account* account : *reservation.accounts) {
     if (used <= reservation.amount) {
-      account->limit.give_back(reservation.amount - used, wall_time, reservation.reserved_at);
+      account->limit.refund(reservation.amount - used, wall_time, reservation.reserved_at);
     } else {
       account->limit.take(used - reservation.amount, wall_time);
     }
@@ -96,8 +94,6 @@
   return journal_ == nullptr || journal_->append(account.key, account.limit.state(wall_time)) != 0;
 }
 
-// ---------------------------------------------------------------- counted by a quota store
-
 void StoreBackend::on_opened(Account& account) {
   account.store_account = store_.open(account.key, account.limit.rule());
 }
@@ -127,7 +123,7 @@
     } else if (!account->hard) {
       result.uncovered.push_back(account);
     } else {
-      keep_longest(result.denial, denial_of(*account, amount, wall_time));
+      keep_longer_denial(result.denial, denial_of(*account, amount, wall_time));
     }
   }
   if (result.denial) {
@@ -143,7 +139,8 @@
   return result;
 }
 
-// What the store did not reserve on a soft account is still charged there once it is used.
+// The quota store reserved nothing on an uncovered soft account; the used amount is charged there all the
+// same.
 void StoreBackend::settle(const Reservation& reservation, Units used, Time wall_time) {
   for (Account* account : *reservation.accounts) {
     const auto& uncovered = reservation.uncovered;
--- a/src/budgets/account_backend.hpp
+++ b/src/budgets/account_backend.hpp
@@ -1,4 +1,4 @@
-// Who counts what is used on accounts: this router by itself, or a quota store for several routers together.
+// Backends that count the usage of accounts: this router alone, or a quota store that several routers share.
 #pragma once
 
 #include <cstddef>
@@ -11,38 +11,39 @@
 namespace thornwick::budgets {
 
 struct ReserveResult {
-  std::optional<Denial> denial;   // then nothing is reserved on any account
-  double weight_factor = 1;       // of the request, for the soft limits that it is beyond
-  std::size_t soft_overruns = 0;  // to be counted, also with a denial
-  AccountSet uncovered;           // see Reservation
+  std::optional<Denial> denial;   // if set, nothing is reserved on any account
+  double weight_factor = 1;       // of the request; below 1 if it exceeds a soft limit
+  std::size_t soft_overruns = 0;  // exceeded soft limits; counted even with a denial
+  AccountSet uncovered;           // see Reservation::uncovered
 };
 
 struct AccountStatus {
   Units remaining = 0;
-  Time reset_after = 0;  // microseconds until all of the limit is there again
+  Time reset_after = 0;  // microseconds until the limit is full again
 };
 
-// Amounts are from 0 to kMaxUnits; times are wall-clock times in microseconds since 1970.
+// Amounts are in the range 0..kMaxUnits; times are wall-clock times in microseconds since 1970.
 class AccountBackend {
  public:
   virtual ~AccountBackend() = default;
-  // An account is used for the first time.
+  // Called when an account is used for the first time.
   virtual void on_opened(Account& account) = 0;
-  // An account's limit has got another rule.
+  // Called after an account's limit was given another rule.
   virtual void on_rule_changed(Account& account, Time wall_time) = 0;
-  // Reserves on all hard accounts or on none.
+  // Reserves the amount on all hard accounts or on none.
   [[nodiscard]] virtual ReserveResult reserve(const AccountSet& accounts, Units amount, Time wall_time) = 0;
-  // Charges `used` in place of what was reserved.
+  // Charges `used` instead of the reserved amount.
   virtual void settle(const Reservation& reservation, Units used, Time wall_time) = 0;
   virtual AccountStatus status(Account& account, Time wall_time) = 0;
-  // Records an account's exact state for a planned stop. False: the record was not taken.
+  // Records an account's exact state before a planned stop. Returns false if the record was not accepted.
   [[nodiscard]] virtual bool persist(Account& account, Time wall_time) = 0;
 };
 
-// Counts by itself, with marks in a journal if there is one (see durability_mark.hpp).
+// Counts usage in this process. With a journal, grants stay close to what is durable (see
+// durability_mark.hpp).
 class LocalBackend final : public AccountBackend {
  public:
-  // Neither is owned, both outlive it; the journal may be null.
+  // Owns neither argument; both must outlive the backend. The journal may be null.
   LocalBackend(const Options& options, Journal* journal) : options_(options), journal_(journal) {}
 
   void on_opened(Account&) override {}
@@ -57,16 +58,16 @@
   Coverage coverage_of(Account& account, Units amount, Time wall_time);
   Denial denial_of(Account& account, Units amount, Coverage coverage, Time wall_time);
   void advance_mark(Account& account, Time wall_time);
-  Units block_of(const Account& account) const;
+  Units block_units(const Account& account) const;
 
   const Options& options_;
   Journal* journal_;
 };
 
-// Hands everything to a quota store.
+// Delegates all counting to a quota store.
 class StoreBackend final : public AccountBackend {
  public:
-  // Neither is owned, both outlive it.
+  // Owns neither argument; both must outlive the backend.
   StoreBackend(const Options& options, QuotaStore& store) : options_(options), store_(store) {}
 
   void on_opened(Account& account) override;
@@ -74,7 +75,7 @@
   [[nodiscard]] ReserveResult reserve(const AccountSet& accounts, Units amount, Time wall_time) override;
   void settle(const Reservation& reservation, Units used, Time wall_time) override;
   AccountStatus status(Account& account, Time wall_time) override;
-  // The store records by itself.
+  // The quota store persists its own state.
   [[nodiscard]] bool persist(Account&, Time) override { return true; }
 
  private:
--- a/src/budgets/account_directory.cpp
+++ b/src/budgets/account_directory.cpp
@@ -6,10 +6,11 @@
 namespace thornwick::budgets {
 namespace {
 
-constexpr std::size_t kMaxOpenedAhead = 4096;          // combinations of names
-constexpr std::size_t kMaxCachedSubjectsRatio = 4;     // to the bound on accounts
-constexpr const char* kOverflowKeySuffix = "|others";  // of the account that a budget's other users share
-constexpr const char* kGoneKeyPrefix = "gone|";        // of accounts whose budget is gone
+constexpr std::size_t kMaxCombinationsOpenedAhead = 4096;  // of members, models and classes
+constexpr std::size_t kMaxCachedSubjectsPerAccount = 4;    // for each account that max_accounts allows
+constexpr const char* kSharedAccountKeySuffix =
+    "|others";  // of the account that subjects beyond max_accounts share
+constexpr const char* kRemovedBudgetKeyPrefix = "gone|";  // of accounts whose budget was removed
 
 std::uint64_t cache_key(const QuotaSubject& subject) {
   return std::uint64_t{subject.member} << 32 | std::uint64_t{subject.model} << 16 | subject.priority_class;
@@ -18,8 +19,8 @@
 }  // namespace
 
 std::shared_ptr<const AccountSet> AccountDirectory::accounts_of(const QuotaSubject& subject, Time wall_time) {
-  // Bounds the memory of the cache; the accounts stay.
-  if (by_subject_.size() > kMaxCachedSubjectsRatio * options_.max_accounts) by_subject_.clear();
+  // Bounds the memory of the cache. The accounts themselves stay.
+  if (by_subject_.size() > kMaxCachedSubjectsPerAccount * options_.max_accounts) by_subject_.clear();
   auto& cached = by_subject_[cache_key(subject)];
   if (cached) return cached;
   auto accounts = std::make_shared<AccountSet>();
@@ -32,10 +33,10 @@
 
 Account& AccountDirectory::account_of(const Budget& budget, const QuotaSubject& subject, Time wall_time) {
   std::string key = account_key(options_, budget, subject);
-  // Bounds the memory: beyond it the other users of a budget share one account.
+  // Bounds the memory: once max_accounts are open, the remaining subjects of a budget share one account.
   if (!by_key_.contains(key) && accounts_.size() >= options_.max_accounts) {
     ++overflows_;
-    key = budget.name + kOverflowKeySuffix;
+    key = budget.name + kSharedAccountKeySuffix;
   }
   const auto found = by_key_.find(key);
   return found != by_key_.end() ? *found->second : open(key, budget, wall_time);
@@ -44,9 +45,9 @@
 Account& AccountDirectory::open(const std::string& key, const Budget& budget, Time wall_time) {
   const LimitRule rule = router_share(options_, budget.rule);
   const auto restored = restored_.find(key);
-  const bool fresh = restored == restored_.end();
-  const Limit limit = fresh ? Limit(rule, wall_time) : Limit(rule, restored->second, wall_time);
-  if (!fresh) restored_.erase(restored);
+  const bool is_new = restored == restored_.end();
+  const Limit limit = is_new ? Limit(rule, wall_time) : Limit(rule, restored->second, wall_time);
+  if (!is_new) restored_.erase(restored);
   Account& account = accounts_.emplace_back(Account{key, budget.hard, limit, DurabilityMark(limit)});
   by_key_[key] = &account;
   backend_.on_opened(account);
@@ -57,13 +58,13 @@
   const std::size_t members = std::max<std::size_t>(1, options_.members.size());
   const std::size_t models = options_.models.size();
   const std::size_t classes = std::max<std::size_t>(1, options_.classes.size());
-  if (members * (models + 1) * classes > kMaxOpenedAhead) return;
+  if (members * (models + 1) * classes > kMaxCombinationsOpenedAhead) return;
   const std::size_t first_model = models == 0 ? 0 : 1;
   for (std::size_t member = 0; member < members; ++member) {
     for (std::size_t model = first_model; model <= models; ++model) {
-      for (std::size_t cls = 0; cls < classes; ++cls) {
+      for (std::size_t priority_class = 0; priority_class < classes; ++priority_class) {
         const QuotaSubject subject{static_cast<std::uint16_t>(member), static_cast<std::uint16_t>(model),
-                                   static_cast<std::uint16_t>(cls)};
+                                   static_cast<std::uint16_t>(priority_class)};
         accounts_of(subject, wall_time);
       }
     }
@@ -83,7 +84,7 @@
   for (Account& account : accounts_) {
     const Budget* budget = budget_of(account);
     if (budget == nullptr || budget->rule.kind != account.limit.rule().kind) {
-      account.key = kGoneKeyPrefix + account.key;
+      account.key = kRemovedBudgetKeyPrefix + account.key;
       continue;
     }
     account.hard = budget->hard;
--- a/src/budgets/account_directory.hpp
+++ b/src/budgets/account_directory.hpp
@@ -1,5 +1,5 @@
-// Which accounts exist and which of them a subject's requests count against. Opens accounts on first use,
-// with what was restored of them; their number is bounded.
+// The directory of accounts: maps a subject to the accounts that its requests count against. Opens an account
+// on first use, from its restored state if there is one; the number of accounts is bounded.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -20,24 +20,26 @@
 // Times are wall-clock times in microseconds since 1970.
 class AccountDirectory {
  public:
-  // Neither is owned, both outlive it.
+  // Owns neither argument; both must outlive the directory.
   AccountDirectory(const Options& options, AccountBackend& backend) : options_(options), backend_(backend) {}
 
   std::shared_ptr<const AccountSet> accounts_of(const QuotaSubject& subject, Time wall_time);
-  // Opens the accounts of all names in the options; none if there are too many combinations.
+  // Opens the accounts of all combinations of the options' names; opens none if there are too many
+  // combinations.
   void open_all(Time wall_time);
-  // The options have been replaced. Accounts of budgets that stay (same name and kind) go on under the new
-  // rule; the others stay for what is reserved on them, and no new request finds them.
+  // Called after the options were replaced. Accounts of budgets that remain (same name and kind of limit)
+  // continue under the new rule. The other accounts stay for their open reservations, and no new request
+  // finds them.
   void on_options_changed(Time wall_time);
-  // An account's state before the start of the router; used when the account is opened.
+  // Sets the state that an account had before this router started; it is used when the account is opened.
   void restore(const std::string& key, const LimitState& state);
 
-  // All accounts, also those of budgets that are gone.
+  // All accounts, including those of removed budgets.
   std::deque<Account>& all() { return accounts_; }
   // The accounts that requests can find, by key.
   std::map<std::string, Account*> active() const { return {by_key_.begin(), by_key_.end()}; }
   std::size_t size() const { return accounts_.size(); }
-  // How often no account of its own could be opened for a subject.
+  // Number of times that no separate account could be opened for a subject.
   std::uint64_t overflows() const { return overflows_; }
 
  private:
@@ -47,10 +49,11 @@
 
   const Options& options_;
   AccountBackend& backend_;
-  std::deque<Account> accounts_;  // addresses stay
+  std::deque<Account> accounts_;  // a deque, so that addresses do not change
   absl::flat_hash_map<std::string, Account*> by_key_;
-  absl::flat_hash_map<std::uint64_t, std::shared_ptr<const AccountSet>> by_subject_;  // a cache
-  absl::flat_hash_map<std::string, LimitState> restored_;  // of accounts that are not open yet
+  // Caches the results of accounts_of().
+  absl::flat_hash_map<std::uint64_t, std::shared_ptr<const AccountSet>> by_subject_;
+  absl::flat_hash_map<std::string, LimitState> restored_;  // states of accounts that are not open yet
   std::uint64_t overflows_ = 0;
 };
 
--- a/src/budgets/accounts.cpp
+++ b/src/budgets/accounts.cpp
@@ -6,9 +6,9 @@
 namespace thornwick::budgets {
 namespace {
 
-constexpr double kAboveAnyRatio = 2;  // of what is left to the limit
+constexpr double kAboveAnyFraction = 2;  // greater than any remaining fraction of a limit
 
-// Validates options before a member is made of them.
+// Returns the options after validating them, so that a member initializer can use them.
 const Options& validated(const Options& options) {
   validate(options);
   return options;
@@ -20,8 +20,8 @@
   return std::make_unique<LocalBackend>(options, journal);
 }
 
-double ratio_left(Units left, Units limit) {
-  return limit > 0 ? static_cast<double>(left) / static_cast<double>(limit) : 0;
+double remaining_fraction(Units remaining, Units limit) {
+  return limit > 0 ? static_cast<double>(remaining) / static_cast<double>(limit) : 0;
 }
 
 }  // namespace
@@ -76,26 +76,26 @@
 
 QuotaStatus Accounts::quota_status(const QuotaSubject& subject, Time wall_time) {
   QuotaStatus tightest;
-  double tightest_ratio = kAboveAnyRatio;
+  double lowest_fraction = kAboveAnyFraction;
   const auto accounts = directory_.accounts_of(subject, wall_time);
   for (Account* account : *accounts) {
     const AccountStatus status = backend_->status(*account, wall_time);
     const Units limit = account->limit.rule().amount;
-    const double ratio = ratio_left(status.remaining, limit);
-    if (!account->hard || ratio >= tightest_ratio) continue;
-    tightest_ratio = ratio;
+    const double fraction = remaining_fraction(status.remaining, limit);
+    if (!account->hard || fraction >= lowest_fraction) continue;
+    lowest_fraction = fraction;
     tightest = {true, account->key, limit, status.remaining, status.reset_after};
   }
   return tightest;
 }
 
 bool Accounts::persist_all(Time wall_time) {
-  bool all_taken = true;
+  bool all_accepted = true;
   for (Account& account : directory_.all()) {
-    const bool taken = backend_->persist(account, wall_time);
-    all_taken = all_taken && taken;
+    const bool accepted = backend_->persist(account, wall_time);
+    all_accepted = all_accepted && accepted;
   }
-  return all_taken;
+  return all_accepted;
 }
 
 std::vector<Accounts::Summary> Accounts::summaries(Time wall_time) {
--- a/src/budgets/accounts.hpp
+++ b/src/budgets/accounts.hpp
@@ -1,9 +1,10 @@
-// Who may use how much, and what each has used: accounts of members, models and classes, each with its limit.
-// An amount is reserved on all accounts of a request or on none, and settled later by what was used.
+// Quota accounts: each member, model or priority class has accounts with a limit and the amount used so far.
+// An amount is reserved on all accounts of a request or on none, and is settled later with the amount that
+// was used.
 //
-// Accounts (this file) has the reservations; AccountDirectory knows which accounts there are; an
-// AccountBackend counts, by itself (surviving a kill through a journal, see durability_mark.hpp) or at a
-// quota store that several routers share.
+// Accounts (this file) holds the reservations. AccountDirectory holds the accounts. An AccountBackend counts
+// usage: in this process (surviving a kill through a journal, see durability_mark.hpp), or in a quota store
+// that several routers share.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -28,61 +29,62 @@
 
 struct Grant {
   ReservationId id = 0;
-  double weight_factor = 1;      // of the request: less than 1 beyond a soft limit
-  std::optional<Denial> denial;  // then id is 0, and nothing was reserved
+  double weight_factor = 1;      // of the request; below 1 if it exceeds a soft limit
+  std::optional<Denial> denial;  // if set, `id` is 0 and nothing was reserved
 };
 
-// The tightest of a request's hard limits, for its client.
+// The hard limit of a request that has the lowest remaining fraction, as reported to its client.
 struct QuotaStatus {
-  bool any = false;  // false: no hard limit applies, and the rest means nothing
+  bool has_hard_limit = false;  // false: the other members are meaningless
   std::string account;
   Units limit = 0;
   Units remaining = 0;
-  Time reset_after = 0;  // microseconds until all of it is there again
+  Time reset_after = 0;  // microseconds until the limit is full again
 };
 
-// Requests, unless said otherwise.
+// Counts of requests, unless stated otherwise.
 struct Metrics {
   std::uint64_t granted = 0;
-  std::uint64_t denied = 0;                 // for want of quota
+  std::uint64_t denied = 0;                 // because a limit was exceeded
   std::uint64_t denied_awaiting_store = 0;  // see Denial::awaiting_store
   std::uint64_t over_soft_limit = 0;
-  std::uint64_t nonzero_charges = 0;    // above 0
-  Units reserved_units = 0;             // open now
-  Units charged_units = 0;              // ever
-  std::uint64_t on_shared_account = 0;  // that found no account of their own
+  std::uint64_t nonzero_charges = 0;    // settled reservations with a charge above 0
+  Units reserved_units = 0;             // in open reservations
+  Units charged_units = 0;              // since the start of the router
+  std::uint64_t on_shared_account = 0;  // for which no separate account could be opened
 };
 
-// All times are wall-clock times in microseconds since 1970; amounts are cut to 0..kMaxUnits.
+// All times are wall-clock times in microseconds since 1970. Amounts are clamped to 0..kMaxUnits.
 class Accounts {
  public:
-  // Throws std::invalid_argument where options make no sense. Neither the journal nor the quota store is
-  // owned, both outlive it, either may be null. With a quota store limits are several routers' together: it
-  // counts, and the journal is not used.
+  // Throws std::invalid_argument if the options are invalid. Owns neither the journal nor the quota store;
+  // each may be null, and otherwise must outlive this object. With a quota store the limits apply to several
+  // routers together: the store counts usage, and the journal is not used.
   explicit Accounts(const Options& options, Journal* journal = nullptr, QuotaStore* quota_store = nullptr);
   Accounts(const Accounts&) = delete;
   Accounts& operator=(const Accounts&) = delete;
 
-  // Opens the accounts of all that the options name, as far as they are few: so a quota store can lease quota
-  // before the first request comes.
+  // Opens the accounts of all names in the options unless there are too many combinations, so that a quota
+  // store can lease quota before the first request arrives.
   void open_all(Time wall_time) { directory_.open_all(wall_time); }
-  // New limits under way: what was used of those that stay (same name and kind) remains used. Reservations
-  // stay. Throws std::invalid_argument, and then changes nothing, where options make no sense.
+  // Replaces the limits. Usage of budgets that remain (same name and kind of limit) and open reservations are
+  // kept. Throws std::invalid_argument, and then changes nothing, if the options are invalid.
   void replace_options(const Options& options, Time wall_time);
 
   [[nodiscard]] Grant reserve(const QuotaSubject& subject, Units amount, Time wall_time);
-  // Ends a reservation: `used` is charged, whatever was reserved. An unknown id is ignored.
+  // Ends a reservation and charges `used`, whatever amount was reserved. Ignores an unknown id.
   void settle(ReservationId id, Units used, Time wall_time);
-  // The amount of an open reservation, else 0.
+  // The amount of an open reservation; 0 if there is no such reservation.
   Units reserved(ReservationId id) const;
   QuotaStatus quota_status(const QuotaSubject& subject, Time wall_time);
 
-  // What the journal had of an account; before the first request.
+  // Restores an account from its journal record. Must be called before the first request.
   void restore(const std::string& key, const LimitState& state) { directory_.restore(key, state); }
-  // Records every account exactly as it is, for a planned stop. False: a record was not taken.
+  // Records the exact state of every account before a planned stop. Returns false if a record was not
+  // accepted.
   bool persist_all(Time wall_time);
 
-  // An account as this router counts it.
+  // The state of an account, as counted by this router.
   struct Summary {
     std::string key;
     Units limit = 0;
@@ -90,13 +92,13 @@
     Time reset_after = 0;
     bool hard = true;
   };
-  // Sorted by key; without accounts of budgets that are gone.
+  // Sorted by key, without the accounts of removed budgets.
   std::vector<Summary> summaries(Time wall_time);
 
   Metrics metrics() const;
   std::size_t size() const { return directory_.size(); }
-  // Reservations that are not settled yet.
-  std::size_t open() const { return reservations_.size(); }
+  // Number of reservations that are not settled yet.
+  std::size_t open_reservations() const { return reservations_.size(); }
 
  private:
   Options options_;
--- a/src/budgets/admission_controller.cpp
+++ b/src/budgets/admission_controller.cpp
@@ -10,8 +10,6 @@
                                          FairShare* fair_share)
     : core::DeciderDecorator(std::move(inner)), quota_service_(quota_service), fair_share_(fair_share) {}
 
-// ---------------------------------------------------------------- a request comes
-
 void AdmissionController::on_request(Time now, const Request& request) {
   now_ = now;
   OpenRequest open;
@@ -32,15 +30,15 @@
   inner_->on_request(now, admitted);
 }
 
-// False: it is another member's turn, and the request has been rejected.
+// Returns false if the request was rejected because its member is ahead of its fair share.
 bool AdmissionController::admit_to_fair_share(const Request& request, Units max_cost) {
   if (fair_share_ == nullptr) return true;
   const auto admission = fair_share_->admit(now_, request.tenant, in_tokens(max_cost));
   if (admission.admitted) return true;
-  own_actions_.push_back({.kind = ActionKind::reject,
-                          .id = request.id,
-                          .time = admission.retry_after,
-                          .refusal = RefusalReason::limit_exceeded});
+  local_actions_.push_back({.kind = ActionKind::reject,
+                            .id = request.id,
+                            .time = admission.retry_after,
+                            .refusal = RefusalReason::limit_exceeded});
   return false;
 }
 
@@ -55,16 +53,16 @@
   allowance->remaining = in_tokens(denial.remaining);
   allowance->reset_in = denial.reset_after;
   allowance->subject = denial.account;
-  own_actions_.push_back({.kind = ActionKind::reject,
-                          .id = id,
-                          .time = denial.retry_after ? std::max<Time>(1, *denial.retry_after) : 0,
-                          .allowance = std::move(allowance),
-                          .refusal = RefusalReason::limit_exceeded});
+  local_actions_.push_back({.kind = ActionKind::reject,
+                            .id = id,
+                            .time = denial.retry_after ? std::max<Time>(1, *denial.retry_after) : 0,
+                            .allowance = std::move(allowance),
+                            .refusal = RefusalReason::limit_exceeded});
 }
 
 std::shared_ptr<const Allowance> AdmissionController::allowance_of(const QuotaSubject& subject) {
   const QuotaStatus status = quota_service_.accounts.quota_status(subject, now_);
-  if (!status.any) return {};
+  if (!status.has_hard_limit) return {};
   auto allowance = std::make_shared<Allowance>();
   allowance->limit = in_tokens(status.limit);
   allowance->remaining = in_tokens(status.remaining);
@@ -73,10 +71,8 @@
   return allowance;
 }
 
-// ---------------------------------------------------------------- the inner decider's actions
-
 std::vector<Action> AdmissionController::take_actions() {
-  std::vector<Action> actions = std::exchange(own_actions_, {});
+  std::vector<Action> actions = std::exchange(local_actions_, {});
   for (auto& action : inner_->take_actions()) on_inner_action(std::move(action), actions);
   return actions;
 }
@@ -99,8 +95,8 @@
   if (open.reservation_spent) {
     if (const std::optional<Denial> denial = reserve_for_retry(open)) {
       abandon_retry(open.attempts_sent, action, *denial);
-      std::vector<Action> own = std::exchange(own_actions_, {});
-      std::move(own.begin(), own.end(), std::back_inserter(actions));
+      std::vector<Action> rejections = std::exchange(local_actions_, {});
+      std::move(rejections.begin(), rejections.end(), std::back_inserter(actions));
       return;
     }
   }
@@ -110,7 +106,7 @@
   actions.push_back(std::move(action));
 }
 
-// A retry has to be covered like the first attempt: what an earlier attempt was charged is gone from the
+// A retry must be covered like the first attempt, because the charge for the earlier attempt has used up the
 // reservation.
 std::optional<Denial> AdmissionController::reserve_for_retry(OpenRequest& open) {
   Accounts& accounts = quota_service_.accounts;
@@ -124,7 +120,7 @@
   return std::nullopt;
 }
 
-// The inner decider forgets the request, and that it wanted to send anything.
+// Makes the inner decider forget the request and the attempt that it decided to send.
 void AdmissionController::abandon_retry(std::uint8_t attempt, const Action& send, const Denial& denial) {
   open_.erase(send.id);
   inner_->on_client_disconnected(now_, send.id);
@@ -133,8 +129,6 @@
   reject(send.id, denial);
 }
 
-// ---------------------------------------------------------------- attempts and requests end
-
 void AdmissionController::on_attempt_result(Time now, const AttemptResult& result) {
   now_ = now;
   OpenRequest* open = open_.find(result.id);
@@ -148,7 +142,7 @@
 }
 
 void AdmissionController::charge(OpenRequest& open, const AttemptResult& result) {
-  if (never_ran(result.outcome)) return;  // what was reserved for it covers the next attempt
+  if (never_ran(result.outcome)) return;  // the reservation covers the next attempt
   Charge charge;
   charge.request_id = result.id;
   charge.attempt = result.attempt;
@@ -167,13 +161,13 @@
   open.reservation_spent = true;
 }
 
-// An attempt that is still in flight is charged when it ends; then the request is closed.
+// If an attempt is in flight, the request is closed after that attempt ended and was charged.
 void AdmissionController::conclude(RequestId id, OpenRequest& open) {
   open.concluded = true;
   if (!open.attempt_in_flight) close(id, open);
 }
 
-// Nothing more will be sent: what is still reserved is given back.
+// No further attempt will be sent: releases the rest of the reservation.
 void AdmissionController::close(RequestId id, const OpenRequest& open) {
   Accounts& accounts = quota_service_.accounts;
   if (open.reservation != 0) adjust_fair_share(open, -in_tokens(accounts.reserved(open.reservation)));
@@ -187,8 +181,6 @@
   inner_->on_client_disconnected(now, id);
 }
 
-// ---------------------------------------------------------------- handed on
-
 void AdmissionController::on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) {
   now_ = now;
   inner_->on_endpoints(now, scope, entries);
--- a/src/budgets/admission_controller.hpp
+++ b/src/budgets/admission_controller.hpp
@@ -1,7 +1,7 @@
-// Admission control by budgets, between the core and the decider that chooses replicas: a request that no
-// budget covers is rejected before it is decided on, a retry that none covers is not sent, and every attempt
-// that ran is charged once (pricing.hpp says how much). The choice of a replica, retries and all other
-// rejections are the inner decider's.
+// Admission control by budgets, placed between the core and the decider that chooses replicas. A request that
+// no budget covers is rejected before the inner decider sees it, a retry that no budget covers is not sent,
+// and each attempt that ran is charged once (pricing.hpp has the rules). The inner decider chooses replicas
+// and decides on retries and all other rejections.
 #pragma once
 
 #include <memory>
@@ -18,8 +18,8 @@
 
 class AdmissionController final : public core::DeciderDecorator {
  public:
-  // `quota_service` and `fair_share` are not owned and outlive it. `fair_share` divides the service between
-  // members while there is not enough for all; null: it is not divided.
+  // Does not own `quota_service` and `fair_share`, which must outlive the controller. `fair_share` divides
+  // the capacity between members while it does not suffice for all; null: it is not divided.
   AdmissionController(std::unique_ptr<core::Decider> inner, QuotaService& quota_service,
                       FairShare* fair_share = nullptr);
 
@@ -31,8 +31,8 @@
   void on_timer(Time now, std::uint32_t token) override;
   std::vector<Action> take_actions() override;
 
-  // Requests without a final answer, or with an attempt in flight.
-  std::size_t open() const { return open_.size(); }
+  // Number of requests without a final answer or with an attempt in flight.
+  std::size_t open_requests() const { return open_.size(); }
 
  private:
   struct OpenRequest {
@@ -41,8 +41,8 @@
     ReservationId reservation = 0;  // 0: settled
     std::uint8_t attempts_sent = 0;
     bool attempt_in_flight = false;
-    bool reservation_spent = false;  // on an earlier attempt: a retry has to reserve anew
-    bool concluded = false;          // it has its final answer, or its client has gone
+    bool reservation_spent = false;  // an earlier attempt was charged; a retry needs a new reservation
+    bool concluded = false;          // the request has its final answer, or its client disconnected
   };
 
   [[nodiscard]] bool admit_to_fair_share(const Request& request, Units max_cost);
@@ -60,8 +60,8 @@
   QuotaService& quota_service_;
   FairShare* fair_share_;
   core::OpenRequests<OpenRequest> open_;
-  std::vector<Action> own_actions_;  // besides the inner decider's
-  Time now_ = 0;                     // of the latest call
+  std::vector<Action> local_actions_;  // of this controller, not of the inner decider
+  Time now_ = 0;                       // time of the latest call
 };
 
 }  // namespace thornwick::budgets
--- a/src/budgets/budget.cpp
+++ b/src/budgets/budget.cpp
@@ -6,24 +6,25 @@
 namespace thornwick::budgets {
 namespace {
 
-constexpr const char* kAnyName = "*";
+constexpr const char* kSharedName = "*";
 constexpr const char* kNoModelName = "-";
 
-bool matches(std::uint16_t wanted, std::uint16_t number) {
-  return wanted == kSeparateAccounts || wanted == kSharedAccount || wanted == number;
+bool matches(std::uint16_t selector, std::uint16_t number) {
+  return selector == kSeparateAccounts || selector == kSharedAccount || selector == number;
 }
 
 std::string name_at(const std::vector<std::string>& names, std::size_t index) {
   return index < names.size() ? names[index] : std::to_string(index);
 }
 
-std::string key_part(std::uint16_t wanted, std::uint16_t number, const std::vector<std::string>& names) {
-  return wanted == kSharedAccount ? kAnyName : name_at(names, number);
+std::string key_component(std::uint16_t selector, std::uint16_t number,
+                          const std::vector<std::string>& names) {
+  return selector == kSharedAccount ? kSharedName : name_at(names, number);
 }
 
-std::string model_key_part(std::uint16_t wanted, std::uint16_t number,
-                           const std::vector<std::string>& names) {
-  if (wanted == kSharedAccount) return kAnyName;
+std::string model_key_component(std::uint16_t selector, std::uint16_t number,
+                                const std::vector<std::string>& names) {
+  if (selector == kSharedAccount) return kSharedName;
   return number == 0 ? kNoModelName : name_at(names, number - 1u);
 }
 
@@ -33,15 +34,19 @@
 
 void validate(const Options& options) {
   if (options.router_index < 1 || options.router_index > options.router_count) {
-    reject("a part beyond the parts");
+    reject("router_index " + std::to_string(options.router_index) + " is outside 1.." +
+           std::to_string(options.router_count));
+  }
+  if (options.max_accounts == 0) reject("max_accounts is 0; it must be at least 1");
+  if (!(options.block_fraction > 0 && options.block_fraction <= 1)) {
+    reject("block_fraction " + std::to_string(options.block_fraction) + " is not above 0 and at most 1");
   }
-  if (options.max_accounts == 0) reject("no accounts at all");
-  if (!(options.block_fraction > 0 && options.block_fraction <= 1)) reject("a block outside 0..1");
   std::set<std::string> names;
   for (const auto& budget : options.budgets) {
-    if (!names.insert(budget.name).second) reject("two of the name " + budget.name);
+    if (!names.insert(budget.name).second) reject("two budgets have the name " + budget.name);
     if (budget.rule.amount < 0 || budget.rule.amount > kMaxUnits || budget.rule.per_s < 0) {
-      reject(budget.name + ": no amount");
+      reject(budget.name + ": amount " + std::to_string(budget.rule.amount) + " is outside 0.." +
+             std::to_string(kMaxUnits) + ", or per_s " + std::to_string(budget.rule.per_s) + " is below 0");
     }
   }
 }
@@ -52,9 +57,9 @@
 }
 
 std::string account_key(const Options& options, const Budget& budget, const QuotaSubject& subject) {
-  return budget.name + "|" + key_part(budget.member, subject.member, options.members) + "|" +
-         model_key_part(budget.model, subject.model, options.models) + "|" +
-         key_part(budget.priority_class, subject.priority_class, options.classes);
+  return budget.name + "|" + key_component(budget.member, subject.member, options.members) + "|" +
+         model_key_component(budget.model, subject.model, options.models) + "|" +
+         key_component(budget.priority_class, subject.priority_class, options.classes);
 }
 
 LimitRule router_share(const Options& options, const LimitRule& rule) {
--- a/src/budgets/durability_mark.hpp
+++ b/src/budgets/durability_mark.hpp
@@ -1,8 +1,8 @@
-// Keeps what an account grants close to what the journal has on disk.
+// Limits how far the grants of an account run ahead of its durable journal record.
 //
-// The journal's newest record of an account, its mark, says that more is used than really is (two blocks
-// ahead). What is granted beyond the newest durable mark is one block at the most; so after a kill at any
-// moment no more than one block of a limit is granted twice, and up to two are lost until the limit refills.
+// The newest journal record of an account, its mark, states two blocks more usage than there is. At most one
+// block is granted beyond the newest durable mark. So after a kill at any moment at most one block of a limit
+// is granted twice, and up to two blocks are lost until the limit refills.
 #pragma once
 
 #include <cstdint>
@@ -14,30 +14,32 @@
 
 namespace thornwick::budgets {
 
-// The marks of one account. All times are wall-clock times in microseconds since 1970.
+// The marks of one account. Amounts of a block are in units. All times are wall-clock times in microseconds
+// since 1970.
 class DurabilityMark {
  public:
-  // `restored`: the account's state at the start of the router, which is what a later start would find.
-  explicit DurabilityMark(const Limit& restored) : durable_(restored) {}
+  // `restored`: the account's state when the router started, which is also what a later start would restore.
+  explicit DurabilityMark(const Limit& restored) : durable_mark_(restored) {}
 
-  // Whether `amount` may be granted from `current` now: at most one block (or one larger amount) lies beyond
-  // the newest durable mark.
-  [[nodiscard]] bool covers(Limit& current, Units amount, Units block, const Journal& journal,
+  // Whether `amount` may be granted from `current` now: at most one block (or a single larger amount) may lie
+  // beyond the newest durable mark.
+  [[nodiscard]] bool covers(Limit& current, Units amount, Units block_units, const Journal& journal,
                             Time wall_time);
-  // Appends the next mark once less than a block is left up to the durable one, and none is on its way.
-  void advance(const std::string& key, Limit& current, Units block, Journal& journal, Time wall_time);
-  // The account's limit has another rule from now on.
+  // Appends the next mark if less than one block remains before the durable mark and no other mark is
+  // pending.
+  void advance(const std::string& key, Limit& current, Units block_units, Journal& journal, Time wall_time);
+  // Called after the account's limit was given another rule.
   void change_rule(const LimitRule& rule, Time wall_time);
 
  private:
-  struct Pending {
+  struct PendingMark {
     Limit limit;
-    std::uint64_t number = 0;  // of the journal's record
+    std::uint64_t record_number = 0;  // number of the journal record
   };
-  void accept_durable(const Journal& journal);
+  void promote_durable_mark(const Journal& journal);
 
-  Limit durable_;                   // the newest mark that is known to be durable
-  std::optional<Pending> pending_;  // one that the journal has taken and not yet made durable
+  Limit durable_mark_;                       // the newest mark that is known to be durable
+  std::optional<PendingMark> pending_mark_;  // a mark that the journal accepted and that is not durable yet
 };
 
 }  // namespace thornwick::budgets
--- a/src/budgets/limit.cpp
+++ b/src/budgets/limit.cpp
@@ -5,16 +5,16 @@
 namespace thornwick::budgets {
 namespace {
 
-constexpr Time kSecond = seconds(1);  // in microseconds
+constexpr Time kSecond = seconds(1);
 
-__extension__ using Wide = __int128;  // for intermediate results
+__extension__ using Wide = __int128;  // holds intermediate results without overflow
 
 Units clamped(Wide value) { return static_cast<Units>(std::clamp<Wide>(value, -kMaxUnits, kMaxUnits)); }
 
-// Rounds down, before 1970 too.
+// Rounds down, also for times before 1970.
 Time window_start(Time wall_time, Time length) {
-  const Time rest = wall_time % length;
-  return wall_time - (rest < 0 ? rest + length : rest);
+  const Time remainder = wall_time % length;
+  return wall_time - (remainder < 0 ? remainder + length : remainder);
 }
 
 }  // namespace
@@ -45,8 +45,8 @@
   advance_to(wall_time);
 }
 
-// After a clock that steps back what is left stays as it is, and time goes on from there. One that steps
-// forwards by mistake gives what that time would have given, once.
+// If the clock steps backwards, the remaining amount is unchanged and time continues from the new reading. If
+// the clock steps forwards by mistake, the limit grants once what that time would have granted.
 void Limit::advance_to(Time wall_time) {
   if (rule_.kind != LimitKind::bucket) {
     const Time current_window = window_start(wall_time, window_length(rule_.kind));
@@ -74,7 +74,7 @@
   remaining_ = saturating_sum(remaining_, -std::max<Units>(0, units));
 }
 
-void Limit::give_back(Units units, Time wall_time, Time taken_at) {
+void Limit::refund(Units units, Time wall_time, Time taken_at) {
   advance_to(wall_time);
   if (rule_.kind != LimitKind::bucket && window_start(taken_at, window_length(rule_.kind)) != updated_at_)
     return;
--- a/src/budgets/pricing.cpp
+++ b/src/budgets/pricing.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kCharactersPerToken = 4;
-constexpr double kMaxTokens = 1e12;  // of one request: estimates beyond are cut
+constexpr double kMaxTokens = 1e12;  // of one request; larger counts are clamped
 
 std::uint64_t whole_tokens(double tokens) {
   return static_cast<std::uint64_t>(std::ceil(std::clamp(tokens, 0.0, kMaxTokens)));
@@ -27,7 +27,7 @@
 
 Units max_cost_of(const Request& request, const Price& price) {
   const std::uint64_t prompt = whole_tokens(request.prompt_tokens);
-  // Prices may make cached tokens dearer than others.
+  // Cached tokens may cost more than other prompt tokens.
   const Units input = std::max(cost_of(prompt, 0, 0, price), cost_of(prompt, prompt, 0, price));
   return saturating_sum(input, cost_of(0, 0, whole_tokens(request.max_tokens), price));
 }
--- a/src/budgets/pricing.hpp
+++ b/src/budgets/pricing.hpp
@@ -1,11 +1,11 @@
-// What requests and attempts cost: tokens times a model's prices.
+// The cost of requests and attempts: tokens times the prices of a model.
 //
 // What an attempt is charged:
-// - an answer with the replica's usage report: what the report says, at the model's prices;
-// - an attempt that never ran (full, not connected, not sent): nothing;
-// - an attempt that may have run and reported no usage: its prompt as estimated, and the text that came, four
-//   characters a token. The replica has read that prompt or may yet, and nobody can tell how much more it
-//   generated.
+// - an answer with the replica's usage report: the reported tokens at the model's prices;
+// - an attempt that never ran (rejected as full, not connected, not sent): nothing;
+// - an attempt that may have run and reported no usage: its estimated prompt tokens, and the received text at
+//   four characters a token. The replica has read that prompt or may still read it, and the number of further
+//   tokens that it generated is unknown.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,27 @@
 
 namespace thornwick::budgets {
 
-// Units for each token.
+// Prices in units per token.
 struct Price {
-  Units prompt = kUnitsPerToken;     // read anew
-  Units cached = kUnitsPerToken;     // of the prompt, found in the replica's cache
-  Units generated = kUnitsPerToken;  // of the answer
+  Units prompt = kUnitsPerToken;     // a prompt token that is not cached
+  Units cached = kUnitsPerToken;     // a prompt token found in the replica's cache
+  Units generated = kUnitsPerToken;  // a token of the answer
   bool operator==(const Price&) const = default;
 };
 
-// Whole tokens of one attempt. `cached` are part of `prompt`.
+// Whole tokens of one attempt. `prompt` includes `cached`.
 struct TokenCounts {
   std::uint64_t prompt = 0;
   std::uint64_t cached = 0;
   std::uint64_t generated = 0;
-  bool reported = false;  // by the replica, else estimated
+  bool reported = false;  // true: by the replica; false: estimated
 };
 
-// What so many tokens cost; cut at kMaxUnits. More cached tokens than prompt tokens count as the prompt.
+// The cost of these tokens, at most kMaxUnits. `cached` is limited to `prompt`.
 Units cost_of(std::uint64_t prompt, std::uint64_t cached, std::uint64_t generated, const Price& price);
-// The most that a request may cost, wherever it runs.
+// The maximum cost of a request, whichever replica serves it.
 Units max_cost_of(const Request& request, const Price& price);
-// The tokens that an attempt is charged by the rules above. Meaningless for one that never ran.
+// The tokens that an attempt is charged for, by the rules above. Meaningless for an attempt that never ran.
 TokenCounts charged_tokens(const Request& request, const AttemptResult& result);
 
 }  // namespace thornwick::budgets
--- a/src/models/catalogue.cpp
+++ b/src/models/catalogue.cpp
@@ -10,11 +10,11 @@
 constexpr std::size_t kMaxModels = 1000;
 
 template <typename List, typename Value>
-bool holds(const List& list, const Value& value) {
+bool contains(const List& list, const Value& value) {
   return std::find(list.begin(), list.end(), value) != list.end();
 }
 
-// Collects what is wrong in a catalogue.
+// Collects the errors of a catalogue.
 class Validator {
  public:
   explicit Validator(const Catalogue& catalogue) : catalogue_(catalogue) {}
@@ -30,18 +30,18 @@
     }
     check_cycles();
     std::stable_sort(
-        faults_.begin(), faults_.end(),
+        errors_.begin(), errors_.end(),
         [](const CatalogueError& left, const CatalogueError& right) { return left.line < right.line; });
-    return std::move(faults_);
+    return std::move(errors_);
   }
 
  private:
   enum class VisitState { unvisited, on_path, done };
   using VisitStates = std::map<const Model*, VisitState>;
 
-  void add(std::uint32_t line, std::string text) { faults_.push_back({line, std::move(text)}); }
+  void add(std::uint32_t line, std::string text) { errors_.push_back({line, std::move(text)}); }
 
-  // By name, not by alias.
+  // Finds a model by name, ignoring aliases.
   const Model* find(std::string_view name) const {
     const auto found = std::find_if(catalogue_.models.begin(), catalogue_.models.end(),
                                     [&](const Model& model) { return model.name == name; });
@@ -50,7 +50,8 @@
 
   void check_names() {
     std::set<std::string> seen;
-    if (catalogue_.models.size() > kMaxModels) add(catalogue_.models.back().line, "model: more than 1000");
+    if (catalogue_.models.size() > kMaxModels)
+      add(catalogue_.models.back().line, "model: more than 1000 models");
     for (const auto& model : catalogue_.models) {
       if (model.name.empty()) {
         add(model.line, "model.name: there is none");
@@ -69,14 +70,15 @@
     const auto count = std::count_if(catalogue_.models.begin(), catalogue_.models.end(),
                                      [](const Model& model) { return model.accepts_any_name; });
     if (count > 1) {
-      add(catalogue_.models.back().line, "model.any_name: only one can take what no other is called");
+      add(catalogue_.models.back().line, "model.any_name: only one model may accept any name");
     }
   }
 
   void check_model(const Model& model) {
     const std::string key = "model." + model.name;
     if (model.base_model.empty()) {
-      if (model.replica_selector.empty()) add(model.line, key + ".boxes: nobody serves it");
+      if (model.replica_selector.empty())
+        add(model.line, key + ".boxes: selects no replica; set models, uids or groups");
     } else {
       check_adapter(model, key);
     }
@@ -99,28 +101,28 @@
     }
   }
 
-  // The other model's context must not be smaller; where the request only goes
-  // there because it is too long, it has to be larger.
+  // The context of the fallback must not be smaller. If the only reason is too_long, it must be larger.
   void check_fallback(const Model& model, const Fallback& fallback) {
     const std::string key = "model." + model.name + ".fallback." + fallback.target;
-    const Model* to = find(fallback.target);
-    if (to == nullptr) return add(fallback.line, key + ": no model is called so");
-    if (to == &model) return add(fallback.line, key + ": a model cannot take its own place");
-    if (fallback.reasons == 0) add(fallback.line, key + ".when: never");
-    if (to->accepts_any_name) {
-      add(fallback.line, key + ": its boxes would hear the name of '" + model.name + "'");
+    const Model* target = find(fallback.target);
+    if (target == nullptr) return add(fallback.line, key + ": no model is called '" + fallback.target + "'");
+    if (target == &model) return add(fallback.line, key + ": a model cannot be its own fallback");
+    if (fallback.reasons == 0) add(fallback.line, key + ".when: names no reason");
+    if (target->accepts_any_name) {
+      add(fallback.line,
+          key + ": accepts any name, so its replicas would receive the name '" + model.name + "'");
     }
-    const bool smaller =
-        to->context_tokens > 0 && (model.context_tokens <= 0 || to->context_tokens < model.context_tokens);
-    const bool only_longer = fallback.reasons == static_cast<std::uint8_t>(FallbackReason::too_long);
-    if (smaller) add(fallback.line, key + ": its context is smaller");
-    if (only_longer && !smaller && to->context_tokens > 0 && to->context_tokens == model.context_tokens) {
-      add(fallback.line, key + ".when: too-long, and its context is no larger");
+    const bool smaller = target->context_tokens > 0 &&
+                         (model.context_tokens <= 0 || target->context_tokens < model.context_tokens);
+    const bool only_too_long = fallback.reasons == static_cast<std::uint8_t>(FallbackReason::too_long);
+    if (smaller) add(fallback.line, key + ": its context is smaller than that of '" + model.name + "'");
+    if (only_too_long && !smaller && target->context_tokens > 0 &&
+        target->context_tokens == model.context_tokens) {
+      add(fallback.line, key + ".when: too-long needs a larger context");
     }
   }
 
-  // Depth first; each cycle is reported once, at the model where it was
-  // entered.
+  // Searches depth first. Each cycle is reported once, at the model whose fallback closes it.
   void check_cycles() {
     VisitStates states;
     for (const auto& model : catalogue_.models) visit(model, states);
@@ -130,19 +132,19 @@
     if (states[&model] != VisitState::unvisited) return;
     states[&model] = VisitState::on_path;
     for (const auto& fallback : model.fallbacks) {
-      const Model* to = find(fallback.target);
-      if (to == nullptr || to == &model) continue;
-      if (states[to] == VisitState::on_path) {
+      const Model* target = find(fallback.target);
+      if (target == nullptr || target == &model) continue;
+      if (states[target] == VisitState::on_path) {
         add(fallback.line, "model." + model.name + ".fallback." + fallback.target +
-                               ": the chain comes back to '" + fallback.target + "'");
+                               ": the chain of fallbacks returns to '" + fallback.target + "'");
       }
-      if (states[to] == VisitState::unvisited) visit(*to, states);
+      if (states[target] == VisitState::unvisited) visit(*target, states);
     }
     states[&model] = VisitState::done;
   }
 
   const Catalogue& catalogue_;
-  std::vector<CatalogueError> faults_;
+  std::vector<CatalogueError> errors_;
 };
 
 }  // namespace
@@ -165,20 +167,20 @@
   return all;
 }
 
-Catalogue with_stable_ids(const Catalogue& old, const Catalogue& fresh) {
-  Catalogue result = fresh;
+Catalogue with_stable_ids(const Catalogue& old, const Catalogue& updated) {
+  Catalogue result = updated;
   result.models.clear();
   const auto find_model = [](const Catalogue& catalogue, const std::string& name) {
     return std::find_if(catalogue.models.begin(), catalogue.models.end(),
                         [&](const Model& model) { return model.name == name; });
   };
   for (const auto& old_model : old.models) {
-    const auto found = find_model(fresh, old_model.name);
-    const bool gone = found == fresh.models.end();
-    result.models.push_back(gone ? old_model : *found);
-    result.models.back().removed = gone;
+    const auto found = find_model(updated, old_model.name);
+    const bool removed = found == updated.models.end();
+    result.models.push_back(removed ? old_model : *found);
+    result.models.back().removed = removed;
   }
-  for (const auto& model : fresh.models) {
+  for (const auto& model : updated.models) {
     if (find_model(old, model.name) == old.models.end()) result.models.push_back(model);
   }
   return result;
@@ -186,9 +188,9 @@
 
 std::vector<CatalogueError> validate(const Catalogue& catalogue) { return Validator(catalogue).run(); }
 
-bool serves(const ReplicaSelector& serving, const ReplicaIdentity& replica) {
-  return holds(serving.models, std::string("*")) || holds(serving.models, replica.model) ||
-         holds(serving.uids, replica.uid) || holds(serving.pod_groups, replica.pod_group);
+bool serves(const ReplicaSelector& selector, const ReplicaIdentity& replica) {
+  return contains(selector.models, std::string("*")) || contains(selector.models, replica.model) ||
+         contains(selector.uids, replica.uid) || contains(selector.pod_groups, replica.pod_group);
 }
 
 }  // namespace thornwick::models
--- a/src/models/fallback_queue.cpp
+++ b/src/models/fallback_queue.cpp
@@ -4,13 +4,13 @@
 
 namespace thornwick::models {
 
-void FallbackQueue::push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason why) {
+void FallbackQueue::push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason reason) {
   const auto& fallbacks = catalogue.at(model).fallbacks;
-  for (std::size_t next = fallbacks.size(); next > 0; --next) {
-    const Fallback& fallback = fallbacks[next - 1];
-    const ModelId to = catalogue.find(fallback.target);
-    const bool applies = (fallback.reasons & static_cast<std::uint8_t>(why)) != 0;
-    if (to != 0 && applies) candidates_.push_front({to, why, fallback.min_remaining_time});
+  for (std::size_t remaining = fallbacks.size(); remaining > 0; --remaining) {
+    const Fallback& fallback = fallbacks[remaining - 1];
+    const ModelId target = catalogue.find(fallback.target);
+    const bool applies = (fallback.reasons & static_cast<std::uint8_t>(reason)) != 0;
+    if (target != 0 && applies) candidates_.push_front({target, reason, fallback.min_remaining_time});
   }
 }
 
--- a/src/models/fallback_queue.hpp
+++ b/src/models/fallback_queue.hpp
@@ -1,4 +1,4 @@
-// The models that may take one request in place of those that could not serve it.
+// The models that one request may fall back to.
 #pragma once
 
 #include <deque>
@@ -11,18 +11,19 @@
 
 struct FallbackCandidate {
   ModelId model = 0;
-  FallbackReason why = FallbackReason::no_ready_replica;
-  Time min_remaining_time = 0;  // microseconds that the client must still wait at least
+  FallbackReason reason = FallbackReason::no_ready_replica;
+  Time min_remaining_time = 0;  // microseconds that must remain until the deadline
 };
 
 class FallbackQueue {
  public:
-  // No candidate leads to this model any more.
+  // Excludes this model from the candidates.
   void mark_tried(ModelId model) { tried_.push_back(model); }
-  // The fallbacks of a model that cannot serve the request for that reason, before all that are queued.
-  void push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason why);
+  // Queues the fallbacks of a model that cannot serve the request for this reason, ahead of all queued
+  // candidates.
+  void push_fallbacks_of(const Catalogue& catalogue, ModelId model, FallbackReason reason);
   bool empty() const { return candidates_.empty(); }
-  // The next candidate whose model was not tried; none is left: nullopt.
+  // Removes and returns the next candidate whose model was not tried; nullopt if there is none.
   [[nodiscard]] std::optional<FallbackCandidate> pop();
 
  private:
--- a/src/models/placement.cpp
+++ b/src/models/placement.cpp
@@ -18,54 +18,55 @@
 }  // namespace
 
 void Placement::set_adapters(const std::vector<Adapter>& adapters) {
-  std::vector<Set> fresh;
+  std::vector<AdapterState> updated;
   for (const auto& adapter : adapters) {
-    const auto old = std::find_if(sets_.begin(), sets_.end(),
-                                  [&](const Set& set) { return set.adapter.name == adapter.name; });
-    fresh.push_back(old == sets_.end() ? Set{} : std::move(*old));
-    fresh.back().adapter = adapter;
+    const auto old = std::find_if(adapters_.begin(), adapters_.end(), [&](const AdapterState& state) {
+      return state.adapter.name == adapter.name;
+    });
+    updated.push_back(old == adapters_.end() ? AdapterState{} : std::move(*old));
+    updated.back().adapter = adapter;
   }
-  sets_ = std::move(fresh);
+  adapters_ = std::move(updated);
 }
 
 void Placement::set_replicas(Time, const std::vector<ReplicaId>& replicas) {
   replicas_ = replicas;
   std::sort(replicas_.begin(), replicas_.end());
-  for (auto& set : sets_) {
-    std::erase_if(set.replicas, [&](const Loaded& loaded) {
+  for (auto& state : adapters_) {
+    std::erase_if(state.replicas, [&](const Loaded& loaded) {
       return !std::binary_search(replicas_.begin(), replicas_.end(), loaded.replica);
     });
   }
 }
 
-void Placement::fade(Time now) {
-  if (faded_at_ == 0) faded_at_ = now;
-  if (now <= faded_at_) return;
-  const double kept_ratio =
-      std::exp2(-static_cast<double>(now - faded_at_) / static_cast<double>(options_.half_life));
-  faded_at_ = now;
-  all_demand_ *= kept_ratio;
-  for (auto& set : sets_) set.demand *= kept_ratio;
+void Placement::decay(Time now) {
+  if (decayed_at_ == 0) decayed_at_ = now;
+  if (now <= decayed_at_) return;
+  const double decay_factor =
+      std::exp2(-static_cast<double>(now - decayed_at_) / static_cast<double>(options_.half_life));
+  decayed_at_ = now;
+  total_demand_ *= decay_factor;
+  for (auto& state : adapters_) state.demand *= decay_factor;
 }
 
-void Placement::asked(Time now, ModelId adapter, double work) {
-  fade(now);
-  all_demand_ += work;
-  for (auto& set : sets_) {
-    if (set.adapter.number == adapter) set.demand += work;
+void Placement::record_demand(Time now, ModelId adapter, double work) {
+  decay(now);
+  total_demand_ += work;
+  for (auto& state : adapters_) {
+    if (state.adapter.id == adapter) state.demand += work;
   }
 }
 
-std::size_t Placement::wanted(const Set& set) const {
-  const double demand_ratio = all_demand_ > 0 ? set.demand / all_demand_ : 0;
+std::size_t Placement::target_count(const AdapterState& state) const {
+  const double demand_fraction = total_demand_ > 0 ? state.demand / total_demand_ : 0;
   const auto replicas = static_cast<std::size_t>(
-      std::ceil(demand_ratio * options_.spare * static_cast<double>(replicas_.size())));
-  return std::clamp(replicas, set.adapter.min_replicas,
-                    std::max(set.adapter.min_replicas, set.adapter.max_replicas));
+      std::ceil(demand_fraction * options_.spare_factor * static_cast<double>(replicas_.size())));
+  return std::clamp(replicas, state.adapter.min_replicas,
+                    std::max(state.adapter.min_replicas, state.adapter.max_replicas));
 }
 
-std::vector<ReplicaId> Placement::order_for(const Set& set) const {
-  const std::uint64_t key = name_hash(set.adapter.name);
+std::vector<ReplicaId> Placement::replica_order(const AdapterState& state) const {
+  const std::uint64_t key = name_hash(state.adapter.name);
   std::vector<std::pair<std::uint64_t, ReplicaId>> scored;
   for (const ReplicaId replica : replicas_) scored.emplace_back(mix(key ^ mix(replica)), replica);
   std::sort(scored.begin(), scored.end());
@@ -75,20 +76,19 @@
   return order;
 }
 
-// Adapters choose in rounds, one replica each, so that the first in the list
-// does not take all the room.
+// The adapters choose in rounds, one replica each, so that the first adapter does not take all capacity.
 std::vector<std::vector<ReplicaId>> Placement::choose(AdapterCounts& counts) const {
   struct Choice {
     std::vector<ReplicaId> order;
     std::vector<ReplicaId> chosen;
     std::size_t next = 0;
-    std::size_t wanted = 0;
+    std::size_t target_count = 0;
   };
   std::vector<Choice> choices;
-  choices.reserve(sets_.size());
-  for (const auto& set : sets_) choices.push_back({order_for(set), {}, 0, wanted(set)});
+  choices.reserve(adapters_.size());
+  for (const auto& state : adapters_) choices.push_back({replica_order(state), {}, 0, target_count(state)});
   const auto choose_one = [&](Choice& choice) {
-    if (choice.chosen.size() >= choice.wanted) return false;
+    if (choice.chosen.size() >= choice.target_count) return false;
     const auto is_full = [&](ReplicaId replica) { return counts[replica] >= options_.adapters_per_replica; };
     while (choice.next < choice.order.size() && is_full(choice.order[choice.next])) ++choice.next;
     if (choice.next == choice.order.size()) return false;
@@ -98,9 +98,9 @@
     choice.chosen.push_back(replica);
     return true;
   };
-  for (bool any = true; any;) {
-    any = false;
-    for (auto& choice : choices) any = choose_one(choice) || any;
+  for (bool any_chosen = true; any_chosen;) {
+    any_chosen = false;
+    for (auto& choice : choices) any_chosen = choose_one(choice) || any_chosen;
   }
   std::vector<std::vector<ReplicaId>> chosen;
   for (auto& choice : choices) {
@@ -110,71 +110,70 @@
   return chosen;
 }
 
-// Avoids loading to and fro: what is loaded stays for `keep_for`, where no
-// other adapter needs the room.
-void Placement::keep_unwanted(Time now, Set& set, std::vector<ReplicaId>& chosen,
-                              AdapterCounts& counts) const {
-  for (const auto& loaded : set.replicas) {
+// Avoids loading an adapter repeatedly: a replica beyond the target keeps the adapter for `keep_for` unless
+// another adapter needs the capacity.
+void Placement::keep_surplus_replicas(Time now, AdapterState& state, std::vector<ReplicaId>& chosen,
+                                      AdapterCounts& counts) const {
+  for (const auto& loaded : state.replicas) {
     const ReplicaId replica = loaded.replica;
     if (std::binary_search(chosen.begin(), chosen.end(), replica)) {
-      set.unwanted_since.erase(replica);
+      state.surplus_since.erase(replica);
       continue;
     }
-    const Time since = set.unwanted_since.try_emplace(replica, now).first->second;
+    const Time since = state.surplus_since.try_emplace(replica, now).first->second;
     if (now - since < options_.keep_for && counts[replica] < options_.adapters_per_replica) {
       ++counts[replica];
       chosen.insert(std::upper_bound(chosen.begin(), chosen.end(), replica), replica);
     } else {
-      set.unwanted_since.erase(replica);
+      state.surplus_since.erase(replica);
     }
   }
 }
 
-// True if the replicas are others than before. What is loaded already stays so
-// since it was.
-bool Placement::load(Time now, Set& set, const std::vector<ReplicaId>& chosen) const {
-  std::vector<Loaded> fresh;
+// Returns true if the replicas have changed. A replica that had the adapter keeps the time of loading.
+bool Placement::update_replicas(Time now, AdapterState& state, const std::vector<ReplicaId>& chosen) const {
+  std::vector<Loaded> updated;
   for (const ReplicaId replica : chosen) {
-    const auto old = std::find_if(set.replicas.begin(), set.replicas.end(),
+    const auto old = std::find_if(state.replicas.begin(), state.replicas.end(),
                                   [&](const Loaded& loaded) { return loaded.replica == replica; });
-    fresh.push_back(old == set.replicas.end() ? Loaded{replica, began_ ? now : 0} : *old);
+    updated.push_back(old == state.replicas.end() ? Loaded{replica, has_listed_replicas_ ? now : 0} : *old);
   }
   const bool changed =
-      !std::equal(fresh.begin(), fresh.end(), set.replicas.begin(), set.replicas.end(),
+      !std::equal(updated.begin(), updated.end(), state.replicas.begin(), state.replicas.end(),
                   [](const Loaded& left, const Loaded& right) { return left.replica == right.replica; });
-  set.replicas = std::move(fresh);
+  state.replicas = std::move(updated);
   return changed;
 }
 
 bool Placement::update(Time now) {
-  fade(now);
+  decay(now);
   AdapterCounts counts;
   std::vector<std::vector<ReplicaId>> chosen = choose(counts);
   bool changed = false;
-  for (std::size_t i = 0; i < sets_.size(); ++i) {
-    keep_unwanted(now, sets_[i], chosen[i], counts);
-    if (load(now, sets_[i], chosen[i])) changed = true;
+  for (std::size_t i = 0; i < adapters_.size(); ++i) {
+    keep_surplus_replicas(now, adapters_[i], chosen[i], counts);
+    if (update_replicas(now, adapters_[i], chosen[i])) changed = true;
   }
-  // What is there when the router starts was loaded by others, as far as it
-  // knows.
-  began_ = began_ || !replicas_.empty();
+  // Adapters found when the router starts are assumed to be loaded already, because other routers have placed
+  // them.
+  has_listed_replicas_ = has_listed_replicas_ || !replicas_.empty();
   return changed;
 }
 
 const std::vector<Placement::Loaded>& Placement::replicas_of(ModelId adapter) const {
   static const std::vector<Loaded> none;
-  for (const auto& set : sets_) {
-    if (set.adapter.number == adapter) return set.replicas;
+  for (const auto& state : adapters_) {
+    if (state.adapter.id == adapter) return state.replicas;
   }
   return none;
 }
 
-std::size_t Placement::loaded_on(ReplicaId replica) const {
-  const auto has_replica = [replica](const Set& set) {
-    return std::any_of(set.replicas.begin(), set.replicas.end(),
+std::size_t Placement::adapter_count(ReplicaId replica) const {
+  const auto has_replica = [replica](const AdapterState& state) {
+    return std::any_of(state.replicas.begin(), state.replicas.end(),
                        [replica](const Loaded& loaded) { return loaded.replica == replica; });
   };
-  return static_cast<std::size_t>(std::count_if(sets_.begin(), sets_.end(), has_replica));
+  return static_cast<std::size_t>(std::count_if(adapters_.begin(), adapters_.end(), has_replica));
 }
 
 }  // namespace thornwick::models
--- a/src/models/pool.cpp
+++ b/src/models/pool.cpp
@@ -15,26 +15,27 @@
 
 }  // namespace
 
-MembershipChange Pool::replace_members(const std::vector<Endpoint>& members, EndpointUpdate scope) {
-  const bool all = scope != EndpointUpdate::delta;
-  std::map<ReplicaId, Endpoint> fresh;
-  for (const Endpoint& member : members) fresh[member.id] = member;
-  MembershipChange change;
+PoolChange Pool::replace_members(const std::vector<Endpoint>& members, EndpointUpdate scope) {
+  const bool is_full = scope != EndpointUpdate::delta;
+  std::map<ReplicaId, Endpoint> updated;
+  for (const Endpoint& member : members) updated[member.id] = member;
+  PoolChange change;
   std::vector<Endpoint> ready;
-  for (const auto& [id, member] : fresh) {
+  for (const auto& [id, member] : updated) {
     const auto old = members_.find(id);
     if (old == members_.end()) change.joined.push_back(id);
-    if (all || old == members_.end() || !same_listing(old->second, member)) change.updates.push_back(member);
+    if (is_full || old == members_.end() || !same_listing(old->second, member))
+      change.updates.push_back(member);
     if (is_ready(member)) ready.push_back(member);
   }
   for (const auto& [id, member] : members_) {
-    if (fresh.contains(id)) continue;
-    change.left.push_back(id);
-    if (all) continue;
+    if (updated.contains(id)) continue;
+    change.removed.push_back(id);
+    if (is_full) continue;
     change.updates.push_back(member);
     change.updates.back().state = EndpointState::removed;
   }
-  members_ = std::move(fresh);
+  members_ = std::move(updated);
   slow_start_.set_replicas(ready);
   return change;
 }
--- a/src/models/pool.hpp
+++ b/src/models/pool.hpp
@@ -1,4 +1,4 @@
-// The replicas that can take each other's place for one model, and the decider that chooses among them.
+// A pool: the replicas that serve one model, and the decider that chooses among them.
 #pragma once
 
 #include <map>
@@ -11,11 +11,11 @@
 
 namespace thornwick::models {
 
-// The endpoint updates that a pool's decider has to get, and which replicas the pool has gained and lost.
-struct MembershipChange {
+// The endpoint updates for a pool's decider, and the replicas that the pool has gained and lost.
+struct PoolChange {
   std::vector<Endpoint> updates;
   std::vector<ReplicaId> joined;
-  std::vector<ReplicaId> left;
+  std::vector<ReplicaId> removed;
 };
 
 class Pool {
@@ -25,25 +25,26 @@
 
   ModelId model() const { return model_; }
   core::Decider& decider() { return *decider_; }
-  // Bounds what the pool takes over from other models.
+  // Limits the fallback work that the pool accepts from other models.
   SlowStartController& slow_start() { return slow_start_; }
 
-  // Whether the decider was called since its actions were taken.
-  bool is_touched() const { return touched_; }
-  void set_touched(bool touched) { touched_ = touched; }
+  // Whether the decider was called since its actions were last taken.
+  bool has_pending_actions() const { return pending_actions_; }
+  void set_pending_actions(bool pending) { pending_actions_ = pending; }
 
-  // The pool's replicas from now on. With `delta` the updates are what has changed, else all replicas.
-  [[nodiscard]] MembershipChange replace_members(const std::vector<Endpoint>& members, EndpointUpdate scope);
+  // Replaces the pool's replicas. With scope `delta` the updates are the differences; otherwise they are all
+  // replicas.
+  [[nodiscard]] PoolChange replace_members(const std::vector<Endpoint>& members, EndpointUpdate scope);
   bool has_ready_replica() const;
-  // By id.
+  // Sorted by id.
   std::vector<ReplicaId> ready_replicas() const;
 
  private:
   ModelId model_;
   std::unique_ptr<core::Decider> decider_;
   SlowStartController slow_start_;
-  bool touched_ = false;
-  std::map<ReplicaId, Endpoint> members_;  // as the decider knows them
+  bool pending_actions_ = false;
+  std::map<ReplicaId, Endpoint> members_;  // as last passed to the decider
 };
 
 }  // namespace thornwick::models
--- a/src/models/pools.hpp
+++ b/src/models/pools.hpp
@@ -1,7 +1,7 @@
-// The decider of an installation with several models: one pool with its own decider for each model. Decides
-// which model serves a request and when another one takes its place, and passes what is learned of a replica
-// to all pools that have it. The pools' deciders choose the replica, the retry and the rejection; here it is
-// decided whether a rejection is final.
+// The decider of an installation with several models: each model has a pool with its own decider. Pools
+// decides which model serves a request and when a fallback takes over, and passes what one pool learns about
+// a replica to all pools that contain the replica. The pools' deciders choose replicas, retries and
+// rejections; Pools decides whether a rejection is final.
 //
 // Guarantees for each request, over all models together: at most `max_attempts` attempts, never two at once,
 // and none after the first event of an answer.
@@ -24,30 +24,31 @@
 
 namespace thornwick::models {
 
-// Requests, unless said otherwise.
+// Counts of requests, unless stated otherwise.
 struct Metrics {
-  std::map<FallbackReason, std::uint64_t> fallbacks;  // that another model took, by reason
-  // That no other model took, though there was one to ask:
-  std::uint64_t declined_by_client = 0;         // the client accepts no other
-  std::uint64_t fallback_budget_exhausted = 0;  // too many were taken by other models lately
-  std::uint64_t pool_refused = 0;       // the other pool was cold, full, or had its share of foreign requests
-  std::uint64_t too_little_time = 0;    // the client waits for too short a time
-  std::uint64_t no_attempts_left = 0;   // no attempt was left
-  std::uint64_t placement_changes = 0;  // changes of which replica has which adapter
+  std::map<FallbackReason, std::uint64_t> fallbacks;  // that another model accepted, by reason
+  // Requests that fell back to no other model although one was configured:
+  std::uint64_t declined_by_client = 0;         // the client accepts no other model
+  std::uint64_t fallback_budget_exhausted = 0;  // too many recent requests went to other models
+  std::uint64_t pool_refused = 0;       // the other pool was cold or full, or had its limit of fallback work
+  std::uint64_t too_little_time = 0;    // too little time remained until the deadline
+  std::uint64_t no_attempts_left = 0;   // max_attempts was reached
+  std::uint64_t placement_changes = 0;  // changes of the placement of adapters, not requests
 };
 
 class Pools final : public core::Decider {
  public:
   struct Options {
-    Settings settings;  // of every pool's decider; each gets a seed of its own
+    Settings settings;  // for the pools' deciders; each pool has a different seed
     Catalogue catalogue;
     std::function<ReplicaIdentity(ReplicaId)> identity_of;
-    // Makes the decider of a model's pool.
+    // Creates the decider of a model's pool.
     std::function<std::unique_ptr<core::Decider>(const Settings&, Time, ModelId)> make_decider;
   };
   Pools(Options options, Time now);
 
-  // Another catalogue with the old one's numbers (see with_stable_ids). Open requests go on where they are.
+  // Replaces the catalogue; the new one must have the ids of the old one (see with_stable_ids). Open requests
+  // continue in their pools.
   void replace_catalogue(Time now, const Catalogue& catalogue);
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override;
@@ -61,68 +62,68 @@
   std::vector<Action> take_actions() override;
 
   const Metrics& metrics() const { return metrics_; }
-  // Ready replicas that serve a model now, by id.
+  // The ready replicas that serve a model now, sorted by id.
   std::vector<ReplicaId> replicas_of(ModelId model) const { return pools_.at(model)->ready_replicas(); }
-  // Requests without a final answer, or with an attempt in flight.
-  std::size_t open() const { return open_.size(); }
+  // Number of requests without a final answer or with an attempt in flight.
+  std::size_t open_requests() const { return open_.size(); }
 
  private:
-  enum class Origin { own_model, other_model };
+  enum class Origin { requested_model, fallback };
   struct Attempt {
     Pool* pool = nullptr;
-    std::uint8_t number = 0;  // as the pool's decider counts
+    std::uint8_t number = 0;  // of the attempt, as counted by the pool's decider
     ReplicaId replica = 0;
   };
   struct OpenRequest {
     Request request;
-    Pool* pool = nullptr;  // that has it now
+    Pool* pool = nullptr;  // that currently handles the request
     std::vector<Attempt> attempts;
     FallbackQueue fallbacks;
     bool attempt_in_flight = false;
-    bool concluded = false;  // it has its final answer, or its client has gone
+    bool concluded = false;  // the request has its final answer, or its client disconnected
   };
   struct Timer {
     Pool* pool = nullptr;
     std::uint32_t token = 0;  // of the pool's decider
   };
 
-  // Pools and their replicas.
+  // Pools and their replicas. queue_pool() notes that a pool's decider may have new actions.
   void make_missing_pools(Time now);
   void set_adapters();
   ModelId base_of(ModelId model) const;
   std::vector<Endpoint> members_of(ModelId model) const;
   void update_members(Time now, Pool& pool, EndpointUpdate scope);
   void update_placements(Time now);
-  void mark_touched(Pool& pool);
-  void notify_sharing(ReplicaId replica, const Pool* except,
-                      const std::function<void(core::Decider&)>& notify);
+  void queue_pool(Pool& pool);
+  void notify_pools_of(ReplicaId replica, const Pool* except,
+                       const std::function<void(core::Decider&)>& notify);
 
   // Requests.
   bool is_known(ModelId model) const { return model != 0 && model <= options_.catalogue.models.size(); }
   [[nodiscard]] bool try_model(OpenRequest& open, ModelId model, Origin origin);
   [[nodiscard]] bool try_fallbacks(OpenRequest& open);
-  void reject(RequestId id, const Request& request, Allowance::Rejection why);
+  void reject(RequestId id, const Request& request, Allowance::Rejection reason);
 
   // Actions of the pools' deciders.
   void on_action(Pool& pool, Action action, std::vector<Action>& actions);
   void on_send(Pool& pool, Action action, std::vector<Action>& actions);
-  void on_given_up(Pool& pool, Action action, std::vector<Action>& actions);
+  void on_rejection_or_failure(Pool& pool, Action action, std::vector<Action>& actions);
   void on_cancel(const Pool& pool, Action action, std::vector<Action>& actions);
   void on_set_timer(Pool& pool, Action action, std::vector<Action>& actions);
 
   Options options_;
   std::map<ModelId, std::unique_ptr<Pool>> pools_;
   std::map<ModelId, Placement> placements_;  // of adapters, by their base model
-  std::map<ReplicaId, Endpoint> replicas_;   // all that discovery lists, those that drain included
-  absl::flat_hash_map<ReplicaId, std::vector<Pool*>> sharing_;  // the pools that a replica is in
+  std::map<ReplicaId, Endpoint> replicas_;   // all that discovery lists, including draining ones
+  absl::flat_hash_map<ReplicaId, std::vector<Pool*>> pools_by_replica_;  // the pools that contain a replica
   core::OpenRequests<OpenRequest> open_;
   absl::flat_hash_map<std::uint32_t, Timer> timers_;
-  std::uint32_t last_timer_ = 0;
-  std::vector<Pool*> touched_;       // whose deciders may have new actions
-  std::vector<Action> own_actions_;  // besides the deciders'
+  std::uint32_t last_timer_token_ = 0;
+  std::vector<Pool*> pools_with_actions_;  // pools whose deciders may have new actions
+  std::vector<Action> local_actions_;      // of Pools, not of the pools' deciders
   FallbackBudget fallback_budget_;
   Metrics metrics_;
-  Time now_ = 0;  // of the latest call
+  Time now_ = 0;  // time of the latest call
   Time placements_updated_at_ = 0;
 };
 
--- a/src/models/pools_requests.cpp
+++ b/src/models/pools_requests.cpp
@@ -1,4 +1,4 @@
-// The way of a request through the pools: its model, fallbacks, attempts and results.
+// The part of Pools that handles requests: the choice of the model, fallbacks, attempts and results.
 #include <algorithm>
 #include <iterator>
 #include <optional>
@@ -9,14 +9,14 @@
 namespace thornwick::models {
 namespace {
 
-constexpr RequestId kNoRequest = 0;  // stands for a request of another pool's decider
+constexpr RequestId kNoRequest = 0;  // the id that deciders of other pools get
 constexpr Time kNoReplicaRetryAfter = seconds(1);
 
 // Tokens of prompt and answer together.
-double work_of(const Request& request) { return std::max(1.0, request.prompt_tokens + request.max_tokens); }
+double tokens_of(const Request& request) { return std::max(1.0, request.prompt_tokens + request.max_tokens); }
 
 bool exceeds_context(const Model& model, const Request& request) {
-  return model.context_tokens > 0 && work_of(request) > model.context_tokens;
+  return model.context_tokens > 0 && tokens_of(request) > model.context_tokens;
 }
 
 bool exceeds_answer_limit(const Model& model, const Request& request) {
@@ -25,57 +25,56 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- a request comes
-
 void Pools::on_request(Time now, const Request& request) {
   now_ = now;
   update_placements(now);
-  OpenRequest fresh;
-  fresh.request = request;
-  OpenRequest& open = open_.put(request.id, std::move(fresh));
-  fallback_budget_.request();
+  OpenRequest new_request;
+  new_request.request = request;
+  OpenRequest& open = open_.put(request.id, std::move(new_request));
+  fallback_budget_.add_request();
   if (!is_known(request.model)) {
     reject(request.id, request, Allowance::Rejection::no_replica);
     return;
   }
   const auto placement = placements_.find(base_of(request.model));
-  if (placement != placements_.end()) placement->second.asked(now, request.model, work_of(request));
-  if (try_model(open, request.model, Origin::own_model) || try_fallbacks(open)) return;
+  if (placement != placements_.end()) placement->second.record_demand(now, request.model, tokens_of(request));
+  if (try_model(open, request.model, Origin::requested_model) || try_fallbacks(open)) return;
   const bool too_long = exceeds_context(options_.catalogue.at(request.model), request);
   reject(request.id, request,
          too_long ? Allowance::Rejection::context_exceeded : Allowance::Rejection::no_replica);
 }
 
-// Hands the request to a model's pool. False: the model cannot serve it, and its fallbacks are queued.
-bool Pools::try_model(OpenRequest& open, ModelId model_number, Origin origin) {
+// Passes the request to the pool of a model. Returns false if that model cannot serve it; its fallbacks are
+// then queued.
+bool Pools::try_model(OpenRequest& open, ModelId model_id, Origin origin) {
   const Catalogue& catalogue = options_.catalogue;
-  const Model& model = catalogue.at(model_number);
-  const double work = work_of(open.request);
-  open.fallbacks.mark_tried(model_number);
-  Pool& pool = *pools_.at(model_number);
+  const Model& model = catalogue.at(model_id);
+  const double tokens = tokens_of(open.request);
+  open.fallbacks.mark_tried(model_id);
+  Pool& pool = *pools_.at(model_id);
   const bool too_long = exceeds_context(model, open.request) || exceeds_answer_limit(model, open.request);
   if (too_long || !pool.has_ready_replica()) {
-    open.fallbacks.push_fallbacks_of(catalogue, model_number,
+    open.fallbacks.push_fallbacks_of(catalogue, model_id,
                                      too_long ? FallbackReason::too_long : FallbackReason::no_ready_replica);
     return false;
   }
-  if (origin == Origin::own_model) {
-    pool.slow_start().own(now_, work);
-  } else if (!pool.slow_start().admits(now_, work)) {
+  if (origin == Origin::requested_model) {
+    pool.slow_start().on_primary_request(now_, tokens);
+  } else if (!pool.slow_start().try_admit(now_, tokens)) {
     ++metrics_.pool_refused;
-    open.fallbacks.push_fallbacks_of(catalogue, model_number, FallbackReason::overloaded);
+    open.fallbacks.push_fallbacks_of(catalogue, model_id, FallbackReason::overloaded);
     return false;
   }
   open.pool = &pool;
   Request forwarded = open.request;
-  forwarded.model = model_number;
+  forwarded.model = model_id;
   forwarded.attempts_before = static_cast<std::uint8_t>(open.attempts.size());
   pool.decider().on_request(now_, forwarded);
-  mark_touched(pool);
+  queue_pool(pool);
   return true;
 }
 
-// Hands the request to the next model that may and can take it. False: there is none.
+// Passes the request to the next fallback that may and can serve it. Returns false if there is none.
 bool Pools::try_fallbacks(OpenRequest& open) {
   if (open.fallbacks.empty()) return false;
   if (open.request.no_fallback) {
@@ -95,8 +94,8 @@
       ++metrics_.fallback_budget_exhausted;
       return false;
     }
-    if (try_model(open, candidate->model, Origin::other_model)) {
-      ++metrics_.fallbacks[candidate->why];
+    if (try_model(open, candidate->model, Origin::fallback)) {
+      ++metrics_.fallbacks[candidate->reason];
       return true;
     }
     fallback_budget_.refund();
@@ -104,10 +103,10 @@
   return false;
 }
 
-// A rejection that no decider was asked about.
-void Pools::reject(RequestId id, const Request& request, Allowance::Rejection why) {
+// Rejects a request without asking a decider.
+void Pools::reject(RequestId id, const Request& request, Allowance::Rejection reason) {
   auto allowance = std::make_shared<Allowance>();
-  allowance->rejection = why;
+  allowance->rejection = reason;
   if (is_known(request.model)) {
     const Model& model = options_.catalogue.at(request.model);
     allowance->subject = model.name;
@@ -115,28 +114,26 @@
   }
   const Settings& settings = options_.settings;
   Time retry_after = 0;
-  if (why == Allowance::Rejection::no_replica && settings.retry_after) {
+  if (reason == Allowance::Rejection::no_replica && settings.retry_after) {
     retry_after = std::clamp<Time>(kNoReplicaRetryAfter, 1, std::max<Time>(1, settings.max_retry_after));
   }
-  own_actions_.push_back({.kind = ActionKind::reject,
-                          .id = id,
-                          .time = retry_after,
-                          .allowance = std::move(allowance),
-                          .refusal = RefusalReason::limit_exceeded});
+  local_actions_.push_back({.kind = ActionKind::reject,
+                            .id = id,
+                            .time = retry_after,
+                            .allowance = std::move(allowance),
+                            .refusal = RefusalReason::limit_exceeded});
   open_.erase(id);
 }
 
-// ---------------------------------------------------------------- actions of the pools' deciders
-
 std::vector<Action> Pools::take_actions() {
-  std::vector<Action> actions = std::exchange(own_actions_, {});
-  while (!touched_.empty()) {
-    Pool& pool = *touched_.back();
-    touched_.pop_back();
-    pool.set_touched(false);
+  std::vector<Action> actions = std::exchange(local_actions_, {});
+  while (!pools_with_actions_.empty()) {
+    Pool& pool = *pools_with_actions_.back();
+    pools_with_actions_.pop_back();
+    pool.set_pending_actions(false);
     for (auto& action : pool.decider().take_actions()) on_action(pool, std::move(action), actions);
-    std::vector<Action> own = std::exchange(own_actions_, {});
-    std::move(own.begin(), own.end(), std::back_inserter(actions));
+    std::vector<Action> rejections = std::exchange(local_actions_, {});
+    std::move(rejections.begin(), rejections.end(), std::back_inserter(actions));
   }
   return actions;
 }
@@ -145,12 +142,12 @@
   switch (action.kind) {
     case ActionKind::send: return on_send(pool, std::move(action), actions);
     case ActionKind::reject:
-    case ActionKind::fail: return on_given_up(pool, std::move(action), actions);
+    case ActionKind::fail: return on_rejection_or_failure(pool, std::move(action), actions);
     case ActionKind::cancel: return on_cancel(pool, std::move(action), actions);
     case ActionKind::set_timer: return on_set_timer(pool, std::move(action), actions);
     case ActionKind::watch_endpoints:
     case ActionKind::fetch_endpoints:
-      // The list is the same for all: one of them asks for it.
+      // All pools share one endpoint list, so only the first pool requests it.
       if (&pool == pools_.begin()->second.get()) actions.push_back(std::move(action));
       return;
     case ActionKind::probe:
@@ -167,12 +164,12 @@
   open->attempts.push_back({&pool, number, action.replica});
   open->attempt_in_flight = true;
   action.model = pool.model();
-  notify_sharing(action.replica, &pool,
-                 [&](core::Decider& decider) { decider.on_shared_send(action.replica); });
+  notify_pools_of(action.replica, &pool,
+                  [&](core::Decider& decider) { decider.on_shared_send(action.replica); });
   actions.push_back(std::move(action));
 }
 
-// Attempts are numbered by the request for the core, by the pool's decider in its action.
+// The core numbers attempts per request; the action has the number that the pool's decider uses.
 void Pools::on_cancel(const Pool& pool, Action action, std::vector<Action>& actions) {
   OpenRequest* open = open_.find(action.id);
   if (open == nullptr) return;
@@ -186,29 +183,31 @@
 
 void Pools::on_set_timer(Pool& pool, Action action, std::vector<Action>& actions) {
   do {
-    ++last_timer_;
-  } while (timers_.contains(last_timer_));
-  timers_[last_timer_] = {&pool, action.token};
-  action.token = last_timer_;
+    ++last_timer_token_;
+  } while (timers_.contains(last_timer_token_));
+  timers_[last_timer_token_] = {&pool, action.token};
+  action.token = last_timer_token_;
   actions.push_back(std::move(action));
 }
 
-// A pool's decider rejects or fails a request. A rejection is final unless another model takes the request.
-void Pools::on_given_up(Pool& pool, Action action, std::vector<Action>& actions) {
+// Handles a rejection or failure by a pool's decider. A rejection is final unless another model accepts the
+// request.
+void Pools::on_rejection_or_failure(Pool& pool, Action action, std::vector<Action>& actions) {
   OpenRequest* open = open_.find(action.id);
   if (open == nullptr || open->pool != &pool) return;
   const bool over_budget =
       action.allowance && action.allowance->rejection == Allowance::Rejection::limit_exceeded;
-  if (!over_budget) pool.slow_start().rejected(now_);
+  if (!over_budget) pool.slow_start().on_rejection(now_);
   if (action.kind == ActionKind::reject) {
-    const FallbackReason why = over_budget ? FallbackReason::over_budget : FallbackReason::overloaded;
-    open->fallbacks.push_fallbacks_of(options_.catalogue, pool.model(), why);
-    // An attempt in flight is ended before another one begins.
+    const FallbackReason reason = over_budget ? FallbackReason::over_budget : FallbackReason::overloaded;
+    open->fallbacks.push_fallbacks_of(options_.catalogue, pool.model(), reason);
+    // An attempt in flight is cancelled before the fallback sends another.
     const bool was_in_flight = open->attempt_in_flight;
-    const auto last = static_cast<std::uint8_t>(open->attempts.empty() ? 0 : open->attempts.size() - 1);
+    const auto last_attempt =
+        static_cast<std::uint8_t>(open->attempts.empty() ? 0 : open->attempts.size() - 1);
     if (try_fallbacks(*open)) {
       if (was_in_flight) {
-        actions.push_back({.kind = ActionKind::cancel, .id = action.id, .attempt = last});
+        actions.push_back({.kind = ActionKind::cancel, .id = action.id, .attempt = last_attempt});
       }
       return;
     }
@@ -218,16 +217,14 @@
   actions.push_back(std::move(action));
 }
 
-// ---------------------------------------------------------------- events after a send
-
 void Pools::on_first_token(Time now, RequestId id, std::uint8_t attempt, ReplicaId replica, Time elapsed) {
   now_ = now;
   const OpenRequest* open = open_.find(id);
   if (open == nullptr || attempt >= open->attempts.size()) return;
   const Attempt sent = open->attempts[attempt];
   sent.pool->decider().on_first_token(now, id, sent.number, replica, elapsed);
-  mark_touched(*sent.pool);
-  notify_sharing(replica, sent.pool, [&](core::Decider& decider) {
+  queue_pool(*sent.pool);
+  notify_pools_of(replica, sent.pool, [&](core::Decider& decider) {
     decider.on_first_token(now, kNoRequest, 0, replica, elapsed);
   });
 }
@@ -238,16 +235,16 @@
   if (open == nullptr || result.attempt >= open->attempts.size()) return;
   const Attempt sent = open->attempts[result.attempt];
   if (result.attempt + 1u == open->attempts.size()) open->attempt_in_flight = false;
-  if (result.outcome == Outcome::full) sent.pool->slow_start().rejected(now);
+  if (result.outcome == Outcome::full) sent.pool->slow_start().on_rejection(now);
   if (result.concluded || (open->concluded && !open->attempt_in_flight)) open_.erase(result.id);
   AttemptResult forwarded = result;
   forwarded.attempt = sent.number;
   sent.pool->decider().on_attempt_result(now, forwarded);
-  mark_touched(*sent.pool);
+  queue_pool(*sent.pool);
   forwarded.id = kNoRequest;
   forwarded.attempt = 0;
-  notify_sharing(result.replica, sent.pool,
-                 [&](core::Decider& decider) { decider.on_attempt_result(now, forwarded); });
+  notify_pools_of(result.replica, sent.pool,
+                  [&](core::Decider& decider) { decider.on_attempt_result(now, forwarded); });
 }
 
 void Pools::on_client_disconnected(Time now, RequestId id) {
@@ -259,7 +256,7 @@
   if (!open->attempt_in_flight) open_.erase(id);
   if (pool == nullptr) return;
   pool->decider().on_client_disconnected(now, id);
-  mark_touched(*pool);
+  queue_pool(*pool);
 }
 
 void Pools::on_timer(Time now, std::uint32_t token) {
@@ -270,7 +267,7 @@
   const Timer timer = found->second;
   timers_.erase(found);
   timer.pool->decider().on_timer(now, timer.token);
-  mark_touched(*timer.pool);
+  queue_pool(*timer.pool);
 }
 
 }  // namespace thornwick::models
--- a/src/models/slow_start_controller.cpp
+++ b/src/models/slow_start_controller.cpp
@@ -6,17 +6,17 @@
 namespace thornwick::models {
 namespace {
 
-constexpr double kRateWindowS = 2;      // seconds: decay of the measured rate of the pool's own work
-constexpr Time kHold = seconds(1);      // nothing is admitted for so long after a rejection
-constexpr double kBurstS = 0.5;         // seconds' worth of the admitted rate that may come at once
-constexpr double kMeanWeight = 0.1;     // of a new request in the moving average
-constexpr double kMaxPart = 1;          // of the pool's own rate: more would be another pool's whole load
-constexpr double kMinPartDivisor = 16;  // after rejections no less is left of the first part
+constexpr double kRateWindowS = 2;          // seconds over which the rate of primary work decays
+constexpr Time kHoldTime = seconds(1);      // no fallback work is admitted for so long after a rejection
+constexpr double kBurstS = 0.5;             // seconds' worth of the admitted rate that may arrive at once
+constexpr double kNewRequestWeight = 0.1;   // weight of a new request in the moving average
+constexpr double kMaxFallbackFraction = 1;  // of primary tokens; more is a whole pool's load
+constexpr double kMaxFractionDivisor = 16;  // rejections divide the initial fraction by at most this
 constexpr double kMinReplicaWeight = 1e-3;
 
 }  // namespace
 
-double SlowStartController::warm_part(Time now) const {
+double SlowStartController::warm_fraction(Time now) const {
   double warm = 0;
   double all = 0;
   for (const auto& replica : replicas_) {
@@ -32,44 +32,48 @@
   if (now <= updated_at_) return;
   const double seconds = static_cast<double>(now - updated_at_) / 1e6;
   updated_at_ = now;
-  own_per_s_ *= std::exp(-seconds / kRateWindowS);
-  // It grows while it is used and borne; unused it goes back to where it began.
+  primary_per_s_ *= std::exp(-seconds / kRateWindowS);
+  // The fraction grows while it is used and the pool rejects nothing; unused, it returns to its initial
+  // value.
   if (now >= held_until_) {
     const double growth = std::pow(1 + limits_.fallback_growth_per_s, std::min(1.0, seconds));
-    part_ = asked_ ? std::min(kMaxPart, part_ * growth)
-                   : std::max(limits_.initial_fallback_fraction, part_ / growth);
+    fallback_fraction_ = fallback_requested_
+                             ? std::min(kMaxFallbackFraction, fallback_fraction_ * growth)
+                             : std::max(limits_.initial_fallback_fraction, fallback_fraction_ / growth);
   }
-  asked_ = false;
-  const double warm = warm_part(now);
-  // An idle pool serves nothing of its own: one request a second for each warm
-  // replica is its least.
-  const double least = mean_work_ * warm * static_cast<double>(replicas_.size());
-  const double rate = part_ * std::max(own_per_s_, least) * warm;
-  level_ = std::min(level_ + rate * seconds, std::max(rate * kBurstS, mean_work_));
+  fallback_requested_ = false;
+  const double warm = warm_fraction(now);
+  // An idle pool has no primary work: its minimum is one request per second for each warm replica.
+  const double idle_rate = mean_work_ * warm * static_cast<double>(replicas_.size());
+  const double rate = fallback_fraction_ * std::max(primary_per_s_, idle_rate) * warm;
+  available_tokens_ = std::min(available_tokens_ + rate * seconds, std::max(rate * kBurstS, mean_work_));
 }
 
-void SlowStartController::own(Time now, double work) {
+void SlowStartController::on_primary_request(Time now, double tokens) {
   advance_to(now);
-  own_per_s_ += work / kRateWindowS;
-  mean_work_ = mean_work_ == 0 ? work : mean_work_ + kMeanWeight * (work - mean_work_);
+  primary_per_s_ += tokens / kRateWindowS;
+  mean_work_ = mean_work_ == 0 ? tokens : mean_work_ + kNewRequestWeight * (tokens - mean_work_);
 }
 
-void SlowStartController::rejected(Time now) {
+void SlowStartController::on_rejection(Time now) {
   advance_to(now);
-  if (now >= held_until_) part_ = std::max(limits_.initial_fallback_fraction / kMinPartDivisor, part_ / 2);
-  held_until_ = now + kHold;
-  level_ = 0;
+  if (now >= held_until_)
+    fallback_fraction_ =
+        std::max(limits_.initial_fallback_fraction / kMaxFractionDivisor, fallback_fraction_ / 2);
+  held_until_ = now + kHoldTime;
+  available_tokens_ = 0;
 }
 
-bool SlowStartController::admits(Time now, double work) {
+bool SlowStartController::try_admit(Time now, double tokens) {
   if (mean_work_ == 0) {  // the first request of an idle pool
-    mean_work_ = work;
-    level_ = work;
+    mean_work_ = tokens;
+    available_tokens_ = tokens;
   }
   advance_to(now);
-  asked_ = true;
-  if (now < held_until_ || warm_part(now) <= 0 || level_ < std::min(work, mean_work_)) return false;
-  level_ -= work;
+  fallback_requested_ = true;
+  if (now < held_until_ || warm_fraction(now) <= 0 || available_tokens_ < std::min(tokens, mean_work_))
+    return false;
+  available_tokens_ -= tokens;
   return true;
 }
 
--- a/src/models/slow_start_controller.hpp
+++ b/src/models/slow_start_controller.hpp
@@ -1,7 +1,6 @@
-// How many requests of other models a pool takes over. A fallback must not
-// overload the pool that it relies on: the rate begins at a small part of what
-// the pool serves of its own models, grows while the pool keeps up, is halved
-// when it does not, and is zero while no replica of the pool is warm.
+// Limits the fallback work that a pool accepts from other models, so that a fallback does not overload the
+// pool. The accepted rate starts at a small fraction of the pool's primary work, grows while the pool keeps
+// up, is halved when it does not, and is zero while no replica of the pool is warm.
 //
 // Times are in microseconds; work is in tokens of prompt and answer.
 #pragma once
@@ -14,41 +13,43 @@
 
 namespace thornwick::models {
 
-// How many requests may go to another model, over all pools: a part of all
-// requests, and a saved-up burst (the retry budget of Finagle and Envoy, for
-// models).
+// Limits the requests that go to another model, over all pools: to a fraction of all requests plus a saved
+// burst. This is the retry budget of Finagle and Envoy, applied to models.
 class FallbackBudget {
  public:
-  explicit FallbackBudget(const Limits& limits) : limits_(limits), saved_(limits.fallback_burst) {}
-  void request() { saved_ = std::min(limits_.fallback_burst, saved_ + limits_.fallback_fraction); }
+  explicit FallbackBudget(const Limits& limits) : limits_(limits), saved_requests_(limits.fallback_burst) {}
+  void add_request() {
+    saved_requests_ = std::min(limits_.fallback_burst, saved_requests_ + limits_.fallback_fraction);
+  }
   bool spend() {
-    if (saved_ < 1) return false;
-    saved_ -= 1;
+    if (saved_requests_ < 1) return false;
+    saved_requests_ -= 1;
     return true;
   }
-  void refund() { saved_ = std::min(limits_.fallback_burst, saved_ + 1); }
+  void refund() { saved_requests_ = std::min(limits_.fallback_burst, saved_requests_ + 1); }
 
  private:
   Limits limits_;
-  double saved_;
+  double saved_requests_;
 };
 
 class SlowStartController {
  public:
-  // A replica is warm so long after its start.
+  // `warm_up`: time after its start at which a replica is warm.
   SlowStartController(const Limits& limits, Time warm_up)
-      : limits_(limits), warm_up_(warm_up), part_(limits.initial_fallback_fraction) {}
+      : limits_(limits), warm_up_(warm_up), fallback_fraction_(limits.initial_fallback_fraction) {}
 
   void set_replicas(std::span<const Endpoint> ready) { replicas_.assign(ready.begin(), ready.end()); }
-  // The pool got a request of its own model.
-  void own(Time now, double work);
-  // The pool's decider rejected a request, or a replica of it was full.
-  void rejected(Time now);
-  // Whether a request of another model may come; if so it is counted.
-  [[nodiscard]] bool admits(Time now, double work);
+  // Records a request for the pool's own model.
+  void on_primary_request(Time now, double tokens);
+  // Called when the pool's decider rejected a request or a replica of the pool was full.
+  void on_rejection(Time now);
+  // Whether a request for another model may be accepted; if so, the request is counted.
+  [[nodiscard]] bool try_admit(Time now, double tokens);
 
-  double warm_part(Time now) const;  // of the replicas' weight
-  double part() const { return part_; }
+  // The fraction of the replicas' weight that is warm.
+  double warm_fraction(Time now) const;
+  double fallback_fraction() const { return fallback_fraction_; }
 
  private:
   void advance_to(Time now);
@@ -56,13 +57,13 @@
   Limits limits_;
   Time warm_up_;
   std::vector<Endpoint> replicas_;
-  double part_;
-  double own_per_s_ = 0;  // tokens a second of the pool's own model, decaying average
-  double mean_work_ = 0;  // of a request, moving average
-  double level_ = 0;      // tokens that are admitted now
-  bool asked_ = false;    // a request of another model came since the last update
+  double fallback_fraction_;
+  double primary_per_s_ = 0;         // tokens per second, exponentially decayed
+  double mean_work_ = 0;             // moving average of the tokens of a request
+  double available_tokens_ = 0;      // tokens that may be admitted now
+  bool fallback_requested_ = false;  // a request for another model arrived since the last update
   Time updated_at_ = 0;
-  Time held_until_ = 0;  // nothing is admitted before
+  Time held_until_ = 0;  // no fallback work is admitted before
 };
 
 }  // namespace thornwick::models
--- a/tests/models/world.hpp
+++ b/tests/models/world.hpp
@@ -1,5 +1,6 @@
-// A router's core in virtual time among replicas that serve different models, fail in all ways, and keep a
-// counters of their own. No sockets: for many requests. Chance from one seed.
+// Simulates a router's core in virtual time among replicas that serve different models, fail in all ways, and
+// count their own charges. There are no sockets, so that many requests can be played. All random numbers
+// derive from one seed.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -18,26 +19,26 @@
 
 using budgets::Units;
 
-// How often, of 1,000 attempts, each thing happens; what is left is served.
+// How many of 1,000 attempts end in each way; the others are served.
 struct Faults {
   int full = 0, rejected = 0, error = 0, reset = 0, broken = 0, silent = 0;
-  int gone = 0;  // of 1,000 requests, whose client goes
+  int gone = 0;  // of 1,000 requests, those whose client disconnects
 };
 
-class World : core::Clock, core::UpstreamTransport, core::Discovery, core::PeerTransport {
+class Simulation : core::Clock, core::UpstreamTransport, core::Discovery, core::PeerTransport {
  public:
   struct Replica {
     models::ReplicaIdentity names;
     Endpoint listing;
-    Units counted = 0;  // thousandths, by its own count and the stated rule
+    Units counted = 0;  // units charged by its own count and the rules of pricing.hpp
     std::uint64_t attempts = 0;
-    std::vector<std::pair<Time, double>> sent;  // work, by when
-    std::optional<Faults> faults;               // of its own
+    std::vector<std::pair<Time, double>> sent;  // tokens, by time
+    std::optional<Faults> faults;               // of this replica; otherwise the common ones apply
   };
 
-  World(const Settings& settings, const models::Catalogue& catalogue, const budgets::Options& budgets,
-        budgets::Journal* journal, std::uint64_t seed)
-      : settings_(settings), catalogue_(catalogue), budgets_(budgets), journal_(journal), dice_(seed) {}
+  Simulation(const Settings& settings, const models::Catalogue& catalogue, const budgets::Options& budgets,
+             budgets::Journal* journal, std::uint64_t seed)
+      : settings_(settings), catalogue_(catalogue), budgets_(budgets), journal_(journal), random_(seed) {}
 
   Faults faults;
   Time answer_time = milliseconds(20);
@@ -52,17 +53,18 @@
     return replicas.back();
   }
 
-  // A router without memory of what was open; what the journal kept is loaded.
-  void start(const std::map<std::string, budgets::LimitState>& kept = {}) {
+  // Starts a router that does not know the requests of its predecessor; the records of the journal are
+  // loaded.
+  void start(const std::map<std::string, budgets::LimitState>& stored = {}) {
     kill();
     quota_service = std::make_unique<budgets::QuotaService>(budgets_, journal_);
     for (const auto& m : catalogue_.models) quota_service->prices.push_back(m.price);
     quota_service->on_charge = [this](const budgets::Charge& c) {
       charged += c.units;
-      charged_at[c.replica] += c.units;
+      charged_by_replica[c.replica] += c.units;
       ++charges[{incarnation_, c.request_id, c.attempt}];
     };
-    for (const auto& [key, state] : kept) quota_service->accounts.restore(key, state);
+    for (const auto& [key, state] : stored) quota_service->accounts.restore(key, state);
     models::Pools::Options options;
     options.settings = settings_;
     options.catalogue = catalogue_;
@@ -79,10 +81,10 @@
     list();
   }
 
-  // As by SIGKILL: what was out is known to nobody but its replicas.
+  // Ends the router as SIGKILL does: only the replicas know the attempts in flight.
   void kill() {
-    for (const auto& [id, attempt] : out_) open_at_kill += attempt.counted;
-    out_.clear();
+    for (const auto& [id, attempt] : attempts_in_flight_) units_in_flight_at_kill += attempt.counted;
+    attempts_in_flight_.clear();
     replies_.clear();
     ++incarnation_;
     core_.reset();
@@ -90,7 +92,7 @@
     pools = nullptr;
   }
 
-  // As discovery tells it, or as the router held it before its start.
+  // Passes the endpoint list to the router, with the scope of discovery or as it was cached before the start.
   void list(EndpointUpdate scope = EndpointUpdate::full) {
     std::vector<Endpoint> all;
     for (const auto& replica : replicas) all.push_back(replica.listing);
@@ -112,40 +114,40 @@
     std::size_t events = 0;
   };
 
-  // Returns the request's place in `answers`.
-  std::size_t ask(Request request) {
-    const std::size_t place = answers.size();
+  // Returns the request's index in `answers`.
+  std::size_t send_request(Request request) {
+    const std::size_t answer_index = answers.size();
     answers.emplace_back();
     request.deadline = now_ + 5'000'000;
-    auto reply = std::make_unique<Reply>(*this, place);
+    auto reply = std::make_unique<Reply>(*this, answer_index);
     Reply& its = *reply;
     replies_.push_back(std::move(reply));
     const RequestId id = core_->admit({request, nullptr}, its);
-    place_of_[{incarnation_, id}] = place;
-    if (draw(1000) < faults.gone && !answers[place].over) {
+    answer_index_of_[{incarnation_, id}] = answer_index;
+    if (draw(1000) < faults.gone && !answers[answer_index].over) {
       const int incarnation = incarnation_;
-      at(now_ + static_cast<Time>(draw(40'000)), [this, id, place, incarnation] {
-        if (incarnation != incarnation_ || answers[place].over) return;
-        answers[place].over = true;
+      at(now_ + static_cast<Time>(draw(40'000)), [this, id, answer_index, incarnation] {
+        if (incarnation != incarnation_ || answers[answer_index].over) return;
+        answers[answer_index].over = true;
         core_->client_disconnected(id);
       });
     }
-    return place;
+    return answer_index;
   }
 
   void run(Time time) {
     const Time end = now_ + time;
-    while (!agenda_.empty() && agenda_.begin()->first <= end) {
-      now_ = std::max(now_, agenda_.begin()->first);
-      auto step = agenda_.extract(agenda_.begin());
+    while (!events_.empty() && events_.begin()->first <= end) {
+      now_ = std::max(now_, events_.begin()->first);
+      auto step = events_.extract(events_.begin());
       step.mapped()();
     }
     now_ = end;
   }
   Time clock() const { return now_; }
   std::size_t open() const { return core_->open_requests(); }
-  int draw(int below) { return boost::random::uniform_int_distribution<int>(0, below - 1)(dice_); }
-  Units tallies() const {
+  int draw(int below) { return boost::random::uniform_int_distribution<int>(0, below - 1)(random_); }
+  Units counted_units() const {
     Units sum = 0;
     for (const auto& replica : replicas) sum += replica.counted;
     return sum;
@@ -154,41 +156,41 @@
   std::vector<Answer> answers;
   std::unique_ptr<budgets::QuotaService> quota_service;
   models::Pools* pools = nullptr;
-  Units charged = 0, open_at_kill = 0;
-  std::map<ReplicaId, Units> charged_at;
+  Units charged = 0, units_in_flight_at_kill = 0;
+  std::map<ReplicaId, Units> charged_by_replica;
   std::map<std::tuple<int, RequestId, int>, int> charges;
-  std::uint64_t watched = 0;                               // calls of discovery
-  std::uint64_t twice = 0, after_first = 0, too_many = 0;  // rules that were broken
+  std::uint64_t watch_calls = 0;  // calls to watch discovery
+  std::uint64_t concurrent_attempts = 0, after_first = 0,
+                excess_attempts = 0;  // violations of the guarantees
 
  private:
   struct Reply final : core::Reply {
-    Reply(World& its, std::size_t at) : world(its), place(at) {}
-    Answer& answer() { return world.answers[place]; }
+    Reply(Simulation& its, std::size_t at) : simulation(its), answer_index(at) {}
+    Answer& answer() { return simulation.answers[answer_index]; }
     void begin_answer(std::uint16_t model, const Allowance*) override { answer().model = model; }
     void send_event(const core::StreamEvent&) override { ++answer().events; }
     void finish() override { answer().over = answer().served = true; }
     void abort_answer() override { answer().over = answer().broken = true; }
-    void reject(Time back) override {
-      answer().over = answer().overload_rejected = true, answer().retry_after = back;
+    void reject(Time retry_after) override {
+      answer().over = answer().overload_rejected = true, answer().retry_after = retry_after;
     }
     void fail(core::FailureReason, Time) override { answer().over = answer().failed = true; }
-    void reject_over_limit(const Allowance& why, Time back) override {
-      answer().over = true, answer().rejected = why, answer().retry_after = back;
+    void reject_over_limit(const Allowance& reason, Time retry_after) override {
+      answer().over = true, answer().rejected = reason, answer().retry_after = retry_after;
     }
-    World& world;
-    std::size_t place;
+    Simulation& simulation;
+    std::size_t answer_index;
   };
   struct Attempt {
     ReplicaId replica = 0;
     std::uint16_t model = 0;
-    Units counted = 0;  // what its replica has counted of it so far
+    Units counted = 0;  // units that the replica has counted for it so far
     double prompt = 0;
     std::uint64_t answer_characters = 0;
   };
 
-  void at(Time when, std::function<void()> step) { agenda_.emplace(when, std::move(step)); }
+  void at(Time when, std::function<void()> step) { events_.emplace(when, std::move(step)); }
 
-  // ------------------------------------------------------------ what the core sees
   Time now() const override { return now_; }
   void wake_at(Time when) override {
     const int incarnation = incarnation_;
@@ -196,16 +198,17 @@
       if (incarnation == incarnation_) core_->wake();
     });
   }
-  void subscribe() override { ++watched; }
+  void subscribe() override { ++watch_calls; }
   void fetch() override {}
   void send(std::uint32_t, const std::string&) override {}
   void probe(ReplicaId) override {}
   void pause_reading(core::AttemptId) override {}
   void resume_reading(core::AttemptId) override {}
 
-  // What its replica has counted of an attempt so far: the rule for those without a count.
+  // Sets the units that the replica has counted for an attempt so far, by the rule for attempts without a
+  // usage report.
   void count(core::AttemptId id, Units units) {
-    Attempt& attempt = out_.at(id);
+    Attempt& attempt = attempts_in_flight_.at(id);
     replicas[attempt.replica - 1].counted += units - attempt.counted;
     attempt.counted = units;
   }
@@ -213,29 +216,29 @@
 
   void launch(core::AttemptId id, ReplicaId target, std::shared_ptr<const core::Payload>, Time,
               std::uint16_t model) override {
-    for (const auto& [other, attempt] : out_) twice += other.request_id == id.request_id ? 1 : 0;
-    too_many += id.number >= 5 ? 1 : 0;
+    for (const auto& [other, attempt] : attempts_in_flight_)
+      concurrent_attempts += other.request_id == id.request_id ? 1 : 0;
+    excess_attempts += id.number >= 5 ? 1 : 0;
     Replica& replica = replicas.at(target - 1);
     ++replica.attempts;
-    out_[id] = {target, model, 0, 0, 0};
+    attempts_in_flight_[id] = {target, model, 0, 0, 0};
     const int fate = draw(1000);
     const Faults& f = replica.faults ? *replica.faults : faults;
     const auto ends = [this](core::AttemptId its, Outcome outcome) {
-      if (!out_.contains(its)) return;
-      out_.erase(its);
+      if (!attempts_in_flight_.contains(its)) return;
+      attempts_in_flight_.erase(its);
       core_->attempt_ended(its, outcome);
     };
     int sum = 0;
     const auto is = [&](int part) { return fate < (sum += part); };
     const Time soon = now_ + 1000 + draw(2000);
-    // What is cut off before its replica has said that it will not do it may have run, for all that the
-    // router knows.
+    // An attempt that is cut off before its replica has rejected it may have run, as far as the router knows.
     const double prompt = prompt_of_ ? prompt_of_(id) : 100;
-    out_[id].prompt = prompt;
+    attempts_in_flight_[id].prompt = prompt;
     count(id, budgets::cost_of(static_cast<std::uint64_t>(prompt), 0, 0, price_of(model)));
     const auto never_runs = [=, this](Outcome outcome) {
       at(soon, [=, this] {
-        if (out_.contains(id)) count(id, 0);
+        if (attempts_in_flight_.contains(id)) count(id, 0);
         ends(id, outcome);
       });
     };
@@ -251,8 +254,8 @@
     for (int i = 0; i < events; ++i) {
       const int answer_characters = 1 + draw(40);
       at(now_ + gap * (i + 1), [=, this] {
-        if (!out_.contains(id)) return;
-        Attempt& attempt = out_.at(id);
+        if (!attempts_in_flight_.contains(id)) return;
+        Attempt& attempt = attempts_in_flight_.at(id);
         attempt.answer_characters += static_cast<std::uint64_t>(answer_characters);
         count(id, budgets::cost_of(static_cast<std::uint64_t>(attempt.prompt), 0,
                                    (attempt.answer_characters + 3) / 4, price_of(attempt.model)));
@@ -266,34 +269,34 @@
     const std::uint64_t kept = static_cast<std::uint64_t>(draw(static_cast<int>(prompt) + 1));
     const std::uint64_t generated = 1 + static_cast<std::uint64_t>(draw(80));
     at(now_ + gap * (events + 1), [=, this] {
-      if (!out_.contains(id)) return;
+      if (!attempts_in_flight_.contains(id)) return;
       if (breaks) return ends(id, Outcome::reset);
       core::StreamEvent usage, end;
       usage.kind = core::EventKind::usage, usage.usage = {real, generated, kept};
       end.kind = core::EventKind::end;
-      count(id, budgets::cost_of(real, kept, generated, price_of(out_.at(id).model)));
+      count(id, budgets::cost_of(real, kept, generated, price_of(attempts_in_flight_.at(id).model)));
       core_->attempt_event(id, usage);
-      if (!out_.contains(id)) return;
+      if (!attempts_in_flight_.contains(id)) return;
       core_->attempt_event(id, end);
       ends(id, Outcome::served);
     });
   }
-  bool abandon(core::AttemptId id) override { return out_.erase(id) > 0; }
+  bool abandon(core::AttemptId id) override { return attempts_in_flight_.erase(id) > 0; }
 
  public:
   std::function<double(core::AttemptId)> prompt_of_;  // prompt tokens of an attempt's request
-  std::size_t place_of(RequestId id) const { return place_of_.at({incarnation_, id}); }
+  std::size_t answer_index_of(RequestId id) const { return answer_index_of_.at({incarnation_, id}); }
 
  private:
   Settings settings_;
   models::Catalogue catalogue_;
   budgets::Options budgets_;
   budgets::Journal* journal_;
-  boost::random::mt19937_64 dice_;
-  std::multimap<Time, std::function<void()>> agenda_;
-  std::map<core::AttemptId, Attempt> out_;
+  boost::random::mt19937_64 random_;
+  std::multimap<Time, std::function<void()>> events_;
+  std::map<core::AttemptId, Attempt> attempts_in_flight_;
   std::vector<std::unique_ptr<Reply>> replies_;
-  std::map<std::pair<int, RequestId>, std::size_t> place_of_;
+  std::map<std::pair<int, RequestId>, std::size_t> answer_index_of_;
   std::unique_ptr<core::RequestManager> core_;
   Time now_ = seconds(1'800'000'000);
   int incarnation_ = 0;
--- a/tests/net/models.cpp
+++ b/tests/net/models.cpp
@@ -228,8 +228,8 @@
   CHECK(rejected("[[model]]\nname = 'a'\nany_name = true\nboxes = { models = ['*'] }\n"
                  "[[model]]\nname = 'b'\nany_name = true\nboxes = { models = ['*'] }\nfallback = [{ to = 'a' "
                  "}]\n") ==
-        "o:5: model.any_name: only one can take what no other is called\n"
-        "o:9: model.b.fallback.a: its boxes would hear the name of 'b'");
+        "o:5: model.any_name: only one model may accept any name\n"
+        "o:9: model.b.fallback.a: accepts any name, so its replicas would receive the name 'b'");
 }
 
 TEST_CASE("all errors of catalogue and budgets are reported, one line each with file, line and key") {
@@ -252,7 +252,7 @@
         "o:4: model.price.prompt: not a number\n"
         "o:4: model.price.made: outside 0..1000000\n"
         "o:5: model.fallback.when: 'rain' is none of: missing, overloaded, over-budget, too-long\n"
-        "o:5: model.a.fallback.b: no model is called so\n"
+        "o:5: model.a.fallback.b: no model is called 'b'\n"
         "o:6: model.c.base: no model is called 'x'\n"
         "o:9: alias.latest: no model is called 'z'\n"
         "o:12: budget.tokens: there is none\n"
