--- a/src/affinity/affinity_table.cpp
+++ b/src/affinity/affinity_table.cpp
@@ -12,8 +12,9 @@
       replicas_(options.max_replicas, options.answers_per_false_alarm),
       lookup_(table_, replicas_, options.lifetime),
       trust_(replicas_, journal_, metrics_, options.answers_per_false_alarm, observer) {
-  if (options.lifetime <= 0) throw std::invalid_argument("affinity table: a lifetime that is not positive");
-  if (options.max_replicas == 0) throw std::invalid_argument("affinity table: no box allowed");
+  if (options.lifetime <= 0) throw std::invalid_argument("affinity table: lifetime must be above 0");
+  if (options.max_replicas == 0)
+    throw std::invalid_argument("affinity table: max_replicas is 0; it must be at least 1");
 }
 
 CacheHint AffinityTable::find_hint(Time now, const Request& request) {
@@ -33,7 +34,7 @@
 Expectation AffinityTable::on_answer_started(Time now, const Request& request, ReplicaId replica) {
   const auto slot = replicas_.slot_of(replica);
   if (!slot) return {};
-  // In this order: recording the prompt makes the copy that the answer must not be compared with.
+  // The order matters: recording the prompt adds a copy that the answer must not be compared with.
   const Expectation expectation = lookup_.expectation(request, *slot, whole_seconds(now));
   recorder_.record_prompt(now, request, *slot);
   return expectation;
--- a/src/affinity/affinity_table.hpp
+++ b/src/affinity/affinity_table.hpp
@@ -1,12 +1,11 @@
 // The affinity table: which replica is believed to hold which cached prompt.
 //
-// It learns from complete answers and from discovery's endpoint list, and gives the routing policy a cache
-// hint with each request. The policy still decides: a hint changes nothing if its replica is outside the
-// interval of the request's size, or clearly busier than the others. No I/O; the caller passes the time. Not
-// thread-safe.
+// The table learns from complete answers and from discovery's endpoint list, and gives the routing policy a
+// cache hint with each request. The policy still decides: a hint changes nothing if its replica is outside
+// the interval of the request's size, or clearly busier than the others. No I/O; the caller passes the time.
+// Not thread-safe.
 //
-// This class is the facade of three parts: CopyLookup (lookup), CopyRecorder (learning) and TrustTracker
-// (trust).
+// This class is the facade of CopyLookup (lookup), CopyRecorder (learning) and TrustTracker (trust).
 #pragma once
 
 #include <cstdint>
@@ -24,9 +23,9 @@
 
 struct Options {
   TableLimits table;
-  std::size_t max_replicas = 4096;       // replicas beyond that have no entries; at most 65,535
-  Time lifetime = seconds(1'800);        // an entry unused for longer is dropped
-  double answers_per_false_alarm = 1e5;  // between false losses of trust, for each replica and for the fleet
+  std::size_t max_replicas = 4096;       // further replicas have no entries; at most 65,535
+  Time lifetime = seconds(1'800);        // entries unused for longer are dropped
+  double answers_per_false_alarm = 1e5;  // mean between false alarms, per replica and for the fleet
 };
 
 class AffinityTable {
@@ -35,38 +34,34 @@
   // observer is not owned and may be null.
   explicit AffinityTable(const Options& options, Observer* observer = nullptr);
 
-  // The parts refer to each other.
+  // Not copyable: the members refer to each other.
   AffinityTable(const AffinityTable&) = delete;
   AffinityTable& operator=(const AffinityTable&) = delete;
 
-  // ------------------------------------------------------------ with each request
-
-  // The hint for the routing policy; `known` is false if there is none. Its tokens are the expected value:
-  // tokens of the copy times the probability that the copy is still there.
+  // Returns the cache hint for the routing policy; `has_replica` is false if there is none. The tokens of the
+  // hint are an expected value: tokens of the copy times the probability that the copy is still there.
   CacheHint find_hint(Time now, const Request& request);
 
-  // The first token of the answer arrived, so the replica has read the prompt and holds a copy from now on.
-  // Returns what was expected of its cache before that; the caller keeps it until the answer is complete.
+  // Called when the first token of an answer arrived, so the replica has read the prompt and holds a copy
+  // from now on. Returns what was expected of the replica's cache before that; the caller keeps this value
+  // until the answer is complete.
   Expectation on_answer_started(Time now, const Request& request, ReplicaId replica);
 
-  // The answer is complete: the replica found `cached_tokens` of the prompt in its cache and generated
-  // `generated_tokens`.
+  // Called when an answer is complete: the replica found `cached_tokens` of the prompt in its cache and
+  // generated `generated_tokens`.
   void on_answer_complete(Time now, const Request& request, ReplicaId replica, const Expectation& expectation,
                           double cached_tokens, double generated_tokens);
 
-  // ------------------------------------------------------------ discovery
-
   // Invalidates the copies of replicas that restarted or are no longer listed. A failed update changes
-  // nothing; a remembered list, which may be old, removes no replica.
+  // nothing. A cached list, which may be old, removes no replica.
   void on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries);
 
-  // ------------------------------------------------------------ across a stop
-
-  // Every later change is offered to this journal, which is not owned; null: to none.
+  // Sets the journal to which every later change is offered. The journal is not owned; null: changes are not
+  // stored.
   void set_journal(Journal* journal) { journal_.set_journal(journal); }
 
-  // Restore stored entries before the first request, replicas first. False if the slot or the id is in use,
-  // or the table is full. Copies of replicas that were not restored are not valid.
+  // Restore stored entries before the first request, replicas first. Return false if the slot or the id is in
+  // use, or the table is full. Copies of replicas that were not restored are not valid.
   bool restore_replica(Slot slot, const Replica& replica) { return replicas_.restore(slot, replica); }
   bool restore_session(std::uint64_t key, const Session& session) {
     return recorder_.restore_session(key, session);
@@ -75,17 +70,15 @@
     return recorder_.restore_prefix(key, prefix);
   }
 
-  // Call after the last restored entry: accounts for what happened while this router was down. A clock that
-  // was set back counts as no time.
+  // Must be called after the last restored entry: accounts for what happened while this router was down. If
+  // the clock was set back, no time is assumed to have passed.
   void finish_restore(Time now);
 
-  // ------------------------------------------------------------ for operators
-
   const Metrics& metrics() const { return metrics_; }
   const EntryTable& table() const { return table_; }
   ReplicaRegistry& replicas() { return replicas_; }
   const ReplicaRegistry& replicas() const { return replicas_; }
-  // False from the loss of the fleet's copies until every replica is trusted again.
+  // False from the detected loss of the copies of the fleet until every replica is trusted again.
   bool fleet_trusted() const { return trust_.fleet_trusted(); }
 
  private:
--- a/src/affinity/bounded_map.hpp
+++ b/src/affinity/bounded_map.hpp
@@ -47,9 +47,9 @@
  public:
   using Key = std::uint64_t;
 
-  // Throws std::invalid_argument if there is no room for a single entry.
+  // Throws std::invalid_argument if `capacity` is 0.
   BoundedMap(std::size_t capacity, Eviction eviction, std::uint64_t seed)
-      : capacity_(checked(capacity)),
+      : capacity_(validated(capacity)),
         eviction_(eviction),
         seed_(seed),
         bucket_count_(std::bit_ceil(capacity_)),
@@ -78,23 +78,23 @@
     return capacity_ * sizeof(Entry) + bucket_count_ * sizeof(Bucket) + sketch_.bytes();
   }
   std::uint64_t evicted() const { return evicted_; }
-  // Entries in the fullest bucket: the most that one call compares. Visits all buckets, so it is for tests
-  // and tools and not for the router's loop.
+  // The number of entries in the fullest bucket: the maximum that one call compares. Visits all buckets, so
+  // it is for tests and tools and not for the router's loop.
   std::size_t largest_bucket() const {
-    std::size_t largest = 0;
+    std::size_t max_size = 0;
     for (std::size_t i = 0; i < bucket_count_; ++i)
-      largest = std::max<std::size_t>(largest, index_.bucket_size(i));
-    return largest;
+      max_size = std::max<std::size_t>(max_size, index_.bucket_size(i));
+    return max_size;
   }
 
-  // Null if there is no such entry. Does not count as a use.
+  // Returns the value of this key; null if there is none. Does not count as a use.
   Value* find(Key key) {
     const auto found = index_.find(key, Hash{seed_}, Equal{});
     return found == index_.end() ? nullptr : &found->value;
   }
   const Value* find(Key key) const { return const_cast<BoundedMap*>(this)->find(key); }
 
-  // Null if there is no such entry. Counts as a use: the entry is evicted later.
+  // Returns the value of this key; null if there is none. Counts as a use: the entry is evicted later.
   Value* use(Key key) {
     const auto found = index_.find(key, Hash{seed_}, Equal{});
     if (eviction_ == Eviction::tinylfu) sketch_.add(seeded_hash(key, seed_));
@@ -103,8 +103,8 @@
     return &found->value;
   }
 
-  // The value of this key, inserted if there is none. In a full map that evicts another entry: `on_evict(key,
-  // value)` is called first. Counts as a use.
+  // Returns the value of this key, inserted if there is none. In a full map this evicts another entry, after
+  // a call of `on_evict(key, value)`. Counts as a use.
   template <typename OnEvict>
   Value& put(Key key, OnEvict on_evict) {
     if (Value* found = use(key)) return *found;
@@ -118,7 +118,7 @@
     return put(key, [](Key, const Value&) {});
   }
 
-  // False if there is no such entry.
+  // Returns false if there is no such entry.
   bool erase(Key key) {
     const auto found = index_.find(key, Hash{seed_}, Equal{});
     if (found == index_.end()) return false;
@@ -132,14 +132,14 @@
     }
   }
 
-  // Visits the next `max_places` places of the slab, in turn, and drops each entry for which
-  // `should_drop(key, value)` returns true. Returns the number of dropped entries. Called with a few places
-  // for each request, it visits all entries without a pause.
+  // Visits the next `max_slots` slots of the slab, in turn, and drops each entry for which `should_drop(key,
+  // value)` returns true. Returns the number of dropped entries. Called with a few slots for each request, it
+  // visits all entries without a pause.
   template <typename Predicate>
-  std::size_t sweep(std::size_t max_places, Predicate should_drop) {
+  std::size_t sweep(std::size_t max_slots, Predicate should_drop) {
     std::size_t dropped = 0;
-    for (std::size_t i = 0; i < max_places && touched_ > 0; ++i) {
-      if (sweep_position_ >= touched_) sweep_position_ = 0;
+    for (std::size_t i = 0; i < max_slots && constructed_ > 0; ++i) {
+      if (sweep_position_ >= constructed_) sweep_position_ = 0;
       Entry& entry = slab_[sweep_position_];
       ++sweep_position_;
       if (entry.segment == Segment::free || !should_drop(entry.key, entry.value)) continue;
@@ -152,7 +152,7 @@
   // Calls `visit(key, value)` for each entry, in the order of the slab.
   template <typename Visit>
   void for_each(Visit visit) const {
-    for (std::size_t i = 0; i < touched_; ++i) {
+    for (std::size_t i = 0; i < constructed_; ++i) {
       if (slab_[i].segment != Segment::free) visit(slab_[i].key, slab_[i].value);
     }
   }
@@ -182,8 +182,8 @@
   using Bucket = typename Index::bucket_type;
   using List = boost::intrusive::list<Entry, boost::intrusive::constant_time_size<true>>;
 
-  static std::size_t checked(std::size_t capacity) {
-    if (capacity == 0) throw std::invalid_argument("a table without room for one entry");
+  static std::size_t validated(std::size_t capacity) {
+    if (capacity == 0) throw std::invalid_argument("bounded map: capacity is 0; it must be at least 1");
     return capacity;
   }
 
@@ -194,7 +194,7 @@
     entry.segment = segment;
     list(segment).push_back(entry);
     if (segment != Segment::protected_entries) return;
-    // As in the paper, the protected list takes four fifths; a fifth is left for entries on probation.
+    // As in the paper, the protected list takes four fifths; a fifth remains for entries on probation.
     while (list(segment).size() > std::max<std::size_t>(1, capacity_ * 4 / 5)) {
       Entry& oldest = list(segment).front();
       list(segment).pop_front();
@@ -223,23 +223,23 @@
         !list(Segment::probation).empty() ? list(Segment::probation) : list(Segment::protected_entries);
     if (eviction_ != Eviction::tinylfu) return main.front();
     if (window.size() < window_capacity() && !main.empty()) return main.front();
-    Entry& newcomer = window.front();
-    if (main.empty()) return newcomer;
+    Entry& candidate = window.front();
+    if (main.empty()) return candidate;
     Entry& oldest = main.front();
-    if (sketch_.estimate(seeded_hash(newcomer.key, seed_)) <=
+    if (sketch_.estimate(seeded_hash(candidate.key, seed_)) <=
         sketch_.estimate(seeded_hash(oldest.key, seed_))) {
-      return newcomer;
+      return candidate;
     }
     window.pop_front();
-    push(newcomer, Segment::probation);
+    push(candidate, Segment::probation);
     return oldest;
   }
 
   // A tenth of the map is a plain queue of new entries: a session's second request must still find its entry.
   std::size_t window_capacity() const { return std::max<std::size_t>(1, capacity_ / 10); }
 
-  // Moves the oldest entries out of a window that is too large. While the map has room there is no admission
-  // test.
+  // Moves the oldest entries out of a window that is too large. There is no admission test while the map has
+  // free slots.
   void shrink_window() {
     List& window = list(Segment::window);
     while (window.size() > window_capacity()) {
@@ -249,18 +249,18 @@
     }
   }
 
-  // A new entry at a free place of the slab, in the index but in no list yet.
+  // Constructs a new entry in a free slot of the slab; the entry is in the index but in no list yet.
   Entry& insert(Key key) {
-    Entry* place = nullptr;
+    Entry* slot = nullptr;
     if (!free_.empty()) {
-      place = &free_.front();
+      slot = &free_.front();
       free_.pop_front();
-      place->~Entry();
+      slot->~Entry();
     } else {
-      place = &slab_[touched_];
-      ++touched_;
+      slot = &slab_[constructed_];
+      ++constructed_;
     }
-    Entry& entry = *new (place) Entry;
+    Entry& entry = *new (slot) Entry;
     entry.key = key;
     index_.insert(entry);
     ++size_;
@@ -284,11 +284,11 @@
   Entry* slab_;  // owned; entries are constructed as they are needed
   Index index_;
   std::array<List, 3> lists_;  // one for each segment but `free`; least recently used entry first
-  List free_;                  // places that can be used again
+  List free_;                  // slots that can be reused
   FrequencySketch sketch_;
   std::size_t size_ = 0;
-  std::size_t touched_ = 0;         // places of the slab that have ever held an entry
-  std::size_t sweep_position_ = 0;  // place that the next sweep visits first
+  std::size_t constructed_ = 0;     // slots of the slab that have ever held an entry
+  std::size_t sweep_position_ = 0;  // slot that the next sweep visits first
   std::uint64_t evicted_ = 0;
 };
 
--- a/src/affinity/cache_hit_estimator.cpp
+++ b/src/affinity/cache_hit_estimator.cpp
@@ -21,14 +21,15 @@
 
 double loss_log_likelihood_ratio(double probability, CacheOutcome outcome) {
   const bool hit = outcome == CacheOutcome::hit;
-  const double hit_predicted = clamp_prediction(probability);
-  const double as_predicted = hit ? hit_predicted : 1 - hit_predicted;
-  const double as_gone = hit ? kHitRateWhenGone : 1 - kHitRateWhenGone;
-  return std::log(as_gone / as_predicted);
+  const double hit_probability = clamp_prediction(probability);
+  const double probability_as_predicted = hit ? hit_probability : 1 - hit_probability;
+  const double probability_if_gone = hit ? kHitRateWhenGone : 1 - kHitRateWhenGone;
+  return std::log(probability_if_gone / probability_as_predicted);
 }
 
 LossTest::LossTest(double answers_per_false_alarm) : threshold_(std::log(answers_per_false_alarm)) {
-  if (!(answers_per_false_alarm > 1)) throw std::invalid_argument("false alarms in every answer");
+  if (!(answers_per_false_alarm > 1))
+    throw std::invalid_argument("loss test: answers_per_false_alarm must be above 1");
 }
 
 bool LossTest::add(double probability, CacheOutcome outcome) {
@@ -44,7 +45,7 @@
     : recovered_threshold_(std::log((1 - false_doubt) / false_trust)),
       lost_threshold_(std::log(false_doubt / (1 - false_trust))) {
   if (!is_error_rate(false_trust) || !is_error_rate(false_doubt))
-    throw std::invalid_argument("error rate outside (0, 0.5)");
+    throw std::invalid_argument("recovery test: an error rate is outside (0, 0.5)");
 }
 
 Verdict RecoveryTest::add(double probability, CacheOutcome outcome) {
--- a/src/affinity/cache_hit_estimator.hpp
+++ b/src/affinity/cache_hit_estimator.hpp
@@ -17,7 +17,7 @@
 
 namespace thornwick::affinity {
 
-// Share of the expected copies that are found though all copies are gone: by chance, or because of other
+// Fraction of the expected copies that are found although all copies are gone: by chance, or because of other
 // routers.
 inline constexpr double kHitRateWhenGone = 0.05;
 // Predictions are limited to this range.
@@ -33,18 +33,18 @@
 // probability.
 double loss_log_likelihood_ratio(double probability, CacheOutcome outcome);
 
-// Detects that copies are gone.
+// Detects that the copies on a replica, or in the fleet, are gone.
 class LossTest {
  public:
   // Throws std::invalid_argument unless `answers_per_false_alarm` is above 1.
   explicit LossTest(double answers_per_false_alarm);
 
-  // Adds an answer whose hit was predicted with this probability. True if that raises the alarm; the test
-  // then begins again.
+  // Adds an answer whose hit was predicted with this probability. Returns true if that raises the alarm; the
+  // test then starts again.
   bool add(double probability, CacheOutcome outcome);
   void reset() { sum_ = 0; }
-  // Fast initial response (Lucas and Crosier 1982): the test begins half way to the alarm. For copies that
-  // were recorded long ago.
+  // Fast initial response (Lucas and Crosier 1982): the test starts half way to the alarm. Meant for copies
+  // that were recorded long ago.
   void head_start() { sum_ = threshold_ / 2; }
 
  private:
@@ -63,7 +63,7 @@
   // With the rates 0.001 and 0.01.
   RecoveryTest();
 
-  // Adds an answer whose hit was predicted with this probability. After a verdict the test begins again.
+  // Adds an answer whose hit was predicted with this probability. After a verdict the test starts again.
   Verdict add(double probability, CacheOutcome outcome);
   void reset() { sum_ = 0; }
 
@@ -75,48 +75,48 @@
 
 // How long copies survive on one replica: each is evicted at a constant rate for each token that this router
 // has sent to the replica since. The unit is tokens and not time because a replica evicts when it needs the
-// room; only this router's own tokens count because it does not know those of others, and its share of them
-// is about constant.
+// memory. Only the tokens of this router count because it does not know those of other routers, and its share
+// of them is about constant.
 //
 // The rate is the mean of a Gamma posterior with exponential forgetting: a miss is an event half way through
 // the age, a hit is exposure without an event.
 class Survival {
  public:
-  // Probability that a copy is still there after so many tokens. Negative counts are taken as 0.
+  // The probability that a copy is still there after so many tokens. Negative counts are taken as 0.
   double probability_after(double tokens) const;
   // Adds an answer whose copy had this age in tokens.
   void learn(double age_tokens, CacheOutcome outcome);
-  // Tokens after which half of the copies are gone.
+  // The number of tokens after which half of the copies are gone.
   double half_life() const;
 
  private:
   static constexpr double kPriorEvents = 0.5;
   static constexpr double kPriorTokens = 200'000;
-  static constexpr double kForgetting =
-      0.99;  // weight kept with each answer: about the last 100 answers count
+  static constexpr double kForgetting = 0.99;  // per answer: about the last 100 answers count
 
   double events_ = 0;
   double tokens_ = 0;
 };
 
-// The share of predicted hits that occurred, with its bounds, over about the last 200 answers.
+// The fraction of predicted hits that occurred, with its bounds, over about the last 200 answers.
 class Calibration {
  public:
   // Adds an answer whose hit was predicted with this probability.
   void learn(double probability, CacheOutcome outcome);
-  // Factor by which predictions are to be multiplied, in (0, 1]; 1 before the first answer.
+  // The factor by which to multiply predictions, in (0, 1]; 1 before the first answer.
   double factor() const;
 
   struct Bounds {
     double low;
     double high;
   };
-  // Credible interval of the hit rate: the beta posterior with Jeffreys' prior. `confidence` is in (0, 1).
+  // The credible interval of the hit rate: the beta posterior with Jeffreys' prior. `confidence` is in (0,
+  // 1).
   Bounds bounds(double confidence) const;
 
  private:
   static constexpr double kForgetting = 0.995;
-  static constexpr double kPriorHits = 8;  // hits that were predicted and occurred before the first answer
+  static constexpr double kPriorHits = 8;  // assumed predicted hits before the first answer
 
   double answers_ = 0;
   double predicted_ = 0;
--- a/src/affinity/copy_lookup.cpp
+++ b/src/affinity/copy_lookup.cpp
@@ -9,10 +9,10 @@
 namespace thornwick::affinity {
 namespace {
 
-constexpr float kPopularityWindow = 1024;  // requests over which the count of a prefix' requests decays
-constexpr double kCopiesPerShare = 2;      // copies wanted for each replica's fair share of the requests
-// The prefix is looked up unless the session's copy promises this share of the prefix' tokens: a likely copy
-// of the prefix is better than an unlikely one of the session.
+constexpr float kPopularityWindow = 1024;  // requests over which the count of a prefix's requests decays
+constexpr double kCopiesPerShare = 2;      // target copies for each replica's fair share of the requests
+// The prefix is looked up unless the expected tokens of the session's copy reach this fraction of the
+// prefix's tokens: a likely copy of the prefix is better than an unlikely one of the session.
 constexpr double kSessionCopySuffices = 0.5;
 
 }  // namespace
@@ -20,14 +20,14 @@
 bool CopyLookup::is_valid(const Copy& copy, std::uint32_t now_s) const {
   if (copy.replica >= replicas_.slots()) return false;
   const Replica& replica = replicas_.at(copy.replica);
-  // A time of use in the future was written before the clock was set back: the copy is not old.
+  // If the last use is in the future, the clock was set back after it: the copy is not old.
   const std::uint32_t idle_s = now_s > copy.last_used_s ? now_s - copy.last_used_s : 0;
   return replica.in_use && replica.epoch == copy.epoch && idle_s <= lifetime_ / 1'000'000;
 }
 
 double CopyLookup::age_in_tokens(const Copy& copy) const {
-  // Both readings wrap. Their difference is right as long as copies age out before their replica has read 137
-  // billion tokens.
+  // Both readings wrap. Their difference is correct as long as copies age out before their replica has read
+  // 137 billion tokens.
   const std::uint32_t reading = odometer_reading(replicas_.at(copy.replica).sent_tokens);
   const auto units = static_cast<std::int32_t>(reading - copy.odometer);
   return kTokensPerOdometerUnit * std::max(0, units);
@@ -38,7 +38,7 @@
   return replica.survival.probability_after(age_in_tokens(copy)) * replica.calibration.factor();
 }
 
-// An empty match if the copy is not valid or its replica accepts no new requests.
+// Returns an empty match if the copy is not valid or its replica accepts no new requests.
 CopyMatch CopyLookup::match(const Copy& copy, double max_tokens, std::uint32_t now_s) const {
   if (!is_valid(copy, now_s) || replicas_.at(copy.replica).state != EndpointState::ready) return {};
   return {&copy, std::min<double>(copy.tokens, max_tokens), survival_probability(copy)};
@@ -56,7 +56,7 @@
 
 // Counts a request with this prefix, and returns how many replicas should hold the prefix before requests are
 // drawn to them: in proportion to its share of the recent requests.
-double CopyLookup::wanted_prefix_copies(Prefix& prefix) {
+double CopyLookup::target_prefix_copies(Prefix& prefix) {
   const auto requests_since = static_cast<float>(request_number_ - prefix.last_request);
   prefix.recent_requests = prefix.recent_requests * std::exp(-requests_since / kPopularityWindow) + 1;
   prefix.last_request = request_number_;
@@ -64,12 +64,12 @@
   return kCopiesPerShare * prefix.recent_requests / all_requests * static_cast<double>(replicas_.size());
 }
 
-// One of the replicas that hold the prefix, chosen by weighted rendezvous hashing of the session. Returns no
+// Selects one of the replicas that hold the prefix, by weighted rendezvous hashing of the session. Returns no
 // match while too few replicas hold a popular prefix: otherwise all requests would go to the first replica
 // that has it, above all after every copy was lost. Until then the routing policy distributes the requests by
 // their keys.
 CopyMatch CopyLookup::select_prefix_copy(Prefix& prefix, const Request& request, std::uint32_t now_s) {
-  const double wanted = wanted_prefix_copies(prefix);
+  const double target_copies = target_prefix_copies(prefix);
   CopyMatch selected;
   double best_score = std::numeric_limits<double>::infinity();
   std::size_t available = 0;
@@ -85,9 +85,9 @@
       selected = candidate;
     }
   }
-  const std::size_t possible = std::min<std::size_t>(kPrefixCopies, replicas_.size());
-  const double required = std::min(wanted, static_cast<double>(possible));
-  return static_cast<double>(available) < required ? CopyMatch{} : selected;
+  const std::size_t max_copies = std::min<std::size_t>(kPrefixCopies, replicas_.size());
+  const double required_copies = std::min(target_copies, static_cast<double>(max_copies));
+  return static_cast<double>(available) < required_copies ? CopyMatch{} : selected;
 }
 
 LookupResult CopyLookup::find(const Request& request, std::uint32_t now_s) {
@@ -114,7 +114,7 @@
     if (copy == nullptr || !is_valid(*copy, now_s)) return;
     const double tokens = std::min<double>(copy->tokens, max_tokens);
     if (tokens < result.tokens + kMinCachedTokens) return;
-    // The tokens of the prefix alone do not prove that the session's own copy is there.
+    // Cached tokens of the prefix alone do not prove that the session's own copy is there.
     const double min_hit_tokens = result.tokens + (tokens - result.tokens) / 2;
     result = {.tokens = tokens,
               .confidence = clamp_prediction(survival_probability(*copy)),
--- a/src/affinity/copy_lookup.hpp
+++ b/src/affinity/copy_lookup.hpp
@@ -9,7 +9,8 @@
 
 namespace thornwick::affinity {
 
-// Fewer cached tokens are within a replica's block size: they are neither looked up nor expected.
+// Below this number, cached tokens are within a replica's block size: they are neither looked up nor
+// expected.
 inline constexpr double kMinCachedTokens = 64;
 
 // A cached copy that a request could use.
@@ -23,17 +24,16 @@
 
 struct LookupResult {
   CopyMatch match;
-  std::uint32_t cached_size =
-      0;  // size at which the session was placed, in tokens; 0: no copy of the session
+  std::uint32_t cached_size = 0;  // tokens when the session was placed; 0: there is no copy of it
 };
 
 // The cached tokens that an answer should report, as predicted when its first token arrived.
 struct Expectation {
   double tokens = 0;          // of the prompt; 0: nothing is expected
   double confidence = 0;      // probability of a hit, limited by clamp_prediction
-  double min_hit_tokens = 0;  // the answer is a hit if it reports so many cached tokens or more
+  double min_hit_tokens = 0;  // the answer is a hit if it reports at least so many cached tokens
   double age_tokens = 0;      // tokens sent to the replica since the copy was used
-  Epoch epoch = 0;            // of the replica's slot; if that has changed since, the answer proves nothing
+  Epoch epoch = 0;            // of the replica's slot; if it has changed since, the answer is ignored
 };
 
 // Reads the entry table. Does not own the table or the registry; both must outlive the lookup.
@@ -43,14 +43,14 @@
   CopyLookup(EntryTable& table, ReplicaRegistry& replicas, Time lifetime)
       : table_(table), replicas_(replicas), lifetime_(lifetime) {}
 
-  // The copy from which the most tokens are expected: the session's own, or one of the shared prefix. Counts
-  // as a use of both entries. `now_s` is in seconds.
+  // Finds the copy from which the most tokens are expected: the session's own, or one of the shared prefix.
+  // Counts as a use of both entries. `now_s` is in seconds.
   [[nodiscard]] LookupResult find(const Request& request, std::uint32_t now_s);
 
-  // What the replica in `slot` is expected to report of this prompt, whatever made the policy choose it.
+  // Predicts what the replica in `slot` will report of this prompt, for whatever reason the policy chose it.
   [[nodiscard]] Expectation expectation(const Request& request, Slot slot, std::uint32_t now_s) const;
 
-  // Whether the copy's replica still has the copy's epoch and the copy is not too old.
+  // Whether the copy has the current epoch of its replica's slot and is not too old.
   bool is_valid(const Copy& copy, std::uint32_t now_s) const;
 
   template <std::size_t N>
@@ -65,7 +65,7 @@
   CopyMatch match(const Copy& copy, double max_tokens, std::uint32_t now_s) const;
   CopyMatch best_session_copy(const Session& session, const Request& request, std::uint32_t now_s) const;
   CopyMatch select_prefix_copy(Prefix& prefix, const Request& request, std::uint32_t now_s);
-  double wanted_prefix_copies(Prefix& prefix);
+  double target_prefix_copies(Prefix& prefix);
 
   EntryTable& table_;
   ReplicaRegistry& replicas_;
--- a/src/affinity/copy_recorder.cpp
+++ b/src/affinity/copy_recorder.cpp
@@ -8,7 +8,7 @@
 namespace thornwick::affinity {
 namespace {
 
-constexpr std::size_t kSweptEntries = 4;       // of each table, with every answer
+constexpr std::size_t kSweptEntries = 4;       // entries of each table that are visited with every answer
 constexpr double kRateWindow = 30e6;           // microseconds over which a replica's token rate is smoothed
 constexpr std::uint64_t kAnswersPerSave = 64;  // answers between two saves of a replica's odometer
 constexpr double kMicrosecondsPerSecond = 1e6;
@@ -72,7 +72,7 @@
   sweep_entries(table_.prefixes(), whole_seconds(now));
 }
 
-// An invalidated epoch must reach the store: with the old one, invalid copies would be valid after the next
+// An invalidated epoch must reach the store: with the old epoch, invalid copies would be valid after the next
 // start.
 void CopyRecorder::retry_next_replica() {
   if (replicas_.slots() == 0) return;
@@ -90,8 +90,8 @@
   });
 }
 
-// A replica's odometer is saved less often than its copies: a restored copy may have a later reading, and the
-// replica has sent at least that.
+// A replica's odometer is saved less often than its copies, so a restored copy may have a later reading. The
+// replica was sent at least that many tokens.
 template <std::size_t N>
 void CopyRecorder::raise_odometers(const Copies<N>& copies) {
   for (const Copy& copy : copies.all()) {
--- a/src/affinity/entry_table.cpp
+++ b/src/affinity/entry_table.cpp
@@ -6,16 +6,17 @@
 namespace thornwick::affinity {
 
 std::size_t EntryTable::group_count(const TableLimits& limits) {
-  // The bytes are counted for the worst case: a bucket array, like a sketch, is rounded up to a power of two.
+  // The worst case is assumed for the bytes: a bucket array, like a sketch, is rounded up to a power of two.
   constexpr std::size_t kSketchBytesPerEntry = 8;
-  constexpr std::size_t kSmallestSketches = 64;  // bytes of both maps' sketches at their least size
-  const std::size_t sketch = limits.eviction == Eviction::tinylfu ? kSketchBytesPerEntry : 0;
-  const std::size_t session_bytes = BoundedMap<Session>::bytes_per_entry() + sketch;
-  const std::size_t prefix_bytes = BoundedMap<Prefix>::bytes_per_entry() + sketch;
+  constexpr std::size_t kMinSketchBytes = 64;  // bytes of both maps' sketches at their minimum size
+  const std::size_t sketch_bytes = limits.eviction == Eviction::tinylfu ? kSketchBytesPerEntry : 0;
+  const std::size_t session_bytes = BoundedMap<Session>::bytes_per_entry() + sketch_bytes;
+  const std::size_t prefix_bytes = BoundedMap<Prefix>::bytes_per_entry() + sketch_bytes;
   const std::size_t group_bytes = kSessionsPerPrefix * session_bytes + prefix_bytes;
-  const std::size_t usable_bytes = limits.bytes > kSmallestSketches ? limits.bytes - kSmallestSketches : 0;
+  const std::size_t usable_bytes = limits.bytes > kMinSketchBytes ? limits.bytes - kMinSketchBytes : 0;
   const std::size_t groups = std::min(usable_bytes / group_bytes, limits.entries / (kSessionsPerPrefix + 1));
-  if (groups == 0) throw std::invalid_argument("affinity table: the limits leave no room for an entry");
+  if (groups == 0)
+    throw std::invalid_argument("affinity table: entries or bytes allow no session and prefix");
   return groups;
 }
 
--- a/src/affinity/entry_table.hpp
+++ b/src/affinity/entry_table.hpp
@@ -21,17 +21,18 @@
 // A prompt, or its beginning, that a replica is believed to have cached.
 struct Copy {
   std::uint32_t tokens = 0;  // of the prompt
-  std::uint32_t odometer =
-      0;  // reading of its replica's odometer at the last use, in units of 64 tokens; wraps
+  // Reading of the replica's odometer at the last use, in units of 64 tokens; wraps.
+  std::uint32_t odometer = 0;
   std::uint32_t last_used_s = 0;  // time of the last use, in seconds of the caller's clock
   Slot replica = 0;
   Epoch epoch = 0;  // of the slot when the copy was made
 };
 
-// A session that migrates to a neighbour leaves a copy on two replicas; a third is for one that was used
-// once.
+// A session that migrates to a neighbouring replica leaves a copy on two replicas; a third is for a replica
+// that was used once.
 inline constexpr std::size_t kSessionCopies = 3;
-// The most recently used ones. A popular prefix is on more replicas, but is found on these.
+// Only the most recently used copies are stored. A popular prefix is on more replicas, but these suffice to
+// find it.
 inline constexpr std::size_t kPrefixCopies = 8;
 
 // At most N copies, each on another replica.
@@ -42,15 +43,15 @@
 
   std::span<Copy> all() { return {items.data(), count}; }
   std::span<const Copy> all() const { return {items.data(), count}; }
-  // Null if there is no copy on this replica from this epoch.
+  // Returns the copy on this replica from this epoch; null if there is none.
   Copy* find(Slot replica, Epoch epoch) {
     for (Copy& copy : all()) {
       if (copy.replica == replica && copy.epoch == epoch) return &copy;
     }
     return nullptr;
   }
-  // The entry to write a copy on this replica to: the replica's own, an unused one, or the least recently
-  // used.
+  // The element to write a copy on this replica to: the one of this replica, an unused one, or the least
+  // recently used.
   Copy& copy_for(Slot replica) {
     Copy* oldest = items.data();
     for (Copy& copy : all()) {
@@ -79,8 +80,8 @@
 };
 
 struct TableLimits {
-  std::size_t entries = 1'000'000;  // at most, of sessions and prefixes together
-  std::size_t bytes = 12 << 20;     // reserved at most, by both maps together
+  std::size_t entries = 1'000'000;  // maximum of sessions and prefixes together
+  std::size_t bytes = 12 << 20;     // maximum that both maps together reserve
   Eviction eviction = Eviction::lru;
   std::uint64_t seed = 0;  // of the hash
 };
@@ -99,7 +100,7 @@
   std::size_t bytes() const { return sessions_.bytes() + prefixes_.bytes(); }
 
  private:
-  // Many sessions share few prefixes.
+  // Sessions for each prefix: many sessions share few prefixes.
   static constexpr std::size_t kSessionsPerPrefix = 15;
   // The number of groups, of one prefix and its sessions each, that fit into both limits.
   static std::size_t group_count(const TableLimits& limits);
--- a/src/affinity/frequency_sketch.hpp
+++ b/src/affinity/frequency_sketch.hpp
@@ -2,8 +2,8 @@
 // with four-bit counters, sixteen to a 64-bit word, as in TinyLFU (Einziger et al. 2017, section 3.2).
 //
 // TinyLFU halves all counters at once after a sample, which is a pause of milliseconds with a million
-// entries. Here every few additions halve the counters of the next word in turn: over a sample each counter
-// is halved once as well.
+// entries. This sketch halves the counters of the next word in turn after every few additions, so that over a
+// sample each counter is halved once as well.
 #pragma once
 
 #include <algorithm>
@@ -32,14 +32,14 @@
     words_[next_word_] = (words_[next_word_] >> 1) & kHalvedCounters;
   }
 
-  // Recent uses of the key with this hash, 0 to 15. Too high if other keys share all of its counters, never
-  // too low.
+  // The number of recent uses of the key with this hash, 0 to 15. Too high if other keys share all of its
+  // counters, never too low.
   unsigned estimate(std::uint64_t hash) const {
-    unsigned least = kMaxCount;
+    unsigned min_count = kMaxCount;
     for (unsigned row = 0; row < kRows; ++row) {
-      least = std::min(least, value(position(hash, row)));
+      min_count = std::min(min_count, value(position(hash, row)));
     }
-    return least;
+    return min_count;
   }
 
   std::size_t bytes() const { return words_.size() * sizeof(std::uint64_t); }
@@ -70,7 +70,7 @@
 
   std::vector<std::uint64_t> words_;
   std::size_t additions_since_halving_ = 0;
-  std::size_t next_word_ = 0;  // whose counters were halved last
+  std::size_t next_word_ = 0;  // word whose counters were halved last
 };
 
 }  // namespace thornwick::affinity
--- a/src/affinity/journal.hpp
+++ b/src/affinity/journal.hpp
@@ -1,5 +1,5 @@
 // Persistence of the affinity table's changes: the interface of a store, and the writer that the table's
-// parts share.
+// classes share.
 #pragma once
 
 #include <cstdint>
@@ -41,7 +41,7 @@
     replica.unsaved = journal_ != nullptr && !journal_->save_replica(slot, replica);
   }
 
-  // False if the journal did not accept the removal. The entry's type selects the journal's table.
+  // Returns false if the journal did not accept the removal. The entry's type selects the journal's table.
   bool erase(std::uint64_t key, const Session&) {
     return journal_ == nullptr || journal_->remove_session(key);
   }
--- a/src/affinity/metrics.hpp
+++ b/src/affinity/metrics.hpp
@@ -1,4 +1,4 @@
-// Counters of the affinity table. They only grow, and are not kept across a stop.
+// Counters of the affinity table. They only grow, and are lost when the router stops.
 #pragma once
 
 #include <cstdint>
--- a/src/affinity/odometer.hpp
+++ b/src/affinity/odometer.hpp
@@ -2,8 +2,8 @@
 // last use.
 //
 // A replica's odometer counts the tokens that this router made the replica read or generate. The age of a
-// copy is the distance that the odometer has moved since the copy was used. Both readings are 32 bits wide to
-// keep an entry small.
+// copy is the distance that the odometer has advanced since the copy was used. Both readings are 32 bits wide
+// to keep an entry small.
 #pragma once
 
 #include <algorithm>
--- a/src/affinity/replica_registry.hpp
+++ b/src/affinity/replica_registry.hpp
@@ -1,5 +1,5 @@
-// The replicas that copies can be on: for each its epoch, how many tokens were sent to it, how long copies
-// survive there, and whether predictions about its cache are trusted.
+// The registry of the replicas that copies can be on: for each its epoch, the number of tokens sent to it,
+// how long copies survive there, and whether predictions about its cache are trusted.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -23,14 +23,14 @@
   bool unsaved = false;  // the journal has not accepted the latest state yet
   EndpointState state = EndpointState::ready;
   Time started_at = 0;  // start of the replica according to discovery; 0: unknown
-  Epoch epoch = 0;  // stays in the slot after the replica is removed, so that no old copy becomes valid again
+  Epoch epoch = 0;      // stays in the slot after the replica is removed, so that no old copy becomes valid
   double sent_tokens = 0;  // odometer: tokens that this router made the replica read or generate
   Time last_sent_at = 0;   // when `sent_tokens` last grew; 0: never
-  double sent_tokens_per_s =
-      0;  // smoothed growth of `sent_tokens`, tokens a second: what is assumed while this router is down
+  // Smoothed growth of `sent_tokens`, assumed for the time while this router is down.
+  double sent_tokens_per_s = 0;
   Survival survival;
   Calibration calibration;
-  LossTest loss_test{2};  // replaced by one with the table's rate of false alarms
+  LossTest loss_test{2};  // placeholder; the registry sets the rate of false alarms
   RecoveryTest recovery_test;
   TrustState trust_state = TrustState::trusted;
   std::uint64_t answers = 0;  // complete answers
@@ -43,11 +43,12 @@
 // Assigns a slot to each replica. References to a replica are valid until the next admission or restoration.
 class ReplicaRegistry {
  public:
-  // At most `max_replicas` at once, and never more than 65,535. `answers_per_false_alarm`: of each replica's
-  // loss test.
+  // `max_replicas`: the maximum number of replicas at once; limited to 65,535. `answers_per_false_alarm`: for
+  // the loss test of each replica.
   ReplicaRegistry(std::size_t max_replicas, double answers_per_false_alarm);
 
-  // The slot of this replica; none if it was never listed, or was not admitted because all slots were in use.
+  // The slot of this replica; none if the replica was never listed, or was not admitted because all slots
+  // were in use.
   std::optional<Slot> slot_of(ReplicaId id) const;
   Replica& at(Slot slot) { return replicas_[slot]; }
   const Replica& at(Slot slot) const { return replicas_[slot]; }
@@ -56,9 +57,10 @@
   // Admissions that failed because all slots were in use.
   std::uint64_t rejected() const { return rejected_; }
 
-  // The slot of a listed replica, which is assigned if the replica has none; none if all slots are in use.
+  // Returns the slot of a listed replica, assigning one if needed; none if all slots are in use.
   std::optional<Slot> admit(ReplicaId id);
-  // Fills a slot as it was stored. False if the slot or the id is in use, or the slot is out of range.
+  // Restores a slot as it was stored. Returns false if the slot or the id is in use, or the slot is out of
+  // range.
   bool restore(Slot slot, const Replica& replica);
   // Removes the replica: invalidates its copies and frees the slot.
   void release(Slot slot);
--- a/src/affinity/trust_tracker.cpp
+++ b/src/affinity/trust_tracker.cpp
@@ -3,7 +3,7 @@
 namespace thornwick::affinity {
 namespace {
 
-constexpr std::uint64_t kHintsPerProbe = 4;  // of a replica on probation, one of so many hints is given
+constexpr std::uint64_t kHintsPerProbe = 4;  // one of so many hints about a replica on probation is given
 
 }  // namespace
 
@@ -27,22 +27,22 @@
   ++(hit ? replica.hits : replica.misses);
   replica.survival.learn(expectation.age_tokens, outcome);
   replica.calibration.learn(expectation.confidence, outcome);
-  if (fleet_loss_.add(expectation.confidence, outcome)) {
-    lose_fleet(now);
+  if (fleet_loss_test_.add(expectation.confidence, outcome)) {
+    on_fleet_loss(now);
     return;
   }
   if (replica.trust_state == TrustState::trusted) {
-    if (replica.loss_test.add(expectation.confidence, outcome)) lose_replica(now, slot);
+    if (replica.loss_test.add(expectation.confidence, outcome)) on_replica_loss(now, slot);
     return;
   }
   switch (replica.recovery_test.add(expectation.confidence, outcome)) {
     case Verdict::undecided: return;
-    case Verdict::lost: lose_replica(now, slot); return;
-    case Verdict::recovered: regain_replica(now, slot); return;
+    case Verdict::lost: on_replica_loss(now, slot); return;
+    case Verdict::recovered: on_replica_recovery(now, slot); return;
   }
 }
 
-void TrustTracker::lose_fleet(Time now) {
+void TrustTracker::on_fleet_loss(Time now) {
   ++metrics_.fleet_losses;
   fleet_trusted_ = false;
   replicas_.for_each([&](Slot slot, const Replica&) {
@@ -52,7 +52,7 @@
   if (observer_ != nullptr) observer_->on_fleet_copies_lost(now);
 }
 
-void TrustTracker::lose_replica(Time now, Slot slot) {
+void TrustTracker::on_replica_loss(Time now, Slot slot) {
   const bool was_trusted = replicas_.at(slot).trust_state == TrustState::trusted;
   replicas_.start_probation(slot);
   journal_.save_replica(slot);
@@ -61,7 +61,7 @@
   if (observer_ != nullptr) observer_->on_replica_copies_lost(now, replicas_.at(slot).id);
 }
 
-void TrustTracker::regain_replica(Time now, Slot slot) {
+void TrustTracker::on_replica_recovery(Time now, Slot slot) {
   Replica& replica = replicas_.at(slot);
   replica.trust_state = TrustState::trusted;
   replica.loss_test.reset();
@@ -76,7 +76,7 @@
 
 void TrustTracker::resume(std::size_t restored_entries) {
   replicas_.for_each([](Slot, Replica& replica) { replica.loss_test.head_start(); });
-  if (restored_entries > 0) fleet_loss_.head_start();
+  if (restored_entries > 0) fleet_loss_test_.head_start();
 }
 
 }  // namespace thornwick::affinity
--- a/src/affinity/trust_tracker.hpp
+++ b/src/affinity/trust_tracker.hpp
@@ -14,7 +14,8 @@
 
 namespace thornwick::affinity {
 
-// Is notified when trust is lost or regained, so that operators can see it.
+// Is notified when copies are found to be lost and when a replica is trusted again, so that operators can see
+// it.
 class Observer {
  public:
   virtual ~Observer() = default;
@@ -35,32 +36,32 @@
         journal_(journal),
         metrics_(metrics),
         observer_(observer),
-        fleet_loss_(answers_per_false_alarm) {}
+        fleet_loss_test_(answers_per_false_alarm) {}
 
-  // Whether the routing policy may get a hint about this replica. Of a replica on probation every fourth hint
-  // is given: without any, no answer would show that its copies are found again.
+  // Whether the routing policy may get a hint about this replica. For a replica on probation every fourth
+  // hint is given: without any, no answer would show that its copies are found again.
   [[nodiscard]] bool allow_hint(Slot slot);
 
-  // Compares an answer of the replica in `slot` with what was expected, which must be at least one token.
+  // Compares an answer of the replica in `slot` with the expectation, which must be at least one token.
   void learn(Time now, Slot slot, const Expectation& expectation, CacheOutcome outcome);
 
-  // After a restart: the tests begin half way to the alarm, so that a few answers show what was lost
-  // meanwhile. The fleet's test does so only if entries were restored.
+  // Called after a restart: the tests start half way to the alarm, so that a few answers show what was lost
+  // meanwhile. The test of the fleet does so only if entries were restored.
   void resume(std::size_t restored_entries);
 
-  // False from the loss of the fleet until every replica has left probation.
+  // False from the detected loss of the copies of the fleet until every replica has left probation.
   bool fleet_trusted() const { return fleet_trusted_; }
 
  private:
-  void lose_fleet(Time now);
-  void lose_replica(Time now, Slot slot);
-  void regain_replica(Time now, Slot slot);
+  void on_fleet_loss(Time now);
+  void on_replica_loss(Time now, Slot slot);
+  void on_replica_recovery(Time now, Slot slot);
 
   ReplicaRegistry& replicas_;
   JournalWriter& journal_;
   Metrics& metrics_;
   Observer* observer_;
-  LossTest fleet_loss_;
+  LossTest fleet_loss_test_;
   bool fleet_trusted_ = true;
 };
 
--- a/tests/affinity/affinity_table.cpp
+++ b/tests/affinity/affinity_table.cpp
@@ -1,4 +1,4 @@
-// The affinity table against simulated replicas that cache prompts, and lose them, by simple rules.
+// Tests the affinity table against simulated replicas that cache prompts, and lose them, by simple rules.
 #include "affinity/affinity_table.hpp"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -17,10 +17,10 @@
 struct CountingObserver : Observer {
   int fleet_losses = 0;
   int replica_losses = 0;
-  int regained = 0;
+  int recoveries = 0;
   void on_fleet_copies_lost(Time) override { ++fleet_losses; }
   void on_replica_copies_lost(Time, ReplicaId) override { ++replica_losses; }
-  void on_replica_recovered(Time, ReplicaId) override { ++regained; }
+  void on_replica_recovered(Time, ReplicaId) override { ++recoveries; }
 };
 
 Request make_request(std::uint64_t session, double prompt_tokens, std::uint64_t prefix = 0,
@@ -102,7 +102,7 @@
 
 TEST_CASE("a session's hint names the replica that answered it last, and the size at which it was placed") {
   TableFixture fixture;
-  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1000)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1000)).has_replica);
   fixture.answer(make_request(7, 1000), 3, 0);
   const CacheHint hint = fixture.affinity_table.find_hint(fixture.now, make_request(7, 1500));
   CHECK(hint.has_replica);
@@ -139,7 +139,7 @@
     fixture.update_replica(2, EndpointState::removed);
     fixture.update_replica(9, EndpointState::ready);
   }
-  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1500)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1500)).has_replica);
 }
 
 TEST_CASE("new sessions are spread over all replicas that have their prefix cached") {
@@ -172,9 +172,9 @@
   fixture.answer(make_request(7, 1000), 2, 0);
   const Time then = fixture.now;
   fixture.now -= seconds(3600);
-  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).known);
+  CHECK(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).has_replica);
   fixture.now = then + seconds(1801);
-  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).known);
+  CHECK_FALSE(fixture.affinity_table.find_hint(fixture.now, make_request(7, 1200)).has_replica);
   for (std::uint64_t i = 0; i < 200; ++i) fixture.answer(make_request(50, 100), 1, 0);
   CHECK(fixture.affinity_table.table().sessions().find(7) == nullptr);
   CHECK(fixture.affinity_table.metrics().expired == 1);
@@ -202,7 +202,7 @@
   CHECK(fleet.hints < 40);
   fleet.run(3000);
   CHECK(fleet.affinity_table.fleet_trusted());
-  CHECK(fleet.observer.regained == 8);
+  CHECK(fleet.observer.recoveries == 8);
   fleet.hints = 0;
   fleet.run(1000);
   CHECK(fleet.hints > 700);
@@ -230,5 +230,5 @@
   CHECK(affinity_table.replicas().rejected() == 1);
   const Expectation expectation = affinity_table.on_answer_started(kSecond, make_request(7, 1000), 3);
   affinity_table.on_answer_complete(kSecond, make_request(7, 1000), 3, expectation, 0, 10);
-  CHECK_FALSE(affinity_table.find_hint(kSecond, make_request(7, 1000)).known);
+  CHECK_FALSE(affinity_table.find_hint(kSecond, make_request(7, 1000)).has_replica);
 }
--- a/tests/affinity/bounded_map.cpp
+++ b/tests/affinity/bounded_map.cpp
@@ -1,4 +1,4 @@
-// The bounded map, the entry table and its copies, against simple models.
+// Compares the bounded map, the entry table and its copies with simple models.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -138,15 +138,15 @@
 // A scan is a sequence of new keys, each used once. It must not evict the entries that are used often.
 TEST_CASE("a scan does not evict the frequently used entries of a segmented or a TinyLFU map") {
   // Keys share the counters of the TinyLFU sketch, so some keys of the scan pass the admission test.
-  for (const auto& [eviction, least] : {std::pair{Eviction::segmented, 500}, {Eviction::tinylfu, 400}}) {
+  for (const auto& [eviction, min_found] : {std::pair{Eviction::segmented, 500}, {Eviction::tinylfu, 400}}) {
     BoundedMap<int> map(1000, eviction, 5);
     for (int round = 0; round < 20; ++round) {
       for (std::uint64_t key = 0; key < 500; ++key) map.put(key) = 1;
     }
     for (std::uint64_t key = 10'000; key < 30'000; ++key) map.put(key) = 2;
-    int kept = 0;
-    for (std::uint64_t key = 0; key < 500; ++key) kept += map.find(key) != nullptr ? 1 : 0;
-    CHECK(kept >= least);
+    int found_count = 0;
+    for (std::uint64_t key = 0; key < 500; ++key) found_count += map.find(key) != nullptr ? 1 : 0;
+    CHECK(found_count >= min_found);
   }
 }
 
--- a/tests/affinity/cache_hit_estimator.cpp
+++ b/tests/affinity/cache_hit_estimator.cpp
@@ -1,5 +1,5 @@
-// The sequential tests and the models of cache hits: their stated error rates, by simulation with fixed
-// seeds.
+// Checks the sequential tests and the models of cache hits against their stated error rates, by simulation
+// with fixed seeds.
 #include "affinity/cache_hit_estimator.hpp"
 
 #include <boost/math/distributions/poisson.hpp>
--- a/tests/affinity/persistence.cpp
+++ b/tests/affinity/persistence.cpp
@@ -1,5 +1,5 @@
-// The affinity table across a restart: the next process has the stored estimates of cached prompts, except
-// those that cannot be true any more.
+// Tests the affinity table across a restart: the next process has the stored estimates of cached prompts,
+// except those that cannot be true any more.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -37,11 +37,10 @@
   void list(std::initializer_list<Endpoint> entries) {
     affinity_table.on_endpoints(EndpointUpdate::full, std::span(entries.begin(), entries.size()));
   }
-  // The replica answers the request and has as much cached as was expected.
+  // The replica answers the request and finds exactly the expected tokens in its cache.
   void answer(const Request& request, ReplicaId replica) {
-    const auto was = affinity_table.on_answer_started(now, request, replica);
-    affinity_table.on_answer_complete(now += 10'000, request, replica, was, was.tokens,
-                                      50);  // what was expected is found
+    const auto expectation = affinity_table.on_answer_started(now, request, replica);
+    affinity_table.on_answer_complete(now += 10'000, request, replica, expectation, expectation.tokens, 50);
   }
   void stop() { REQUIRE(state_store.writer().drain(std::chrono::seconds(20))); }
 
@@ -97,9 +96,9 @@
   }
   RouterProcess router(scratch, start - seconds(7200));
   router.list({{.id = 1}});
-  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 2500)).known);
+  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 2500)).has_replica);
   router.answer(request_in_session(7, 2500), 1);
-  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 3000)).known);
+  CHECK(router.affinity_table.find_hint(router.now, request_in_session(7, 3000)).has_replica);
 }
 
 TEST_CASE("estimates age during a long stop by what the other routers are likely to have sent") {
@@ -124,7 +123,7 @@
   CHECK(after > 0);
 }
 
-TEST_CASE("estimates of an earlier epoch stay void after a restart") {
+TEST_CASE("estimates of an earlier epoch stay invalid after a restart") {
   const Scratch scratch;
   const Time start = seconds(2'000'000);
   {
@@ -167,7 +166,7 @@
   CHECK(router.loaded.sessions == 1);
 }
 
-TEST_CASE("records decode to what was encoded, and other bytes decode to nothing") {
+TEST_CASE("records decode to the encoded values, and other bytes decode to nothing") {
   CHECK(rc::check([] {
     Session session;
     session.prefix = *rc::gen::arbitrary<std::uint64_t>();
