--- a/src/policy/discovery.hpp
+++ b/src/policy/discovery.hpp
@@ -1,5 +1,5 @@
-// Discovery: applies updates of the endpoint list, and subscribes to it by polling where the endpoint
-// directory has to be called.
+// Discovery: applies updates of the endpoint list. Where the deployment requires polling, it also calls the
+// discovery server to subscribe to the list.
 #pragma once
 
 #include <span>
@@ -8,30 +8,34 @@
 
 namespace thornwick {
 
-// Keeps the listings of PolicyState::replicas up to date.
+// Keeps the endpoint list entries in PolicyState::replicas up to date.
 class Discovery {
  public:
-  // Sets the timer of the first call, at a random time: routers that start together must not all call the
-  // directory at the same moment.
+  // Sets the timer of the first call to a random time, because routers that start together must not all call
+  // discovery at the same moment.
   Discovery(PolicyState& state, Time now);
 
-  // An update of the endpoint list. A failed call keeps the list in effect and is repeated later.
+  // Applies an update of the endpoint list. After a failed call the list stays in effect, and the call is
+  // repeated later.
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries);
-  // Calls the directory, unless the list is subscribed to.
+  // Calls discovery if the token is that of the discovery timer and there is no subscription.
   void on_timer(std::uint32_t token);
 
  private:
+  // Stores an entry of the list. Clears what was learned of the replica if it has restarted.
   void apply(const Endpoint& entry);
+  // Sets the timer of the next call after a failed one.
   void retry(Time now);
 
-  // The pause before a call of the directory, in microseconds. It doubles with each failed call in a row and
-  // grows with the number of routers, so that their calls do not queue up, time out and are repeated. It is
-  // at most kLongestPause times Settings::max_poll_interval, the time that is allowed after a failure.
+  // Returns the pause before a call of discovery, in microseconds. The pause doubles with each consecutive
+  // failed call and grows with the number of routers, so that their calls do not queue up, time out and are
+  // repeated. It is at most kMaxPauseRatio times Settings::max_poll_interval, the time that is allowed after
+  // a failure.
   Time poll_pause() const;
 
   PolicyState& state_;
   bool subscribed_ = false;
-  int failed_calls_ = 0;  // in a row
+  int failed_calls_ = 0;  // consecutive failed calls, at most kMaxPauseDoublings
 };
 
 }  // namespace thornwick
--- a/src/policy/interval_cuts.cpp
+++ b/src/policy/interval_cuts.cpp
@@ -4,15 +4,15 @@
 
 namespace thornwick {
 
-constexpr Time kRefreshPeriod = milliseconds(250);  // the age at which cuts are computed again
-constexpr double kColdHeadroom = 1.0;    // load that a cold replica can take, as a multiple of its share
-constexpr double kHeadroom = 1.5;        // load that a warm replica can take, as a multiple of its share
-constexpr double kMaxEjectedPart = 0.5;  // of a side's capacity; if more is ejected, ejections do not count
+constexpr Time kRefreshPeriod = milliseconds(250);  // age at which cuts are computed again
+constexpr double kColdHeadroom = 1.0;        // load that a cold replica can take, as a multiple of its share
+constexpr double kHeadroom = 1.5;            // load that a warm replica can take, as a multiple of its share
+constexpr double kMaxEjectedFraction = 0.5;  // of a side's capacity; beyond it, ejections are ignored
 
 void IntervalCuts::update(Time now) {
   if (!state_.cuts_are_stale && now < updated_at_ + kRefreshPeriod) return;
   state_.cuts_are_stale = false;
-  health_.recover_paces(now - updated_at_);
+  health_.recover_speed_factors(now - updated_at_);
   updated_at_ = now;
   work_.update();
   state_.home_cut = cut_over(now, Side::home);
@@ -27,7 +27,7 @@
   double available = 0;
   for (Replica* replica : cut.members) {
     const double share = share_of(now, side, *replica, totals);
-    available += share * (health_.warmth(now, *replica) < 1 ? kColdHeadroom : headroom());
+    available += share * (health_.warm_up_progress(now, *replica) < 1 ? kColdHeadroom : headroom());
     replica->excluded_from_cut = share <= 0;
     if (replica->excluded_from_cut) continue;
     shares += share;
@@ -35,7 +35,7 @@
   }
   std::erase_if(cut.members, [](const Replica* replica) { return replica->excluded_from_cut; });
   for (double& edge : cut.edges) edge /= shares;
-  if (totals.all > 0) cut.fill = std::min(1.0, available / totals.all);
+  if (totals.all > 0) cut.available = std::min(1.0, available / totals.all);
   return cut;
 }
 
@@ -49,7 +49,7 @@
     totals.all += capacity;
     if (now < replica.ejected_until) {
       totals.ejected += capacity;
-    } else if (health_.warmth(now, replica) >= 1) {
+    } else if (health_.warm_up_progress(now, replica) >= 1) {
       totals.warm += capacity;
       totals.warm_count += 1;
     }
@@ -58,12 +58,12 @@
 }
 
 double IntervalCuts::share_of(Time now, Side side, const Replica& replica, const Totals& totals) const {
-  const bool trust_ejections = totals.ejected <= kMaxEjectedPart * totals.all;
-  const double warmth = health_.warmth(now, replica);
-  double share = health_.capacity_of(replica) * (trust_ejections ? health_.recovery(now, replica) : 1);
-  if (totals.warm_count > 0 && warmth < 1)
+  const bool use_ejections = totals.ejected <= kMaxEjectedFraction * totals.all;
+  const double progress = health_.warm_up_progress(now, replica);
+  double share = health_.capacity_of(replica) * (use_ejections ? health_.recovery_factor(now, replica) : 1);
+  if (totals.warm_count > 0 && progress < 1)
     share = side == Side::home ? std::min(share, totals.warm / totals.warm_count) : 0;
-  return share * (shares_observations(state_.settings) ? warmth * (2 - warmth) : warmth);
+  return share * (shares_observations(state_.settings) ? progress * (2 - progress) : progress);
 }
 
 bool IntervalCuts::is_home(const Replica& replica) const {
--- a/src/policy/learned_state.cpp
+++ b/src/policy/learned_state.cpp
@@ -8,10 +8,12 @@
 
 constexpr int kMaxFailurePoints = 16;  // enough for the longest ejection
 
+// Whether the value is finite and not negative.
 bool is_amount(double value) { return std::isfinite(value) && value >= 0; }
 
-double fraction_or(double value, double otherwise) {
-  return is_amount(value) && value <= 1 ? value : otherwise;
+// Returns the value if it is within 0..1, otherwise `fallback`.
+double fraction_or(double value, double fallback) {
+  return is_amount(value) && value <= 1 ? value : fallback;
 }
 
 void import_samples(PolicyState& state, const LearnedState& learned, std::size_t max_samples) {
@@ -29,14 +31,14 @@
   }
 }
 
-void import_replicas(PolicyState& state, const LearnedState& learned, double min_pace) {
+void import_replicas(PolicyState& state, const LearnedState& learned, double min_speed_factor) {
   for (const LearnedState::Replica& record : learned.replicas) {
     const auto found = state.replicas.find(record.id);
     if (found == state.replicas.end() || found->second.listing.started_at != record.started_at) continue;
     Replica& replica = found->second;
     replica.failure_points = std::clamp(record.failure_points, 0, kMaxFailurePoints);
     replica.ejected_until = record.ejected_until;
-    replica.pace = std::max(min_pace, fraction_or(record.speed_factor, 1));
+    replica.speed_factor = std::max(min_speed_factor, fraction_or(record.speed_factor, 1));
   }
 }
 
@@ -59,10 +61,10 @@
                                 .started_at = replica.listing.started_at,
                                 .failure_points = replica.failure_points,
                                 .ejected_until = replica.ejected_until,
-                                .speed_factor = replica.pace});
+                                .speed_factor = replica.speed_factor});
   }
-  for (const auto& [kind, pace] : state.pace_of_kind) {
-    learned.kind_speeds.push_back({.kind = kind, .speed_factor = pace});
+  for (const auto& [kind, speed_factor] : state.kind_speed_factors) {
+    learned.kind_speeds.push_back({.kind = kind, .speed_factor = speed_factor});
   }
   learned.tenant_usage = state.tenant_usage;
   learned.zone_overflow = state.zone_overflow;
@@ -73,13 +75,14 @@
 void import_learned_state(PolicyState& state, const LearnedState& learned, const LearnedStateLimits& limits) {
   import_samples(state, learned, limits.max_samples);
   import_prefixes(state, learned, limits.max_prefixes);
-  import_replicas(state, learned, limits.min_pace);
-  for (const auto& [kind, pace] : learned.kind_speeds) {
-    state.pace_of_kind[kind] = std::max(limits.min_pace, fraction_or(pace, 1));
+  import_replicas(state, learned, limits.min_speed_factor);
+  for (const auto& [kind, speed_factor] : learned.kind_speeds) {
+    state.kind_speed_factors[kind] = std::max(limits.min_speed_factor, fraction_or(speed_factor, 1));
   }
-  const bool usage_fits = learned.tenant_usage.size() == state.settings.tenants.size() &&
-                          std::all_of(learned.tenant_usage.begin(), learned.tenant_usage.end(), is_amount);
-  if (usage_fits) state.tenant_usage = learned.tenant_usage;
+  const bool usage_is_valid =
+      learned.tenant_usage.size() == state.settings.tenants.size() &&
+      std::all_of(learned.tenant_usage.begin(), learned.tenant_usage.end(), is_amount);
+  if (usage_is_valid) state.tenant_usage = learned.tenant_usage;
   state.zone_overflow = fraction_or(learned.zone_overflow, 0);
   state.load_shedding = std::min(limits.max_load_shedding, fraction_or(learned.load_shedding, 0));
   state.cuts_are_stale = true;
--- a/src/policy/peer_observations.cpp
+++ b/src/policy/peer_observations.cpp
@@ -5,8 +5,8 @@
 
 namespace thornwick {
 
-constexpr std::uint32_t kLargeGroup = 16;  // a group of more routers than this is large
-constexpr double kReporters = 40;          // a larger group sends as many reports as this number of routers
+constexpr std::uint32_t kLargeGroup = 16;  // a group of more routers is large
+constexpr double kMaxReporters = 40;       // a larger group sends as many reports as so many routers would
 
 bool is_large_group(const Settings& settings) { return settings.group_size > kLargeGroup; }
 
@@ -14,7 +14,7 @@
   return settings.may_message_peers && is_large_group(settings);
 }
 
-double report_weight(const Settings& settings) { return std::max(1.0, settings.group_size / kReporters); }
+double report_weight(const Settings& settings) { return std::max(1.0, settings.group_size / kMaxReporters); }
 
 void PeerObservations::report(Time now, const Replica& replica, Observation observation) {
   if (!shares_observations(state_.settings)) return;
@@ -36,7 +36,7 @@
     health_.on_reported_failure(now, *replica, FailureCost::slow);
   if (item.observation == Observation::late) overload_.on_reported_late_answer();
   if (item.observation == Observation::late || item.observation == Observation::slow)
-    health_.slow_down(*replica);
+    health_.lower_speed_factor(*replica);
 }
 
 void PeerObservations::on_timer(std::uint32_t token) {
--- a/src/policy/policy_state.cpp
+++ b/src/policy/policy_state.cpp
@@ -2,26 +2,34 @@
 
 #include <set>
 #include <stdexcept>
+#include <string>
 
 namespace thornwick {
 namespace {
 
-void require(bool condition, const char* message) {
-  if (!condition) throw std::invalid_argument(message);
+void require(bool condition, const std::string& message) {
+  if (!condition) throw std::invalid_argument("settings: " + message);
 }
 
 const Settings& checked(const Settings& settings) {
-  require(!settings.classes.empty(), "settings: no class of request");
-  require(settings.zone < settings.zone_count, "settings: own zone beyond the number of zones");
-  require(settings.group_size != 0, "settings: no router in the group");
-  require(settings.max_attempts != 0, "settings: no attempt allowed");
+  require(!settings.classes.empty(), "no class of request; at least one is required");
+  require(settings.zone < settings.zone_count, "zone " + std::to_string(settings.zone) +
+                                                   " of the router is not below the number of zones, " +
+                                                   std::to_string(settings.zone_count));
+  require(settings.group_size != 0, "the number of routers is 0; it must be at least 1");
+  require(settings.max_attempts != 0, "the number of attempts is 0; it must be at least 1");
   require(settings.initial_capacity >= 0 && settings.initial_capacity <= 1,
-          "settings: cold_from outside 0..1");
-  require(settings.overload_multiple > 0, "settings: tip_multiple not above 0");
-  require(settings.warm_up >= 0 && settings.max_poll_interval > 0, "settings: a period that is not positive");
+          "cold_from is " + std::to_string(settings.initial_capacity) + "; it must be in 0..1");
+  require(settings.overload_multiple > 0,
+          "tip_multiple is " + std::to_string(settings.overload_multiple) + "; it must be above 0");
+  require(settings.warm_up >= 0 && settings.max_poll_interval > 0,
+          "the warm-up time is " + std::to_string(settings.warm_up) + " us and the longest poll interval " +
+              std::to_string(settings.max_poll_interval) + " us; they must be at least 0, and above 0");
   for (const ClassSettings& request_class : settings.classes) {
     require(request_class.latency_objective > 0 && request_class.deadline > 0,
-            "settings: class without aim or deadline");
+            "a class has the latency objective " + std::to_string(request_class.latency_objective) +
+                " us and the deadline " + std::to_string(request_class.deadline) +
+                " us; both must be above 0");
   }
   return settings;
 }
@@ -44,15 +52,14 @@
   }
 }
 
-void PolicyState::forget_gone_replicas() {
-  std::set<ReplicaId> attempted;
+void PolicyState::erase_removed_replicas() {
+  std::set<ReplicaId> in_use;
   for (const auto& [id, request] : pending) {
-    for (const Attempt& attempt : request.attempts) attempted.insert(attempt.replica);
+    for (const Attempt& attempt : request.attempts) in_use.insert(attempt.replica);
   }
   std::erase_if(replicas, [&](const auto& entry) {
     const auto& [id, replica] = entry;
-    return replica.listing.state == EndpointState::removed && replica.in_flight == 0 &&
-           !attempted.contains(id);
+    return replica.listing.state == EndpointState::removed && replica.in_flight == 0 && !in_use.contains(id);
   });
   home_cut = {};
   remote_cut = {};
--- a/src/policy/records.hpp
+++ b/src/policy/records.hpp
@@ -1,5 +1,5 @@
-// The records that the routing policy keeps: one for each replica, one for each request in work; and what
-// requests, outcomes and settings mean. Facts only, no decision.
+// The records that the routing policy keeps of each replica and of each request in progress, and functions
+// that derive facts from requests, outcomes and settings. This file makes no decision.
 #pragma once
 
 #include <algorithm>
@@ -10,49 +10,49 @@
 
 namespace thornwick {
 
-// A replica of the endpoint list and what this router has learned of it.
+// An entry of the endpoint list, and what this router has learned of its replica.
 struct Replica {
   Endpoint listing;
-  int in_flight = 0;       // attempts of this router that are outstanding
-  int failure_points = 0;  // of the failures in a row
+  int in_flight = 0;       // outstanding attempts of this router
+  int failure_points = 0;  // points for consecutive failures
   Time ejected_until = 0;
-  bool excluded_from_cut = false;  // the latest cut gave it no share
-  double pace = 1;                 // 0..1; learned factor on its listed weight; falls while answers are slow
-  Time last_alive = 0;             // when it last answered anything
+  bool excluded_from_cut = false;  // the latest cut gave the replica no share
+  double speed_factor = 1;  // 0..1; learned factor on the listed weight; decreases while answers are slow
+  Time last_answer_at = 0;  // when the replica last answered anything
   DecayedValue reported_failures;  // failure points reported by other routers
 
-  // Resets what was learned, because the replica has restarted.
-  void reset_record() {
+  // Resets what was learned. To be called when the replica has restarted.
+  void clear_learned() {
     failure_points = 0;
     ejected_until = 0;
-    pace = 1;
+    speed_factor = 1;
   }
 };
 
-// One sending of a request to a replica.
+// One attempt to have a replica answer a request.
 struct Attempt {
   ReplicaId replica = 0;
-  Time sent = 0;
+  Time sent_at = 0;
   bool outstanding = true;
-  bool may_have_run = true;  // until an outcome proves that it never ran
+  bool may_have_run = true;  // false once an outcome proves that no replica began to work
 };
 
-// A request from its arrival until the client has its final answer.
+// A request in progress: from its arrival until the client has its final answer.
 struct PendingRequest {
   Request request;
-  Time arrived = 0;
-  Time useful_until = 0;  // the first token is wanted by then
-  double work = 0;        // in the unit of Request::work_hint; without one, tokens
+  Time arrived_at = 0;
+  Time useful_until = 0;  // the earlier one of latency objective and deadline, as a time point
+  double work = 0;        // in the unit of Request::work_hint, or tokens if there is no hint
   std::vector<Attempt> attempts;
-  bool moved_to_adjacent = false;  // was rejected as full once and went to the adjacent replica
+  bool moved_to_adjacent = false;  // a replica rejected it as full, and an adjacent one was chosen
   bool started = false;            // the first token has reached the client
 
-  // Whether an attempt has no outcome yet.
+  // Whether an attempt is still without an outcome.
   bool has_outstanding_attempt() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& attempt) { return attempt.outstanding; });
   }
-  // Whether a replica may have begun to work on it.
+  // Whether a replica may have begun to work on the request.
   bool may_have_run() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& attempt) { return attempt.may_have_run; });
@@ -63,10 +63,10 @@
   }
 };
 
-// The wanted time to the first token, in microseconds, as the request's class defines it.
+// Returns the target time to the first token, in microseconds, as the request's class defines it.
 Time latency_objective_of(const ClassSettings& request_class, const Request& request);
 
-// Whether an attempt with this outcome failed for a reason that may lie in the replica.
+// Whether the outcome is a failure that the replica may have caused.
 bool is_failure(Outcome outcome);
 
 }  // namespace thornwick
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -2,25 +2,25 @@
 
 namespace thornwick {
 
-constexpr double kRetryRate = 0.1;    // second attempts that each request adds to the retry budget
-constexpr double kRetryBurst = 5;     // the largest retry budget
-constexpr double kOverduePart = 0.8;  // part of the time to the objective after which an attempt is reviewed
-constexpr double kQuickPart = 0.1;    // a failure within this part of the objective is a quick one
+constexpr double kRetriesPerRequest = 0.1;  // second attempts that each request adds to the retry budget
+constexpr double kMaxRetryBudget = 5;       // second attempts
+constexpr double kReviewFraction = 0.8;     // fraction of the time to the objective until the first review
+constexpr double kQuickFraction = 0.1;      // a failure within this fraction of the objective is quick
 
 bool RequestLifecycle::is_quick(const AttemptResult& result, Time latency_objective) {
-  return static_cast<double>(result.elapsed) < kQuickPart * static_cast<double>(latency_objective);
+  return static_cast<double>(result.elapsed) < kQuickFraction * static_cast<double>(latency_objective);
 }
 
 void RequestLifecycle::on_request(Time now, const Request& request) {
   if (request.priority_class >= state_.settings.classes.size() || state_.pending.contains(request.id)) return;
   PendingRequest& pending = state_.pending[request.id];
   pending.request = request;
-  pending.arrived = now;
+  pending.arrived_at = now;
   pending.work = request.work_hint > 0 ? request.work_hint : size_of(request);
   pending.useful_until = std::min(request.deadline, now + objective_of(request));
   work_.record(pending);
   if (overload_.must_shed(request)) return end(pending, RefusalReason::overload);
-  retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryRate);
+  retry_budget_ = std::min(kMaxRetryBudget, retry_budget_ + kRetriesPerRequest);
   route(now, pending);
 }
 
@@ -32,14 +32,13 @@
 }
 
 void RequestLifecycle::send(Time now, PendingRequest& pending, Replica& replica) {
-  if (!may_send(now, pending, replica))
-    return end(pending, RefusalReason::attempt_not_allowed);  // nothing is left without an answer
+  if (!may_send(now, pending, replica)) return end(pending, RefusalReason::attempt_not_allowed);
   pending.attempts.push_back({replica.listing.id, now});
   ++replica.in_flight;
   state_.actions.send(pending.request.id, replica.listing.id);
-  const Time wait = static_cast<Time>(kOverduePart * static_cast<double>(pending.useful_until - now));
+  const Time delay = static_cast<Time>(kReviewFraction * static_cast<double>(pending.useful_until - now));
   const bool first = pending.attempts.size() == 1;
-  set_review(pending, first ? now + std::max<Time>(wait, 1) : pending.useful_until);
+  set_review(pending, first ? now + std::max<Time>(delay, 1) : pending.useful_until);
 }
 
 bool RequestLifecycle::may_send(Time now, const PendingRequest& pending, const Replica& replica) const {
@@ -55,8 +54,8 @@
   const ClassSettings& request_class = state_.settings.classes[pending.request.priority_class];
   if (earlier.outstanding && !state_.settings.hedging) return false;
   if (!earlier.may_have_run || request_class.effect == Effect::safe) return true;
-  const bool forgotten = now >= earlier.sent + request_class.dedup_window;
-  if (request_class.effect == Effect::unsafe || forgotten) return false;
+  const bool window_over = now >= earlier.sent_at + request_class.dedup_window;
+  if (request_class.effect == Effect::unsafe || window_over) return false;
   return share_deduplication(request_class.dedup_scope, state_.replicas.at(earlier.replica), next);
 }
 
@@ -73,12 +72,13 @@
   pending->started = true;
   learn_from_answer_time(now, *pending);
   for (std::size_t i = 0; i < pending->attempts.size(); ++i) {
-    if (pending->attempts[i].replica != replica) cancel(*pending, i);  // another copy is of no use any more
+    if (pending->attempts[i].replica != replica)
+      cancel(*pending, i);  // the other attempt is no longer needed
   }
 }
 
 void RequestLifecycle::learn_from_answer_time(Time now, const PendingRequest& pending) {
-  const AnswerTime time = overload_.on_answer(now - pending.arrived, objective_of(pending.request));
+  const AnswerTime time = overload_.on_answer(now - pending.arrived_at, objective_of(pending.request));
   if (pending.attempts.empty()) return;
   Replica& replica = state_.replicas.at(pending.attempts.back().replica);
   if (time == AnswerTime::slow) peers_.report(now, replica, Observation::slow);
@@ -100,7 +100,7 @@
   pending->attempts[result.attempt].outstanding = false;
   pending->attempts[result.attempt].may_have_run = !never_ran(result.outcome);
   if (result.concluded) return void(state_.pending.erase(result.id));
-  if (!pending->started) try_again(now, *pending, result);
+  if (!pending->started) retry_or_end(now, *pending, result);
 }
 
 void RequestLifecycle::learn_from_failure(Time now, const AttemptResult& result, Replica& replica,
@@ -113,24 +113,24 @@
   health_.on_failure(now, replica, quick ? FailureCost::quick : FailureCost::slow);
 }
 
-void RequestLifecycle::try_again(Time now, PendingRequest& pending, const AttemptResult& result) {
+void RequestLifecycle::retry_or_end(Time now, PendingRequest& pending, const AttemptResult& result) {
   if (pending.has_outstanding_attempt()) return;
   if (now >= pending.useful_until) return end(pending, RefusalReason::too_late);
   if (result.outcome == Outcome::full) return move_to_adjacent(now, pending, result.replica);
   const bool quick = is_quick(result, objective_of(pending.request));
-  if (quick || never_ran(result.outcome)) retry_budget_ += 1;  // it was no load for any replica
+  if (quick || never_ran(result.outcome)) retry_budget_ += 1;  // the failure cost no replica much
   if (!send_second_attempt(now, pending, result.replica)) end(pending, RefusalReason::no_replica);
 }
 
-void RequestLifecycle::move_to_adjacent(Time now, PendingRequest& pending, ReplicaId last) {
-  Replica* next = pending.moved_to_adjacent ? nullptr : placement_.neighbour(now, pending, last);
+void RequestLifecycle::move_to_adjacent(Time now, PendingRequest& pending, ReplicaId last_replica) {
+  Replica* next = pending.moved_to_adjacent ? nullptr : placement_.other_replica(now, pending, last_replica);
   pending.moved_to_adjacent = true;
   if (next == nullptr || !may_send(now, pending, *next)) return end(pending, RefusalReason::no_replica);
   send(now, pending, *next);
 }
 
-bool RequestLifecycle::send_second_attempt(Time now, PendingRequest& pending, ReplicaId last) {
-  Replica* next = retry_budget_ < 1 ? nullptr : placement_.neighbour(now, pending, last);
+bool RequestLifecycle::send_second_attempt(Time now, PendingRequest& pending, ReplicaId last_replica) {
+  Replica* next = retry_budget_ < 1 ? nullptr : placement_.other_replica(now, pending, last_replica);
   if (next == nullptr || !may_send(now, pending, *next)) return false;
   retry_budget_ -= 1;
   send(now, pending, *next);
@@ -150,7 +150,7 @@
   if (now >= pending.request.deadline) return end(pending, RefusalReason::deadline_exceeded);
   if (pending.attempts.empty()) return late ? end(pending, RefusalReason::too_late) : route(now, pending);
   if (!late) {
-    review_silent_attempt(now, pending);
+    review_unanswered_attempt(now, pending);
     return set_review(pending, pending.useful_until);
   }
   const bool worthless = state_.settings.classes[pending.request.priority_class].late_weight_fraction <= 0;
@@ -158,10 +158,10 @@
   set_review(pending, pending.request.deadline);
 }
 
-void RequestLifecycle::review_silent_attempt(Time now, PendingRequest& pending) {
+void RequestLifecycle::review_unanswered_attempt(Time now, PendingRequest& pending) {
   const Attempt& attempt = pending.attempts.back();
   Replica& replica = state_.replicas.at(attempt.replica);
-  if (!attempt.outstanding || replica.last_alive >= attempt.sent || overload_.is_severe()) return;
+  if (!attempt.outstanding || replica.last_answer_at >= attempt.sent_at || overload_.is_severe()) return;
   health_.on_failure(now, replica, FailureCost::slow);
   peers_.report(now, replica, Observation::slow);
   if (state_.settings.hedging && now < replica.ejected_until)
@@ -170,7 +170,7 @@
 
 void RequestLifecycle::end(PendingRequest& pending, RefusalReason reason) {
   const ActionKind kind = may_reject(pending) ? ActionKind::reject : ActionKind::fail;
-  state_.actions.finish(kind, pending.request.id, overload_.retry_after_advice(), reason);
+  state_.actions.finish(kind, pending.request.id, overload_.draw_retry_after(), reason);
   for (std::size_t i = 0; i < pending.attempts.size(); ++i) cancel(pending, i);
   state_.pending.erase(pending.request.id);
 }
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -1,8 +1,11 @@
-// The life of a request: arrival, sending, outcomes of its attempts, reviews as time passes, and its end.
+// The lifecycle of a request: arrival, sending, outcomes of its attempts, reviews as time passes, and its
+// end.
 //
-// Guarantees: every request gets one final answer, from a replica or from this router; a request that may
-// have had an effect is repeated only where repeats are discarded; nothing is sent to a replica that is
-// draining or gone; the limits on attempts and on copies of a request hold.
+// Guarantees:
+// - Every request gets one final answer, from a replica or from this router.
+// - A request that may have had an effect is repeated only where repeats are discarded.
+// - No request is sent to a draining or removed replica.
+// - The limits on attempts and on hedged requests hold.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +20,11 @@
 
 namespace thornwick {
 
-// Carries each request in work from its arrival to its final answer.
+// Handles each request in progress from its arrival to its final answer.
 class RequestLifecycle {
  public:
-  // The parts of the policy that the life of a request goes through; they outlive this.
-  struct Parts {
+  // The modules of the policy that this class uses. They must outlive it.
+  struct Modules {
     PolicyState& state;
     ReplicaHealth& health;
     Overload& overload;
@@ -29,21 +32,22 @@
     WorkDistribution& work;
     Placement& placement;
   };
-  explicit RequestLifecycle(const Parts& parts)
-      : state_(parts.state),
-        health_(parts.health),
-        overload_(parts.overload),
-        peers_(parts.peers),
-        work_(parts.work),
-        placement_(parts.placement) {}
+  explicit RequestLifecycle(const Modules& modules)
+      : state_(modules.state),
+        health_(modules.health),
+        overload_(modules.overload),
+        peers_(modules.peers),
+        work_(modules.work),
+        placement_(modules.placement) {}
 
-  // A request arrives. One with an unknown class or the id of a request in work is ignored.
+  // A request has arrived. A request with an unknown class or the id of another request in progress is
+  // ignored.
   void on_request(Time now, const Request& request);
   // The first token of an answer has reached the client.
   void on_first_token(Time now, RequestId id, ReplicaId replica);
-  // An attempt has ended, of this module's requests or of another's (id 0).
+  // An attempt has ended: one of this module's requests, or of another module's (id 0).
   void on_attempt_result(Time now, const AttemptResult& result);
-  // A review of a request is due.
+  // A timer has expired. If its token belongs to a review, the request is reviewed.
   void on_timer(Time now, std::uint32_t token);
 
  private:
@@ -52,49 +56,56 @@
   }
 
   void route(Time now, PendingRequest& pending);
+  // Sends the request, or ends it if the attempt is not allowed: no request may remain without an answer.
+  // Sets the next review.
   void send(Time now, PendingRequest& pending, Replica& replica);
-  // Whether an attempt at that replica is allowed: within the limits on attempts and hedged requests, the
-  // replica ready, the deadline not over, and no repeat that may do harm.
+  // Whether the request may be sent to the replica: the replica is ready, the deadline has not passed, the
+  // limits on attempts and hedged requests hold, and no repeat can do harm.
   bool may_send(Time now, const PendingRequest& pending, const Replica& replica) const;
-  // Whether an attempt at `next` may follow an earlier one: the earlier one is over or hedging is allowed,
-  // and it cannot have had an effect that the other would repeat.
+  // Whether an attempt at `next` may follow the earlier attempt: the earlier one has ended or hedging is
+  // allowed, and the earlier one cannot have had an effect that the next one would repeat.
   bool may_repeat(Time now, const PendingRequest& pending, const Attempt& earlier, const Replica& next) const;
-  // Whether the second replica discards the repeat of a keyed request that went to the first.
+  // Whether replica `next` discards the repeat of a keyed request that was sent to replica `earlier`.
   static bool share_deduplication(DedupScope scope, const Replica& earlier, const Replica& next);
 
-  // Whether a failed attempt took only a small part of the latency objective, so that it cost no replica
-  // much.
+  // Whether a failed attempt took only a small fraction of the latency objective, so that it was little load
+  // for the replica.
   static bool is_quick(const AttemptResult& result, Time latency_objective);
   void learn_from_answer_time(Time now, const PendingRequest& pending);
-  // `pending` is nullptr if the request is another module's or has ended. A time-out at the client's deadline
-  // is not counted: review_silent_attempt() has judged the replica by then.
+  // Counts the failure for the replica. `pending` is nullptr if the request belongs to another module or has
+  // ended. A time-out at the client's deadline is not counted, because review_unanswered_attempt() has judged
+  // the replica by then.
   void learn_from_failure(Time now, const AttemptResult& result, Replica& replica,
                           const PendingRequest* pending);
 
-  // Follows a failed attempt with another one, or ends the request. A request that a replica rejected as full
-  // goes to an adjacent replica, once. Any other failure gets a second attempt at another replica within the
-  // retry budget; a quick failure does not use the budget, because it cost no replica much.
-  void try_again(Time now, PendingRequest& pending, const AttemptResult& result);
-  void move_to_adjacent(Time now, PendingRequest& pending, ReplicaId last);
-  // Sends a second attempt if the retry budget allows; returns whether it did. The budget makes second
-  // attempts a fixed part of the requests, which guards against retry storms.
-  bool send_second_attempt(Time now, PendingRequest& pending, ReplicaId last);
+  // Sends the request again after a failed attempt, or ends it. A request that a replica rejected because it
+  // was full is sent to an adjacent replica, once. After any other failure, the request is sent to another
+  // replica if the retry budget allows; a quick failure does not use the budget, because it was little load
+  // for the replica.
+  void retry_or_end(Time now, PendingRequest& pending, const AttemptResult& result);
+  void move_to_adjacent(Time now, PendingRequest& pending, ReplicaId last_replica);
+  // Sends the request to another replica if the retry budget allows. Returns whether it did. The budget
+  // limits second attempts to a fixed fraction of the requests, which guards against retry storms.
+  bool send_second_attempt(Time now, PendingRequest& pending, ReplicaId last_replica);
 
-  // Sets the timer of a review of the request: at `when`, or at its deadline if that is earlier.
-  void set_review(const PendingRequest& pending, Time when) {
-    state_.actions.set_timer(std::min(when, pending.request.deadline), reviews_.add(pending.request.id));
+  // Sets the timer for a review of the request: at `review_at`, or at the request's deadline if that is
+  // earlier.
+  void set_review(const PendingRequest& pending, Time review_at) {
+    state_.actions.set_timer(std::min(review_at, pending.request.deadline), reviews_.add(pending.request.id));
   }
+  // Ends the request if its time is over, routes it if it was not sent yet, and otherwise judges the replica
+  // that has not answered.
   void review(Time now, PendingRequest& pending);
-  // Judges the replica of an attempt without an answer: if it has answered nothing else since the attempt was
-  // sent, that is a failure, and if it is ejected for it the request is hedged where that is allowed. Guards
-  // against replicas that accept requests and answer none.
-  void review_silent_attempt(Time now, PendingRequest& pending);
+  // Judges the replica of an unanswered attempt. If the replica has answered nothing else since the attempt
+  // was sent, this counts as a failure; if that ejects the replica, the request is also sent to another one
+  // where hedging is allowed. Guards against replicas that accept requests and answer none.
+  void review_unanswered_attempt(Time now, PendingRequest& pending);
 
-  // Rejects or fails the request and forgets it: `pending` is dangling afterwards.
+  // Rejects or fails the request and deletes its record: `pending` is dangling afterwards.
   void end(PendingRequest& pending, RefusalReason reason);
-  // Whether the request may be answered with a rejection, which assures the client that a repeat does no
-  // harm.
+  // Whether the request may be rejected. A rejection assures the client that a repeat does no harm.
   bool may_reject(const PendingRequest& pending) const;
+  // Cancels the attempt if it is outstanding and the deployment allows it.
   void cancel(const PendingRequest& pending, std::size_t attempt);
 
   PolicyState& state_;
@@ -103,7 +114,7 @@
   PeerObservations& peers_;
   WorkDistribution& work_;
   Placement& placement_;
-  double retry_budget_ = 0;  // second attempts that may be sent
+  double retry_budget_ = 0;  // number of second attempts that may be sent
   ReviewTimers reviews_;
 };
 
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,5 +1,5 @@
-// Assembles the parts of the routing policy and hands each event to the part that it concerns. A newcomer
-// reads request_lifecycle.cpp first.
+// Creates the modules of the routing policy, and passes each event to the module that handles it. To
+// understand the policy, start with request_lifecycle.cpp.
 #include "thornwick/routing_policy.hpp"
 
 #include "policy/discovery.hpp"
@@ -15,7 +15,7 @@
 
 namespace thornwick {
 
-// The parts refer to each other and to the shared data: neither copied nor moved.
+// Neither copied nor moved, because the modules hold references to each other and to the shared data.
 struct RoutingPolicy::State {
   State(const Settings& settings, Time now) : data(settings), discovery(data, now) {}
 
@@ -76,7 +76,7 @@
   import_learned_state(state_->data, learned_state,
                        {.max_samples = WorkDistribution::max_samples(),
                         .max_prefixes = WorkDistribution::max_prefixes(),
-                        .min_pace = ReplicaHealth::min_pace(),
+                        .min_speed_factor = ReplicaHealth::min_speed_factor(),
                         .max_load_shedding = Overload::max_load_shedding()});
 }
 
--- a/src/policy/size_distribution.cpp
+++ b/src/policy/size_distribution.cpp
@@ -23,8 +23,8 @@
   return first == sorted_.begin() ? 0 : std::prev(first)->work;
 }
 
-double SizeDistribution::size_reaching(double part) const {
-  const auto first = std::lower_bound(sorted_.begin(), sorted_.end(), part,
+double SizeDistribution::size_at_fraction(double fraction) const {
+  const auto first = std::lower_bound(sorted_.begin(), sorted_.end(), fraction,
                                       [](const Sample& sample, double value) { return sample.work < value; });
   return first == sorted_.end() ? sorted_.back().size : first->size;
 }
