--- a/src/gossip/gossip.cpp
+++ b/src/gossip/gossip.cpp
@@ -6,8 +6,8 @@
 namespace thornwick {
 namespace {
 
-// A message consists of a head (one byte that marks the kind of message, one for the version) and the items;
-// each has the replica's id in little-endian order and the observation.
+// A message consists of a head (one byte that marks the kind of message, and one for the version) and items.
+// An item consists of the replica's id in little-endian order and one byte for the observation.
 constexpr std::uint8_t kMessageMark = 0x54;
 constexpr std::uint8_t kVersion = 1;
 constexpr std::size_t kHeadBytes = 2;
@@ -16,6 +16,7 @@
 constexpr int kBitsPerByte = 8;
 constexpr std::uint32_t kByteMask = 0xff;
 
+// Whether the head and the length of a message are valid.
 bool has_valid_frame(std::span<const std::uint8_t> message) {
   if (message.size() < kHeadBytes + kItemBytes) return false;
   if (message.size() > kHeadBytes + Gossip::kMaxItems * kItemBytes) return false;
@@ -23,6 +24,7 @@
   return message[0] == kMessageMark && message[1] == kVersion;
 }
 
+// Returns nullopt if the observation is unknown.
 std::optional<GossipItem> parse_item(std::span<const std::uint8_t> bytes) {
   if (bytes[kIdBytes] > static_cast<std::uint8_t>(Observation::late)) return std::nullopt;
   ReplicaId id = 0;
@@ -30,7 +32,7 @@
   return GossipItem{id, static_cast<Observation>(bytes[kIdBytes])};
 }
 
-// The items of a message; none unless all of it can be read.
+// Returns the items of a message; none if any part of the message is malformed.
 std::vector<GossipItem> parse_items(std::span<const std::uint8_t> message) {
   if (!has_valid_frame(message)) return {};
   std::vector<GossipItem> items;
@@ -75,17 +77,17 @@
 
 void Gossip::limit_rate(Time now, std::uint32_t peer, std::vector<GossipItem>& items) {
   if (peers_.size() <= peer) peers_.resize(peer + 1);
-  Peer& bucket = peers_[peer];
-  const auto elapsed = static_cast<double>(std::max<Time>(0, now - bucket.updated));
+  PeerBucket& bucket = peers_[peer];
+  const auto elapsed = static_cast<double>(std::max<Time>(0, now - bucket.updated_at));
   const double refill = kMaxItemsPerSecond * elapsed / static_cast<double>(seconds(1));
-  bucket.allowance = std::min(kMaxItemsPerSecond, bucket.allowance + refill);
-  bucket.updated = now;
-  const auto allowed = static_cast<std::size_t>(bucket.allowance);
+  bucket.items = std::min(kMaxItemsPerSecond, bucket.items + refill);
+  bucket.updated_at = now;
+  const auto allowed = static_cast<std::size_t>(bucket.items);
   if (items.size() > allowed) {
     rate_limited_items_ += items.size() - allowed;
     items.resize(allowed);
   }
-  bucket.allowance -= static_cast<double>(items.size());
+  bucket.items -= static_cast<double>(items.size());
 }
 
 }  // namespace thornwick
--- a/src/random/hashing.hpp
+++ b/src/random/hashing.hpp
@@ -1,5 +1,5 @@
 // Deterministic hashing and pseudo-random numbers: equal seeds give equal decisions on every platform.
-// Depends on nothing but the standard library.
+// Depends only on the standard library.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
   return value ^ (value >> 31);
 }
 
-// Maps 64 random bits to a number between 0 and 1, both excluded.
+// Returns a number between 0 and 1, both excluded, for 64 random bits.
 inline double unit_interval(std::uint64_t bits) {
   return (static_cast<double>(bits >> 11) + 0.5) * 0x1.0p-53;
 }
