--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -1,6 +1,6 @@
-// The simulator's adapter: a process that hosts router instances by their number and speaks the simulator's
-// wire protocol on standard input and output. Instances share nothing but the endpoint lists, which they only
-// read. The adapter itself takes no decision.
+// The adapter for the simulator: a process that hosts numbered router instances and speaks the simulator's
+// wire protocol on standard input and output. Instances share only the endpoint lists, which they do not
+// change. The adapter makes no decision of its own.
 #include <array>
 #include <cstdio>
 #include <exception>
@@ -17,13 +17,14 @@
 
 using namespace thornwick;
 
-// A request without an answer yet, with what the cache estimates need when the answer arrives.
+// A request without a final answer, with the data that the affinity table needs when the answer
+// arrives.
 struct RequestInFlight {
   Request request;
   affinity::Expectation expectation;
 };
 
-// One router with its cache estimates and the requests in flight.
+// One router with its affinity table and its requests in flight.
 struct Instance {
   Instance(const Settings& settings, Time now) : router(settings, now), affinity_table(affinity::Options{}) {}
 
@@ -32,17 +33,18 @@
   std::unordered_map<RequestId, RequestInFlight> in_flight;
 };
 
-// All instances of the process, by their number, and the endpoint lists that they share.
+// All instances of the process, by number, and the endpoint lists that they share.
 class Host {
  public:
-  // Delivers the events of a batch in order. Returns the reply: the frame with all actions that follow.
-  std::vector<std::uint8_t> answer(const simulator_adapter::Batch& batch) {
+  // Delivers the events of a batch in order. Returns the reply: a frame with all actions that the instances
+  // decide.
+  std::vector<std::uint8_t> process(const simulator_adapter::Batch& batch) {
     std::vector<std::uint8_t> records;
     for (std::size_t i = 0; i < batch.events.size(); ++i) {
       const auto& event = batch.events[i];
-      record_ = i;
-      if (const auto* roster = std::get_if<simulator_adapter::Roster>(&event.body)) {
-        tables_[roster->table] = roster->members;
+      record_number_ = i;
+      if (const auto* list = std::get_if<simulator_adapter::EndpointList>(&event.body)) {
+        lists_[list->list_number] = list->members;
         continue;
       }
       deliver(batch.now, event);
@@ -53,23 +55,23 @@
 
  private:
   [[noreturn]] void reject(const std::string& reason) const {
-    throw simulator_adapter::MalformedInput("record " + std::to_string(record_) + ": " + reason);
+    throw simulator_adapter::MalformedInput("record " + std::to_string(record_number_) + ": " + reason);
   }
 
-  // Starts or stops the instance of the event, or hands the event to it.
+  // Starts or stops the instance of the event, or passes the event to the instance.
   void deliver(Time now, const simulator_adapter::Event& event) {
     if (const auto* start = std::get_if<simulator_adapter::Start>(&event.body)) {
-      routers_.erase(event.instance);
-      routers_.try_emplace(event.instance, simulator_adapter::parse_settings(start->params, start->seed),
-                           now);
+      instances_.erase(event.instance);
+      instances_.try_emplace(event.instance,
+                             simulator_adapter::parse_settings(start->settings_text, start->seed), now);
       return;
     }
-    const auto found = routers_.find(event.instance);
-    if (found == routers_.end()) {
-      reject("event for instance " + std::to_string(event.instance) + ", which was never enlisted");
+    const auto found = instances_.find(event.instance);
+    if (found == instances_.end()) {
+      reject("event for instance " + std::to_string(event.instance) + ", which is not running");
     }
     if (std::holds_alternative<simulator_adapter::Stop>(event.body)) {
-      routers_.erase(found);
+      instances_.erase(found);
       return;
     }
     std::visit([&](const auto& body) { handle(now, found->second, body); }, event.body);
@@ -77,11 +79,11 @@
 
   void handle(Time now, Instance& instance, const simulator_adapter::EndpointListUpdate& update) {
     if (update.scope == EndpointUpdate::failed) return instance.router.on_endpoints(now, update.scope, {});
-    if (update.table >= tables_.size() || !tables_[update.table]) {
-      reject("list number " + std::to_string(update.table) + " was never sent");
+    if (update.list_number >= lists_.size() || !lists_[update.list_number]) {
+      reject("list number " + std::to_string(update.list_number) + " was never sent");
     }
-    instance.affinity_table.on_endpoints(update.scope, *tables_[update.table]);
-    instance.router.on_endpoints(now, update.scope, *tables_[update.table]);
+    instance.affinity_table.on_endpoints(update.scope, *lists_[update.list_number]);
+    instance.router.on_endpoints(now, update.scope, *lists_[update.list_number]);
   }
   void handle(Time now, Instance& instance, const Request& request) {
     Request hinted = request;
@@ -109,79 +111,83 @@
     if (found != instance.in_flight.end() && result.concluded) instance.in_flight.erase(found);
     instance.router.on_attempt_result(now, result);
   }
-  void handle(Time now, Instance& instance, const simulator_adapter::ClientGone& gone) {
-    instance.in_flight.erase(gone.id);
-    instance.router.on_client_disconnected(now, gone.id);
+  void handle(Time now, Instance& instance, const simulator_adapter::ClientDisconnected& disconnected) {
+    instance.in_flight.erase(disconnected.id);
+    instance.router.on_client_disconnected(now, disconnected.id);
   }
-  void handle(Time now, Instance& instance, const simulator_adapter::Timer& timer) {
+  void handle(Time now, Instance& instance, const simulator_adapter::TimerExpired& timer) {
     instance.router.on_timer(now, timer.token);
   }
-  void handle(Time now, Instance& instance, const simulator_adapter::Probed& probed) {
-    instance.router.on_probe_result(now, probed.replica, probed.alive, probed.report);
+  void handle(Time now, Instance& instance, const simulator_adapter::ProbeResult& probe) {
+    instance.router.on_probe_result(now, probe.replica, probe.alive, probe.report);
   }
   void handle(Time now, Instance& instance, const simulator_adapter::PeerMessage& message) {
     instance.router.on_peer_message(now, message.peer, message.message);
   }
-  void handle(Time, Instance&, const simulator_adapter::Start&) {}   // dealt with in deliver()
-  void handle(Time, Instance&, const simulator_adapter::Stop&) {}    // dealt with in deliver()
-  void handle(Time, Instance&, const simulator_adapter::Roster&) {}  // dealt with in answer()
+  void handle(Time, Instance&, const simulator_adapter::Start&) {}         // handled in deliver()
+  void handle(Time, Instance&, const simulator_adapter::Stop&) {}          // handled in deliver()
+  void handle(Time, Instance&, const simulator_adapter::EndpointList&) {}  // handled in process()
 
   // Appends the records of the actions that an instance has decided.
   void collect(std::uint16_t instance, Time now, std::vector<std::uint8_t>& records) {
-    const auto found = routers_.find(instance);
-    if (found == routers_.end()) return;
+    const auto found = instances_.find(instance);
+    if (found == instances_.end()) return;
     for (const auto& action : found->second.router.take_actions()) {
-      const bool final = action.kind == ActionKind::reject || action.kind == ActionKind::fail;
-      if (final) found->second.in_flight.erase(action.id);
+      const bool is_final = action.kind == ActionKind::reject || action.kind == ActionKind::fail;
+      if (is_final) found->second.in_flight.erase(action.id);
       simulator_adapter::encode_action(instance, action, now, records);
     }
   }
 
-  std::map<std::uint16_t, Instance> routers_;
-  std::array<std::optional<std::vector<Endpoint>>, simulator_adapter::kTables> tables_;
-  std::size_t record_ = 0;  // the number of the event in its batch
+  std::map<std::uint16_t, Instance> instances_;
+  std::array<std::optional<std::vector<Endpoint>>, simulator_adapter::kMaxLists> lists_;
+  std::size_t record_number_ = 0;  // index of the current event in its batch
 };
 
-// The part of the input that is being read, for errors.
-enum class InputPart : std::uint8_t { length, batch };
-
-const char* to_string(InputPart part) { return part == InputPart::length ? "the length" : "a batch"; }
-
-// Reads exactly `size` bytes of standard input into `into`. It reads in slices, so that a false length does
-// not allocate memory for bytes that never arrive. Returns false if the input ends before the first byte.
-// Throws MalformedInput if it ends later.
-bool read_exactly(std::vector<std::uint8_t>& into, std::size_t size, InputPart part) {
-  constexpr std::size_t kSlice = 1 << 20;
-  into.clear();
-  while (into.size() < size) {
-    const std::size_t have = into.size();
-    into.resize(std::min(size, have + kSlice));
-    const std::size_t got = std::fread(into.data() + have, 1, into.size() - have, stdin);
-    if (got != into.size() - have) {
-      if (have + got == 0) return false;
-      throw simulator_adapter::MalformedInput(std::string("input ends within ") + to_string(part) +
-                                              ", byte " + std::to_string(have + got));
+// The section of the input that is being read, for errors.
+enum class InputSection : std::uint8_t { length, batch };
+
+const char* to_string(InputSection section) {
+  return section == InputSection::length ? "the length" : "a batch";
+}
+
+// Reads exactly `size` bytes of standard input into `buffer`. Returns false if the input ends before the
+// first byte. Throws MalformedInput if it ends later. Reads in slices, so that a wrong length does not
+// allocate memory for bytes that never arrive.
+bool read_exactly(std::vector<std::uint8_t>& buffer, std::size_t size, InputSection section) {
+  constexpr std::size_t kMaxSliceBytes = 1 << 20;
+  buffer.clear();
+  while (buffer.size() < size) {
+    const std::size_t received = buffer.size();
+    buffer.resize(std::min(size, received + kMaxSliceBytes));
+    const std::size_t count = std::fread(buffer.data() + received, 1, buffer.size() - received, stdin);
+    if (count != buffer.size() - received) {
+      if (received + count == 0) return false;
+      throw simulator_adapter::MalformedInput(std::string("input ends within ") + to_string(section) +
+                                              ", byte " + std::to_string(received + count));
     }
   }
   return true;
 }
 
-// Answers batches until the input ends.
+// Processes batches until the input ends.
 void serve() {
   Host host;
   std::vector<std::uint8_t> header;
   std::vector<std::uint8_t> payload;
-  while (read_exactly(header, simulator_adapter::kHeaderBytes, InputPart::length)) {
+  while (read_exactly(header, simulator_adapter::kHeaderBytes, InputSection::length)) {
     const auto length = simulator_adapter::read_length(
         std::span<const std::uint8_t, simulator_adapter::kHeaderBytes>(header.data(), 4));
     if (length > simulator_adapter::kMaxFrameBytes)
-      throw simulator_adapter::MalformedInput("header, byte 0: length beyond any batch");
-    if (!read_exactly(payload, length + simulator_adapter::kClockAndCountBytes, InputPart::batch)) {
+      throw simulator_adapter::MalformedInput("header, byte 0: length " + std::to_string(length) +
+                                              " exceeds the limit of " +
+                                              std::to_string(simulator_adapter::kMaxFrameBytes) + " bytes");
+    if (!read_exactly(payload, length + simulator_adapter::kClockAndCountBytes, InputSection::batch)) {
       throw simulator_adapter::MalformedInput("input ends after the length of a batch, byte 4");
     }
-    const auto reply = host.answer(simulator_adapter::decode_batch(payload));
+    const auto reply = host.process(simulator_adapter::decode_batch(payload));
     if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-      throw std::runtime_error("standard output is closed");
+      throw std::runtime_error("cannot write to standard output");
     }
   }
 }
@@ -192,8 +198,8 @@
   try {
     serve();
     return 0;
-  } catch (const std::exception& problem) {
-    std::fprintf(stderr, "thornwick_simulator_adapter: %s\n", problem.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "thornwick_simulator_adapter: %s\n", error.what());
     return 1;
   }
 }
--- a/src/simulator_adapter/field.cpp
+++ b/src/simulator_adapter/field.cpp
@@ -32,7 +32,7 @@
     case Field::prefix_id: return "prefix id";
     case Field::tenant: return "tenant";
     case Field::request_class: return "class";
-    case Field::due: return "due";
+    case Field::deadline: return "due";
     case Field::max_tokens: return "answer limit";
     case Field::attempt: return "attempt";
     case Field::elapsed: return "elapsed time";
--- a/src/simulator_adapter/field.hpp
+++ b/src/simulator_adapter/field.hpp
@@ -1,4 +1,4 @@
-// The fields of the simulator's wire protocol, for errors that name them.
+// The fields of the simulator's wire protocol, which error messages name.
 #pragma once
 
 #include <cstdint>
@@ -39,7 +39,7 @@
   prefix_id,
   tenant,
   request_class,
-  due,
+  deadline,
   max_tokens,
   // of an attempt, a probe, a timer and a message
   attempt,
@@ -53,7 +53,7 @@
   message,
 };
 
-// Returns the name that the protocol's description has for the field. Error lines contain it.
+// Returns the name of the field in the description of the protocol, for error messages.
 [[nodiscard]] const char* to_string(Field field);
 
 }  // namespace thornwick::simulator_adapter
--- a/src/simulator_adapter/settings_text.cpp
+++ b/src/simulator_adapter/settings_text.cpp
@@ -1,4 +1,4 @@
-// The settings text: lines of path=value.
+// Parser of the settings text, which consists of lines of the form path=value.
 #include <algorithm>
 #include <charconv>
 #include <cmath>
@@ -10,9 +10,10 @@
 namespace thornwick::simulator_adapter {
 namespace {
 
-constexpr double kLongestTime = 9e15;  // microseconds; whole numbers up to it are exact in a double
+constexpr double kMaxTime = 9e15;  // microseconds; a double represents integers up to this value exactly
 
-// The lines of the settings text by key, with typed look-ups that name the key at fault.
+// The lines of the settings text, by key. The look-ups convert a value to a type, and return `fallback` if
+// the key is missing. Errors name the key.
 class SettingsText {
  public:
   explicit SettingsText(std::string_view text) {
@@ -42,36 +43,37 @@
     if (*value == "true") return true;
     throw MalformedInput("setting " + key + " is not true or false: " + *value);
   }
-  double real(const std::string& key, double otherwise) const {
+  double real(const std::string& key, double fallback) const {
     const auto* value = find(key);
-    return value ? to_real(key, *value) : otherwise;
+    return value ? to_real(key, *value) : fallback;
   }
-  Time time(const std::string& key, Time otherwise) const {
-    return static_cast<Time>(bounded(key, static_cast<double>(otherwise), 0, kLongestTime));
+  Time time(const std::string& key, Time fallback) const {
+    return static_cast<Time>(bounded(key, static_cast<double>(fallback), 0, kMaxTime));
   }
   template <typename T>
-  T whole(const std::string& key, T otherwise) const {
-    return static_cast<T>(bounded(key, otherwise, 0, std::numeric_limits<T>::max()));
+  T integer(const std::string& key, T fallback) const {
+    return static_cast<T>(bounded(key, fallback, 0, std::numeric_limits<T>::max()));
   }
   std::vector<std::string> list(const std::string& key) const {
-    std::vector<std::string> parts;
-    const std::string whole_text = text(key);
-    std::string_view rest = whole_text;
-    while (!rest.empty()) {
-      const auto comma = rest.find(',');
-      parts.emplace_back(rest.substr(0, comma));
-      rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
+    std::vector<std::string> items;
+    const std::string value = text(key);
+    std::string_view remaining = value;
+    while (!remaining.empty()) {
+      const auto comma = remaining.find(',');
+      items.emplace_back(remaining.substr(0, comma));
+      remaining = comma == std::string_view::npos ? std::string_view{} : remaining.substr(comma + 1);
     }
-    return parts;
+    return items;
   }
   std::vector<double> reals(const std::string& key) const {
     std::vector<double> values;
-    for (const auto& part : list(key)) values.push_back(to_real(key, part));
+    for (const auto& item : list(key)) values.push_back(to_real(key, item));
     return values;
   }
-  // The length of a list of objects; each item has a line at least, which bounds a hostile count.
+  // Returns the number of objects in a list. Each object has at least one line, so a count above the number
+  // of lines is rejected; this limits allocation for a malicious count.
   std::size_t count(const std::string& key) const {
-    const auto length = whole<std::uint32_t>(key + ".count", 0);
+    const auto length = integer<std::uint32_t>(key + ".count", 0);
     if (length > values_.size()) throw MalformedInput("setting " + key + ".count exceeds the settings given");
     return length;
   }
@@ -85,8 +87,8 @@
     }
     return number;
   }
-  double bounded(const std::string& key, double otherwise, double low, double high) const {
-    const double value = real(key, otherwise);
+  double bounded(const std::string& key, double fallback, double low, double high) const {
+    const double value = real(key, fallback);
     if (value < low || value > high) throw MalformedInput("setting " + key + " is out of range");
     return value;
   }
@@ -109,13 +111,13 @@
 }
 
 ReportField parse_field(const std::string& name) {
-  static const std::map<std::string, ReportField> known = {
+  static const std::map<std::string, ReportField> fields = {
       {"outstanding", ReportField::outstanding}, {"backlog", ReportField::backlog},
       {"utilization", ReportField::utilization}, {"recent_ms", ReportField::recent_ms},
       {"throughput", ReportField::throughput},   {"errors_per_s", ReportField::errors_per_s},
       {"x0", ReportField::memory_share},         {"x1", ReportField::unread_kilotokens}};
-  const auto found = known.find(name);
-  return found == known.end() ? ReportField::unknown : found->second;
+  const auto found = fields.find(name);
+  return found == fields.end() ? ReportField::unknown : found->second;
 }
 
 ClassSettings parse_class(const SettingsText& text, std::size_t index) {
@@ -135,10 +137,10 @@
 
 void parse_classes(const SettingsText& text, Settings& settings) {
   for (std::size_t i = 0; i < text.count("grades"); ++i) settings.classes.push_back(parse_class(text, i));
-  const auto per_thousand = text.reals("extra.aimUsPer1000PromptTokens");
-  for (std::size_t i = 0; i < std::min(per_thousand.size(), settings.classes.size()); ++i) {
+  const auto per_1000_tokens = text.reals("extra.aimUsPer1000PromptTokens");
+  for (std::size_t i = 0; i < std::min(per_1000_tokens.size(), settings.classes.size()); ++i) {
     settings.classes[i].latency_objective_per_1000_prompt_tokens =
-        static_cast<Time>(std::clamp(per_thousand[i], 0.0, kLongestTime));
+        static_cast<Time>(std::clamp(per_1000_tokens[i], 0.0, kMaxTime));
   }
 }
 
@@ -154,7 +156,7 @@
   settings.hedging = text.flag("policyLimits.secondCopies");
   settings.retry_after = text.flag("policyLimits.retryAfter");
   settings.max_retry_after = text.time("policyLimits.maxRetryAfter", 0);
-  settings.max_attempts = text.whole<std::uint32_t>("policyLimits.maxAttempts", 1);
+  settings.max_attempts = text.integer<std::uint32_t>("policyLimits.maxAttempts", 1);
   settings.drain_grace = text.time("rules.stopSendingWithin", 0);
   settings.initial_capacity = text.real("rules.coldFrom", 1);
   settings.warm_up = text.time("rules.cold", 0);
@@ -165,13 +167,13 @@
 
 }  // namespace
 
-Settings parse_settings(std::string_view params, std::uint64_t seed) {
-  const SettingsText text(params);
+Settings parse_settings(std::string_view settings_text, std::uint64_t seed) {
+  const SettingsText text(settings_text);
   Settings settings;
   settings.seed = seed;
-  settings.rank = text.whole<std::uint32_t>("rank", 0);
-  settings.group_size = text.whole<std::uint32_t>("groupSize", 1);
-  settings.zone = text.whole<std::uint16_t>("locality", 0);
+  settings.rank = text.integer<std::uint32_t>("rank", 0);
+  settings.group_size = text.integer<std::uint32_t>("groupSize", 1);
+  settings.zone = text.integer<std::uint16_t>("locality", 0);
   settings.zone_count = static_cast<std::uint16_t>(std::max<std::size_t>(1, text.list("zones").size()));
   parse_classes(text, settings);
   for (std::size_t i = 0; i < text.count("tenants"); ++i) {
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -8,19 +8,19 @@
 namespace thornwick::simulator_adapter {
 namespace {
 
-// Codes of the records, as the simulator defines them.
+// Record codes of events and actions, as the simulator defines them.
 enum EventCode : std::uint16_t {
   kStart = 256,
-  kEndpointList = 257,
+  kEndpointListUpdate = 257,
   kRequest = 258,
   kFirstToken = 259,
   kAttemptResult = 260,
-  kClientGone = 261,
-  kTimerDue = 262,
+  kClientDisconnected = 261,
+  kTimerExpired = 262,
   kProbeResult = 263,
   kPeerMessage = 264,
   kStop = 265,
-  kRoster = 266
+  kEndpointList = 266
 };
 
 enum ActionCode : std::uint16_t {
@@ -35,20 +35,20 @@
   kFetchEndpoints = 267
 };
 
-constexpr std::size_t kEntryBytes = 23;  // of one endpoint in a list
+constexpr std::size_t kEntryBytes = 23;  // per endpoint in a list
 
-// Bits of a request's options.
+// Bits of the options of a request.
 constexpr std::uint8_t kHasWorkHint = 1;
 constexpr std::uint8_t kIsClientRepeat = 2;
 constexpr std::uint8_t kIsResumed = 16;
 
-// Reads a length of type Length, and returns so many bytes behind it.
+// Reads a length of type Length, and returns that number of bytes after it.
 template <typename Length>
 std::span<const std::uint8_t> take_with_length(ByteReader& reader, Field length, Field content) {
   return reader.take(reader.number<Length>(length), content);
 }
 
-// The status of an attempt has the numbers of errno.
+// Returns the outcome for the status of an attempt, which is an errno value.
 Outcome outcome_of(std::uint16_t status, const ByteReader& reader) {
   switch (status) {
     case 0: return Outcome::served;
@@ -64,21 +64,23 @@
 }
 
 EndpointState decode_endpoint_state(ByteReader& reader) {
-  switch (reader.number<std::uint8_t>(Field::status)) {
+  const auto status = reader.number<std::uint8_t>(Field::status);
+  switch (status) {
     case 0: return EndpointState::removed;
     case 2: return EndpointState::ready;
     case 3: return EndpointState::draining;
-    default: reader.reject("unknown status of an engine");
+    default: reader.reject("unknown status " + std::to_string(status) + " of an engine");
   }
 }
 
 EndpointUpdate decode_scope(ByteReader& reader) {
-  switch (reader.number<std::uint8_t>(Field::list_scope)) {
+  const auto scope = reader.number<std::uint8_t>(Field::list_scope);
+  switch (scope) {
     case 0: return EndpointUpdate::delta;
     case 1: return EndpointUpdate::full;
     case 2: return EndpointUpdate::cached;
     case 3: return EndpointUpdate::failed;
-    default: reader.reject("unknown scope of a list");
+    default: reader.reject("unknown scope " + std::to_string(scope) + " of a list");
   }
 }
 
@@ -94,22 +96,25 @@
   return entry;
 }
 
-Roster decode_roster(ByteReader& reader) {
-  Roster roster;
-  roster.table = reader.number<std::uint8_t>(Field::list_number);
-  if (roster.table >= kTables) reader.reject("list number out of range");
+EndpointList decode_endpoint_list(ByteReader& reader) {
+  EndpointList list;
+  list.list_number = reader.number<std::uint8_t>(Field::list_number);
+  if (list.list_number >= kMaxLists)
+    reader.reject("list number " + std::to_string(list.list_number) + " is not below " +
+                  std::to_string(kMaxLists));
   const auto count = reader.number<std::uint32_t>(Field::list_entry_count);
-  if (count > reader.left() / kEntryBytes) reader.reject("count of list entries exceeds the frame");
-  roster.members.reserve(count);
-  for (std::uint32_t i = 0; i < count; ++i) roster.members.push_back(decode_endpoint(reader));
-  return roster;
+  if (count > reader.remaining() / kEntryBytes)
+    reader.reject("count of list entries " + std::to_string(count) + " exceeds the frame");
+  list.members.reserve(count);
+  for (std::uint32_t i = 0; i < count; ++i) list.members.push_back(decode_endpoint(reader));
+  return list;
 }
 
-EndpointListUpdate decode_endpoint_list(ByteReader& reader) {
+EndpointListUpdate decode_list_update(ByteReader& reader) {
   EndpointListUpdate update;
   update.scope = decode_scope(reader);
   update.epoch = reader.number<std::uint64_t>(Field::list_epoch);
-  update.table = reader.number<std::uint8_t>(Field::list_number);
+  update.list_number = reader.number<std::uint8_t>(Field::list_number);
   return update;
 }
 
@@ -127,7 +132,7 @@
   request.prefix = reader.number<std::uint64_t>(Field::prefix_id);
   request.tenant = reader.number<std::uint16_t>(Field::tenant);
   request.priority_class = reader.number<std::uint8_t>(Field::request_class);
-  request.deadline = reader.time(Field::due);
+  request.deadline = reader.time(Field::deadline);
   request.max_tokens = reader.real(Field::max_tokens);
   return request;
 }
@@ -149,7 +154,7 @@
   Start start;
   start.seed = reader.number<std::uint64_t>(Field::seed);
   const auto text = take_with_length<std::uint32_t>(reader, Field::settings_length, Field::settings);
-  start.params.assign(text.begin(), text.end());
+  start.settings_text.assign(text.begin(), text.end());
   return start;
 }
 
@@ -162,13 +167,13 @@
   return first;
 }
 
-Probed decode_probe_result(ByteReader& reader) {
-  Probed probed;
-  probed.replica = reader.number<std::uint32_t>(Field::replica);
-  probed.alive = reader.number<std::uint16_t>(Field::status) == 0;
+ProbeResult decode_probe_result(ByteReader& reader) {
+  ProbeResult result;
+  result.replica = reader.number<std::uint32_t>(Field::replica);
+  result.alive = reader.number<std::uint16_t>(Field::status) == 0;
   reader.number<std::uint32_t>(Field::elapsed);
-  probed.report = reader.reals(Field::load_report);
-  return probed;
+  result.report = reader.reals(Field::load_report);
+  return result;
 }
 
 PeerMessage decode_peer_message(ByteReader& reader) {
@@ -179,15 +184,15 @@
   return message;
 }
 
-Body decode_body(std::uint16_t code, ByteReader& reader) {
+EventBody decode_event_body(std::uint16_t code, ByteReader& reader) {
   switch (code) {
     case kStart: return decode_start(reader);
-    case kEndpointList: return decode_endpoint_list(reader);
+    case kEndpointListUpdate: return decode_list_update(reader);
     case kRequest: return decode_request(reader);
     case kFirstToken: return decode_first_token(reader);
     case kAttemptResult: return decode_result(reader);
-    case kClientGone: return ClientGone{reader.number<std::uint64_t>(Field::request_id)};
-    case kTimerDue: return Timer{reader.number<std::uint32_t>(Field::timer_token)};
+    case kClientDisconnected: return ClientDisconnected{reader.number<std::uint64_t>(Field::request_id)};
+    case kTimerExpired: return TimerExpired{reader.number<std::uint32_t>(Field::timer_token)};
     case kProbeResult: return decode_probe_result(reader);
     case kPeerMessage: return decode_peer_message(reader);
     case kStop: return Stop{};
@@ -195,7 +200,7 @@
   }
 }
 
-// Appends a little-endian number of the size of T.
+// Appends a little-endian number with the size of T.
 template <typename T>
 void put(std::vector<std::uint8_t>& bytes, T value) {
   const auto bits = static_cast<std::uint64_t>(value);
@@ -214,10 +219,10 @@
     case ActionKind::probe: return kProbe;
     case ActionKind::message_peer: return kMessagePeer;
   }
-  return kFail;  // not reached: all kinds are above
+  return kFail;  // not reached, because all kinds are handled above
 }
 
-// Returns the time as the protocol has durations: 32 bits, and no time below zero.
+// Returns a duration in the protocol's form: 32 bits, limited to 0..2^31 - 1 microseconds.
 std::uint32_t as_duration(Time time) {
   return static_cast<std::uint32_t>(std::clamp<Time>(time, 0, std::numeric_limits<std::int32_t>::max()));
 }
@@ -233,15 +238,16 @@
     reader.begin_record(i);
     const auto code = reader.number<std::uint16_t>(Field::record_code);
     Event event;
-    if (code == kRoster) {
-      event.body = decode_roster(reader);
+    if (code == kEndpointList) {
+      event.body = decode_endpoint_list(reader);
     } else {
       event.instance = reader.number<std::uint16_t>(Field::instance);
-      event.body = decode_body(code, reader);
+      event.body = decode_event_body(code, reader);
     }
     batch.events.push_back(std::move(event));
   }
-  if (reader.left() != 0) reader.reject("bytes left over after the last record");
+  if (reader.remaining() != 0)
+    reader.reject(std::to_string(reader.remaining()) + " bytes left over after the last record");
   return batch;
 }
 
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec on the hex of its description, on settings text and on malformed frames.
+// The codec: the examples in the description of the wire protocol, the settings text, and malformed frames.
 #include "simulator_adapter/wire.hpp"
 
 #include <gtest/gtest.h>
@@ -11,6 +11,7 @@
 namespace thornwick::testing {
 namespace {
 
+// Returns a batch with the given records, without its length field.
 Bytes batch_of(std::string_view records_hex, std::uint32_t count) {
   FrameBuilder b;
   b.body = from_hex(records_hex);
@@ -18,7 +19,7 @@
   return b.payload(8'674'394);
 }
 
-TEST(Codec, ReadsTheQueryOfTheDescription) {
+TEST(Codec, DecodesTheRequestInTheDescription) {
   const auto batch = simulator_adapter::decode_batch(batch_of(
       "0201 0300 c4913a5df7e60500 00009644 e02e0000 640ad2557c3bf091 0000e144 01 107cf3d901648e2b 0000 00 "
       "da05840000000000 00008043",
@@ -40,7 +41,7 @@
   EXPECT_EQ(r.max_tokens, 256);
 }
 
-TEST(Codec, ReadsTheOtherEventsOfTheDescription) {
+TEST(Codec, DecodesTheOtherEventsInTheDescription) {
   const auto batch = simulator_adapter::decode_batch(
       batch_of("0601 0300 4d000000"
                "0501 0500 192b6f0ec9c10700"
@@ -51,25 +52,25 @@
                "0101 0300 02 2900000000000000 00",
                5));
   ASSERT_EQ(batch.events.size(), 5u);
-  EXPECT_EQ(std::get<simulator_adapter::Timer>(batch.events[0].body).token, 77u);
+  EXPECT_EQ(std::get<simulator_adapter::TimerExpired>(batch.events[0].body).token, 77u);
   EXPECT_EQ(batch.events[1].instance, 5);
-  EXPECT_EQ(std::get<simulator_adapter::ClientGone>(batch.events[1].body).id, 0x0007c1c90e6f2b19u);
+  EXPECT_EQ(std::get<simulator_adapter::ClientDisconnected>(batch.events[1].body).id, 0x0007c1c90e6f2b19u);
   const auto& result = std::get<simulator_adapter::Result>(batch.events[2].body).result;
   EXPECT_EQ(result.replica, 0x03124a07u);
   EXPECT_EQ(result.outcome, Outcome::served);
   EXPECT_EQ(result.elapsed, 0x4844);
   EXPECT_TRUE(result.concluded);
-  const auto& roster = std::get<simulator_adapter::Roster>(batch.events[3].body);
-  ASSERT_EQ(roster.members.size(), 2u);
-  EXPECT_EQ(roster.members[1].started_at, 0x5d1420);
-  EXPECT_EQ(roster.members[1].weight, 1.5f);
-  EXPECT_EQ(roster.members[1].zone, 1);
-  EXPECT_EQ(roster.members[1].state, EndpointState::ready);
+  const auto& list = std::get<simulator_adapter::EndpointList>(batch.events[3].body);
+  ASSERT_EQ(list.members.size(), 2u);
+  EXPECT_EQ(list.members[1].started_at, 0x5d1420);
+  EXPECT_EQ(list.members[1].weight, 1.5f);
+  EXPECT_EQ(list.members[1].zone, 1);
+  EXPECT_EQ(list.members[1].state, EndpointState::ready);
   EXPECT_EQ(std::get<simulator_adapter::EndpointListUpdate>(batch.events[4].body).scope,
             EndpointUpdate::cached);
 }
 
-TEST(Codec, WritesTheActionsOfTheDescription) {
+TEST(Codec, EncodesTheActionsInTheDescription) {
   Bytes out;
   simulator_adapter::encode_action(
       3, {.kind = ActionKind::send, .id = 0x0005e6f75d3a91c4, .replica = 0x03124a07, .time = 80'000}, 0, out);
@@ -84,95 +85,97 @@
   EXPECT_EQ(simulator_adapter::frame({}), from_hex("00000000"));
 }
 
-TEST(Codec, WritesTheRemainingActions) {
-  const auto coded = [](const Action& action) {
+TEST(Codec, EncodesTheRemainingActions) {
+  const auto encoded = [](const Action& action) {
     Bytes out;
     simulator_adapter::encode_action(1, action, 0, out);
     return out;
   };
-  EXPECT_EQ(coded({.kind = ActionKind::reject, .id = 2, .time = 9}),
+  EXPECT_EQ(encoded({.kind = ActionKind::reject, .id = 2, .time = 9}),
             from_hex("0101 0100 0200000000000000 09000000"));
-  EXPECT_EQ(coded({.kind = ActionKind::fail, .id = 2}), from_hex("0201 0100 0200000000000000"));
-  EXPECT_EQ(coded({.kind = ActionKind::cancel, .id = 2, .attempt = 1}),
+  EXPECT_EQ(encoded({.kind = ActionKind::fail, .id = 2}), from_hex("0201 0100 0200000000000000"));
+  EXPECT_EQ(encoded({.kind = ActionKind::cancel, .id = 2, .attempt = 1}),
             from_hex("0301 0100 0200000000000000 01"));
-  EXPECT_EQ(coded({.kind = ActionKind::probe, .replica = 5}), from_hex("0501 0100 05000000"));
-  EXPECT_EQ(coded({.kind = ActionKind::watch_endpoints}), from_hex("0a01 0100 01"));
-  EXPECT_EQ(coded({.kind = ActionKind::fetch_endpoints}), from_hex("0b01 0100"));
+  EXPECT_EQ(encoded({.kind = ActionKind::probe, .replica = 5}), from_hex("0501 0100 05000000"));
+  EXPECT_EQ(encoded({.kind = ActionKind::watch_endpoints}), from_hex("0a01 0100 01"));
+  EXPECT_EQ(encoded({.kind = ActionKind::fetch_endpoints}), from_hex("0b01 0100"));
 }
 
-TEST(Codec, ReadsAnEmptyBatch) {
+TEST(Codec, DecodesAnEmptyBatch) {
   const auto batch = simulator_adapter::decode_batch(from_hex("5a5c800000000000 00000000"));
   EXPECT_EQ(batch.now, 8'412'250);
   EXPECT_TRUE(batch.events.empty());
 }
 
-// The message names the record and the byte.
-std::string refusal(const Bytes& payload) {
+// Returns the error message for a malformed batch; empty if the batch is valid.
+std::string error_of(const Bytes& payload) {
   try {
     simulator_adapter::decode_batch(payload);
-  } catch (const simulator_adapter::MalformedInput& problem) {
-    return problem.what();
+  } catch (const simulator_adapter::MalformedInput& error) {
+    return error.what();
   }
   return "";
 }
 
-TEST(Malformed, EveryTruncationIsRefused) {
+TEST(Malformed, EveryTruncatedBatchIsRejected) {
   FrameBuilder b;
-  b.start(1, kParams).roster(0, {7, 8}).directory(1, 1, 0).query(1, 5, 99);
-  const auto whole = b.payload(1000);
-  ASSERT_NO_THROW(simulator_adapter::decode_batch(whole));
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    EXPECT_NE(refusal(Bytes(whole.begin(), whole.begin() + static_cast<std::ptrdiff_t>(size))), "") << size;
+  b.start(1, kSettingsText).endpoint_list(0, {7, 8}).list_update(1, 1, 0).request(1, 5, 99);
+  const auto payload = b.payload(1000);
+  ASSERT_NO_THROW(simulator_adapter::decode_batch(payload));
+  for (std::size_t size = 0; size < payload.size(); ++size) {
+    EXPECT_NE(error_of(Bytes(payload.begin(), payload.begin() + static_cast<std::ptrdiff_t>(size))), "")
+        << size;
   }
 }
 
-TEST(Malformed, CountsBeyondTheFrameAndUnknownCodesAreRefusedWithTheirPlace) {
+TEST(Malformed, ErrorsForExcessiveCountsAndUnknownCodesNameTheirPosition) {
   FrameBuilder unknown;
   unknown.event(999, 1);
-  EXPECT_NE(refusal(unknown.payload(1)).find("record 0, byte"), std::string::npos);
+  EXPECT_NE(error_of(unknown.payload(1)).find("record 0, byte"), std::string::npos);
   FrameBuilder list;
   ++list.records;
   list.put(std::uint16_t{266}).put(std::uint8_t{0}).put(std::uint32_t{0xffffffff});
-  EXPECT_NE(refusal(list.payload(1)).find("count of list entries"), std::string::npos);
-  FrameBuilder table;
-  table.roster(16, {});
-  EXPECT_NE(refusal(table.payload(1)).find("list number"), std::string::npos);
+  EXPECT_NE(error_of(list.payload(1)).find("count of list entries"), std::string::npos);
+  FrameBuilder number;
+  number.endpoint_list(16, {});
+  EXPECT_NE(error_of(number.payload(1)).find("list number"), std::string::npos);
   FrameBuilder text;
   text.event(256, 1).put(std::uint64_t{0}).put(std::uint32_t{0xfffffff0});
-  EXPECT_NE(refusal(text.payload(1)).find("settings"), std::string::npos);
+  EXPECT_NE(error_of(text.payload(1)).find("settings"), std::string::npos);
   FrameBuilder left_over;
   left_over.put(std::uint8_t{1});
-  EXPECT_NE(refusal(left_over.payload(1)).find("left over"), std::string::npos);
+  EXPECT_NE(error_of(left_over.payload(1)).find("left over"), std::string::npos);
 }
 
-// A bounded number of random changes to a good frame: rejected or read, never a crash (run under sanitizers).
-TEST(Malformed, RandomDamageNeverCrashes) {
+// Makes random changes to a valid batch. The codec must decode or reject the result without a crash; the
+// sanitizers detect invalid memory accesses.
+TEST(Malformed, RandomlyDamagedBatchesAreDecodedOrRejected) {
   FrameBuilder b;
-  b.start(1, kParams).roster(0, {7, 8}).directory(1, 1, 0).query(1, 5, 99);
+  b.start(1, kSettingsText).endpoint_list(0, {7, 8}).list_update(1, 1, 0).request(1, 5, 99);
   b.event(262, 1).put(std::uint32_t{4}).event(264, 1).put(std::uint16_t{0}).put(std::uint16_t{0});
-  const auto whole = b.payload(1000);
+  const auto payload = b.payload(1000);
   std::mt19937 random(4);
-  int read = 0, rejected = 0;
+  int decoded = 0, rejected = 0;
   for (int round = 0; round < 20000; ++round) {
-    auto damaged = whole;
+    auto damaged = payload;
     for (unsigned n = 1 + random() % 4; n > 0; --n) {
       damaged[random() % damaged.size()] = static_cast<std::uint8_t>(random());
     }
     try {
       for (const auto& event : simulator_adapter::decode_batch(damaged).events) {
         if (const auto* start = std::get_if<simulator_adapter::Start>(&event.body))
-          simulator_adapter::parse_settings(start->params, 1);
+          simulator_adapter::parse_settings(start->settings_text, 1);
       }
-      ++read;
+      ++decoded;
     } catch (const simulator_adapter::MalformedInput&) {
       ++rejected;
     }
   }
-  EXPECT_GT(read, 0);
+  EXPECT_GT(decoded, 0);
   EXPECT_GT(rejected, 0);
 }
 
-TEST(SettingsText, IsReadAndUnknownKeysAreDisregarded) {
+TEST(SettingsText, IsParsedAndUnknownKeysAreIgnored) {
   const auto s = simulator_adapter::parse_settings(
       "grades.count=2\ngrades.0.credit=1.0\ngrades.0.objective=3000000\ngrades.0.deadline=15000000\n"
       "grades.1.effect=keyed\ngrades.1.dedupScope=cell\ngrades.1.window=5000000\nlocality=2\nzones=a,b,c\n"
@@ -197,21 +200,21 @@
   EXPECT_EQ(s.seed, 11u);
 }
 
-TEST(SettingsText, ThatIsNoNumberOrNoWordIsRefusedByName) {
-  const auto refusal_of = [](const char* text) -> std::string {
+TEST(SettingsText, ErrorsForInvalidValuesNameTheKey) {
+  const auto settings_error_of = [](const char* text) -> std::string {
     try {
       simulator_adapter::parse_settings(text, 0);
-    } catch (const simulator_adapter::MalformedInput& problem) {
-      return problem.what();
+    } catch (const simulator_adapter::MalformedInput& error) {
+      return error.what();
     }
     return "";
   };
-  EXPECT_NE(refusal_of("rules.cold=soon\n").find("rules.cold"), std::string::npos);
-  EXPECT_NE(refusal_of("rank=-3\n").find("rank"), std::string::npos);
-  EXPECT_NE(refusal_of("grades.count=4000000000\n").find("grades.count"), std::string::npos);
-  EXPECT_NE(refusal_of("grades.count=1\ngrades.0.effect=odd\n").find("effect"), std::string::npos);
-  EXPECT_NE(refusal_of("policyLimits.mayCancel=perhaps\n").find("mayCancel"), std::string::npos);
-  EXPECT_NE(refusal_of("no equals sign").find("without"), std::string::npos);
+  EXPECT_NE(settings_error_of("rules.cold=soon\n").find("rules.cold"), std::string::npos);
+  EXPECT_NE(settings_error_of("rank=-3\n").find("rank"), std::string::npos);
+  EXPECT_NE(settings_error_of("grades.count=4000000000\n").find("grades.count"), std::string::npos);
+  EXPECT_NE(settings_error_of("grades.count=1\ngrades.0.effect=odd\n").find("effect"), std::string::npos);
+  EXPECT_NE(settings_error_of("policyLimits.mayCancel=perhaps\n").find("mayCancel"), std::string::npos);
+  EXPECT_NE(settings_error_of("no equals sign").find("without"), std::string::npos);
 }
 
 }  // namespace
