--- a/tests/policy/gossip_test.cpp
+++ b/tests/policy/gossip_test.cpp
@@ -1,5 +1,4 @@
-// Observations exchanged between the routers of a large group: their messages, and what the policy makes of
-// them.
+// Observations that the routers of a large group share: the messages, and their effect on the policy.
 #include "gossip/gossip.hpp"
 
 #include <gtest/gtest.h>
@@ -16,10 +15,11 @@
 
 std::vector<std::uint8_t> bytes_of(const std::string& text) { return {text.begin(), text.end()}; }
 
+// Returns a gossip message with these items.
 std::string message_of(std::vector<GossipItem> items) {
-  Gossip all;
-  for (const auto& item : items) all.add(item);
-  return all.take_message();
+  Gossip gossip;
+  for (const auto& item : items) gossip.add(item);
+  return gossip.take_message();
 }
 
 Settings large_group_settings() {
@@ -31,22 +31,23 @@
   return settings;
 }
 
+// Delivers a message with these items from a peer.
 void receive(PolicyFixture& fixture, std::uint32_t peer, std::vector<GossipItem> items) {
   fixture.router.on_peer_message(fixture.now, peer, bytes_of(message_of(std::move(items))));
   fixture.take_actions();
 }
 
-// Sends so many requests, each answered at once, and returns how many each replica got.
+// Delivers and serves this number of requests. Returns the number of requests that each replica got.
 std::map<ReplicaId, int> send_requests(PolicyFixture& fixture, int requests) {
-  std::map<ReplicaId, int> to;
+  std::map<ReplicaId, int> sent;
   for (int i = 0; i < requests; ++i) {
     fixture.advance(20'000);
     const auto id =
         sent_replica(fixture.arrive({.prompt_tokens = 100, .session = 77u + static_cast<unsigned>(i)}));
     fixture.serve(fixture.last.id, id);
-    ++to[id];
+    ++sent[id];
   }
-  return to;
+  return sent;
 }
 
 TEST(Gossip, ItemsAreDecodedAsEncodedAndAMessageHoldsFifty) {
@@ -61,24 +62,24 @@
   EXPECT_EQ(read.back().observation, Observation::late);
 }
 
-TEST(Gossip, ATruncatedForeignOrTooLongMessageIsIgnored) {
-  const auto good = bytes_of(message_of({{1, Observation::slow}, {2, Observation::unreachable}}));
+TEST(Gossip, ATruncatedInvalidOrTooLongMessageIsIgnored) {
+  const auto valid = bytes_of(message_of({{1, Observation::slow}, {2, Observation::unreachable}}));
   Gossip gossip;
-  std::uint64_t bad = 0;
-  for (std::size_t cut = 0; cut < good.size(); ++cut) {
+  std::uint64_t malformed = 0;
+  for (std::size_t cut = 0; cut < valid.size(); ++cut) {
     const bool complete = cut == 7;  // a head and one item are a complete message
-    EXPECT_EQ(gossip.read(kSecond, 1, std::span(good).first(cut)).size(), complete ? 1u : 0u) << cut;
-    bad += !complete;
+    EXPECT_EQ(gossip.read(kSecond, 1, std::span(valid).first(cut)).size(), complete ? 1u : 0u) << cut;
+    malformed += !complete;
   }
   for (std::size_t at : {0u, 1u, 6u}) {
-    auto wrong = good;
-    wrong[at] ^= 0x80;
-    EXPECT_TRUE(gossip.read(kSecond, 1, wrong).empty()) << at;
-    ++bad;
+    auto invalid = valid;
+    invalid[at] ^= 0x80;
+    EXPECT_TRUE(gossip.read(kSecond, 1, invalid).empty()) << at;
+    ++malformed;
   }
   EXPECT_TRUE(gossip.read(kSecond, 1, std::vector<std::uint8_t>(2000, 0x54)).empty());
-  EXPECT_TRUE(gossip.read(kSecond, 1'000'000, good).empty());
-  EXPECT_EQ(gossip.malformed_messages(), bad + 2);
+  EXPECT_TRUE(gossip.read(kSecond, 1'000'000, valid).empty());
+  EXPECT_EQ(gossip.malformed_messages(), malformed + 2);
 }
 
 TEST(Gossip, ItemsBeyondThePeersRateAreIgnored) {
@@ -89,10 +90,10 @@
   EXPECT_GE(accepted, 100u);
   EXPECT_LE(accepted, 200u);
   EXPECT_EQ(accepted + gossip.rate_limited_items(), 5000u);
-  EXPECT_EQ(gossip.read(kSecond, 6, full).size(), 50u);  // others are read as before
+  EXPECT_EQ(gossip.read(kSecond, 6, full).size(), 50u);  // the limit does not affect other peers
 }
 
-TEST(LargeGroup, EjectsAReplicaThatPeersReportAsUnreachableForAWhile) {
+TEST(LargeGroup, EjectsAReplicaForSomeTimeIfPeersReportItAsUnreachable) {
   PolicyFixture fixture(large_group_settings());
   fixture.list_equal_replicas(4);
   EXPECT_GT(send_requests(fixture, 40)[20], 0);
@@ -102,7 +103,7 @@
   EXPECT_GT(send_requests(fixture, 40)[20], 0);
 }
 
-TEST(LargeGroup, SingleFailuresThatPeersReportEjectNoReplica) {
+TEST(LargeGroup, SingleReportedFailuresDoNotEjectAReplica) {
   PolicyFixture fixture(large_group_settings());
   fixture.list_equal_replicas(4);
   for (std::uint32_t i = 0; i < 20; ++i) {
@@ -112,7 +113,7 @@
   EXPECT_GT(send_requests(fixture, 40)[20], 0);
 }
 
-TEST(LargeGroup, SendsLessToAReplicaThatPeersReportAsSlowForAWhile) {
+TEST(LargeGroup, SendsLessForSomeTimeToAReplicaThatPeersReportAsSlow) {
   PolicyFixture fixture(large_group_settings());
   fixture.list_equal_replicas(4);
   const int before = send_requests(fixture, 200)[20];
@@ -123,14 +124,14 @@
   EXPECT_GT(send_requests(fixture, 200)[20], before * 3 / 4);
 }
 
-TEST(LargeGroup, ReportsFailuresOnceAndInOneMessage) {
+TEST(LargeGroup, GathersReportsOfFailuresInOneMessage) {
   auto settings = large_group_settings();
-  settings.group_size = 17;  // the smallest group that gossips; it reports everything
+  settings.group_size = 17;  // the smallest large group, which reports all observations
   PolicyFixture fixture(settings);
   fixture.list_equal_replicas(2);
   for (int i = 0; i < 20; ++i) {
-    const auto to = sent_replica(fixture.arrive_with_size(100));
-    fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+    const auto replica = sent_replica(fixture.arrive_with_size(100));
+    fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed);
   }
   const auto messages = actions_of_kind(fixture.advance(kSecond), ActionKind::message_peer);
   ASSERT_EQ(messages.size(), 1u);
@@ -138,8 +139,8 @@
   EXPECT_GE(messages[0].message.size(), 2u + 15 * 5);
 }
 
-// Each item costs CPU time at every router. When everything was reported, this cost 300 routers a tenth of a
-// day's score.
+// Each item costs CPU time at every router. When all observations were reported, a group of 300 routers lost
+// a tenth of the score of an emulated day.
 TEST(LargeGroup, TheCostOfReportsDoesNotGrowWithTheGroup) {
   std::vector<double> delivered_bytes;
   for (const std::uint32_t group : {40u, 100u, 300u}) {
@@ -150,8 +151,8 @@
     fixture.list_equal_replicas(40);
     double bytes = 0;
     for (int i = 0; i < 2000; ++i) {
-      const auto to = sent_replica(fixture.arrive_with_size(100));
-      fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+      const auto replica = sent_replica(fixture.arrive_with_size(100));
+      fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed);
       for (const auto& action : actions_of_kind(fixture.advance(kSecond / 2), ActionKind::message_peer))
         bytes += static_cast<double>(action.message.size());
     }
@@ -163,8 +164,9 @@
   EXPECT_GT(delivered_bytes[2], 0.3 * delivered_bytes[0]);
 }
 
-// Cutoffs from a few sizes would differ between routers, and so would the replica of each session.
-TEST(LargeGroup, RoutersThatObservedDifferentSizesPlaceSessionsAlike) {
+// Guards against interval edges that are computed from too few sizes: they would differ between routers, and
+// with them the replica of each session.
+TEST(LargeGroup, RoutersThatObservedDifferentSizesPlaceSessionsOnTheSameReplicas) {
   std::vector<std::unique_ptr<PolicyFixture>> routers;
   for (std::uint32_t rank : {3u, 4u}) {
     auto settings = large_group_settings();
@@ -176,24 +178,25 @@
     for (int i = 0; i < 60; ++i) {
       fixture.advance(kSecond);
       const double size = 100 * std::pow(1.0 + 0.1 * rank, i % 20);
-      const auto to = sent_replica(fixture.arrive({.prompt_tokens = size, .session = 1000u * rank + i}));
-      fixture.serve(fixture.last.id, to);
+      const auto replica = sent_replica(fixture.arrive({.prompt_tokens = size, .session = 1000u * rank + i}));
+      fixture.serve(fixture.last.id, replica);
     }
   }
   int alike = 0;
   for (std::uint64_t session = 1; session <= 100; ++session) {
-    ReplicaId at[2];
+    ReplicaId replicas[2];
     for (std::size_t i : {0u, 1u}) {
       PolicyFixture& fixture = *routers[i];
-      at[i] = sent_replica(fixture.arrive({.prompt_tokens = 50.0 * session, .session = session}));
-      fixture.serve(fixture.last.id, at[i]);
+      replicas[i] = sent_replica(fixture.arrive({.prompt_tokens = 50.0 * session, .session = session}));
+      fixture.serve(fixture.last.id, replicas[i]);
     }
-    alike += at[0] == at[1];
+    alike += replicas[0] == replicas[1];
   }
   EXPECT_GT(alike, 95);
 }
 
-// After half of its warm-up a replica can do three quarters of its work. In a small group its share is half.
+// After half of its warm-up, a replica can do three quarters of its work, and gets that share in a large
+// group. In a small group, its share is half.
 TEST(LargeGroup, TheShareOfAWarmingUpReplicaRisesWithItsCapacity) {
   struct Case {
     std::uint32_t group_size;
@@ -221,8 +224,8 @@
   settings.group_size = 4;
   PolicyFixture fixture(settings);
   fixture.list_equal_replicas(2);
-  const auto to = sent_replica(fixture.arrive_with_size(100));
-  fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
+  fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed);
   EXPECT_TRUE(actions_of_kind(fixture.advance(kSecond), ActionKind::message_peer).empty());
 }
 
--- a/tests/policy/policy_rules_test.cpp
+++ b/tests/policy/policy_rules_test.cpp
@@ -1,5 +1,5 @@
-// The four rules that every decision of the routing policy keeps: no request is lost, no effect happens
-// twice, drains are respected, and replicas that warm up are not overloaded.
+// The four rules for all decisions of the routing policy: no request is lost, no effect happens twice,
+// draining replicas get no requests, and replicas that warm up are not overloaded.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -10,9 +10,7 @@
 namespace thornwick::testing {
 namespace {
 
-// ---------------------------------------------------------------- rule 1: no request lost
-
-TEST(RuleNoRequestLost, ARequestAtAReplicaThatDoesNotAnswerIsAnsweredOnceBeforeItsDeadline) {
+TEST(RuleNoRequestLost, ARequestAtAnUnresponsiveReplicaGetsOneFinalAnswerByItsDeadline) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
   auto actions = fixture.arrive_with_size(100);
@@ -24,7 +22,7 @@
   EXPECT_TRUE(actions_of_kind(fixture.end_attempt(id, 0, 10, Outcome::timed_out), ActionKind::send).empty());
 }
 
-TEST(RuleNoRequestLost, WithAnEmptyListTheRequestWaitsAndIsThenRejected) {
+TEST(RuleNoRequestLost, ARequestWaitsWhileTheEndpointListIsEmptyAndIsThenRejected) {
   PolicyFixture fixture;
   EXPECT_EQ(final_answer_count(fixture.arrive_with_size(100)), 0u);
   const auto actions = fixture.advance(seconds(8));
@@ -32,25 +30,25 @@
   EXPECT_TRUE(actions_of_kind(actions, ActionKind::send).empty());
 }
 
-TEST(RuleNoRequestLost, AWaitingRequestIsSentWhenAReplicaAppears) {
+TEST(RuleNoRequestLost, AWaitingRequestIsSentWhenAReplicaIsListed) {
   PolicyFixture fixture;
   fixture.arrive_with_size(100);
   fixture.list_equal_replicas(1);
   EXPECT_EQ(sent_replica(fixture.advance(kSecond)), 10u);
 }
 
-TEST(RuleNoRequestLost, ARequestThatArrivesAfterItsDeadlineIsAnswered) {
+TEST(RuleNoRequestLost, ARequestThatArrivesAfterItsDeadlineGetsAFinalAnswer) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(1);
   EXPECT_EQ(final_answer_count(fixture.arrive({.deadline = fixture.now, .prompt_tokens = 100})), 1u);
 }
 
-TEST(RuleNoRequestLost, NothingIsSentAfterTheClientLeft) {
+TEST(RuleNoRequestLost, NothingIsSentAfterTheClientHasDisconnected) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
-  const auto to = sent_replica(fixture.arrive_with_size(100));
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
   fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
-  EXPECT_TRUE(fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed).empty());
+  EXPECT_TRUE(fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed).empty());
   EXPECT_TRUE(fixture.advance(seconds(20)).empty());
 }
 
@@ -65,14 +63,13 @@
   fixture.router.on_probe_result(fixture.now, 12345, true, {});
   fixture.router.on_peer_message(fixture.now, 1, {});
   EXPECT_TRUE(fixture.take_actions().empty());
-  const auto to = sent_replica(fixture.arrive({.id = 5, .prompt_tokens = 10}));
+  const auto replica = sent_replica(fixture.arrive({.id = 5, .prompt_tokens = 10}));
   EXPECT_TRUE(actions_of_kind(fixture.arrive({.id = 5, .prompt_tokens = 10}), ActionKind::send)
-                  .empty());  // never twice
-  fixture.serve(5, to);
+                  .empty());  // the id is in use
+  fixture.serve(5, replica);
 }
 
-// ---------------------------------------------------------------- rule 2: no effect twice
-
+// Settings with one class of requests with this effect.
 Settings effect_settings(Effect effect, DedupScope scope = DedupScope::all) {
   auto settings = plain_settings();
   settings.classes[0].effect = effect;
@@ -81,27 +78,27 @@
   return settings;
 }
 
-TEST(RuleNoEffectTwice, UnsafeIsNeitherRetriedNorRejectedAfterAnError) {
+TEST(RuleNoEffectTwice, AnUnsafeRequestIsNeitherRetriedNorRejectedAfterAnError) {
   PolicyFixture fixture(effect_settings(Effect::unsafe));
   fixture.list_equal_replicas(3);
-  fixture.earn_retries();
-  const auto to = sent_replica(fixture.arrive_with_size(100));
-  const auto actions = fixture.end_attempt(fixture.last.id, 0, to, Outcome::error);
+  fixture.fill_retry_budget();
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
+  const auto actions = fixture.end_attempt(fixture.last.id, 0, replica, Outcome::error);
   EXPECT_TRUE(actions_of_kind(actions, ActionKind::send).empty());
   EXPECT_TRUE(actions_of_kind(actions, ActionKind::reject).empty());
   EXPECT_EQ(actions_of_kind(actions, ActionKind::fail).size(), 1u);
 }
 
-TEST(RuleNoEffectTwice, UnsafeIsRetriedIfTheFirstAttemptCannotHaveRun) {
+TEST(RuleNoEffectTwice, AnUnsafeRequestIsRetriedIfTheFirstAttemptCannotHaveRun) {
   PolicyFixture fixture(effect_settings(Effect::unsafe));
   fixture.list_equal_replicas(3);
-  const auto to = sent_replica(fixture.arrive_with_size(100));
-  const auto actions = fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed);
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
+  const auto actions = fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed);
   ASSERT_EQ(actions_of_kind(actions, ActionKind::send).size(), 1u);
-  EXPECT_NE(sent_replica(actions), to);
+  EXPECT_NE(sent_replica(actions), replica);
 }
 
-TEST(RuleNoEffectTwice, UnsafeIsNotHedgedWhileTheFirstAttemptDoesNotAnswer) {
+TEST(RuleNoEffectTwice, AnUnsafeRequestIsNotHedgedWhileTheFirstAttemptIsUnanswered) {
   PolicyFixture fixture(effect_settings(Effect::unsafe));
   fixture.list_equal_replicas(3);
   fixture.arrive_with_size(100);
@@ -111,55 +108,53 @@
   EXPECT_EQ(actions_of_kind(actions, ActionKind::fail).size(), 1u);
 }
 
-TEST(RuleNoEffectTwice, KeyedIsRetriedOnlyWithinItsDeduplicationScope) {
+TEST(RuleNoEffectTwice, AKeyedRequestIsRetriedOnlyWithinItsDeduplicationScope) {
   PolicyFixture fixture(effect_settings(Effect::keyed, DedupScope::cell));
   fixture.list({{.id = 1, .cell = 1}, {.id = 2, .cell = 2}, {.id = 3, .cell = 2}});
   std::map<ReplicaId, int> sends;
   for (int i = 0; i < 40; ++i) {
-    const auto to = sent_replica(fixture.arrive_with_size(100));
+    const auto replica = sent_replica(fixture.arrive_with_size(100));
     fixture.advance(kSecond / 4);
-    const auto again = fixture.end_attempt(fixture.last.id, 0, to, Outcome::error);
+    const auto again = fixture.end_attempt(fixture.last.id, 0, replica, Outcome::error);
     const auto second = sent_replica(again);
     EXPECT_TRUE(actions_of_kind(again, ActionKind::reject).empty());
     if (second != 0) {
-      EXPECT_EQ(second == 1, to == 1);
+      EXPECT_EQ(second == 1, replica == 1);
       fixture.serve(fixture.last.id, second, 1);
     }
     fixture.advance(seconds(20));
   }
 }
 
-TEST(RuleNoEffectTwice, KeyedIsNotRetriedAfterItsDeduplicationWindow) {
+TEST(RuleNoEffectTwice, AKeyedRequestIsNotRetriedAfterItsDeduplicationWindow) {
   PolicyFixture fixture(effect_settings(Effect::keyed));
   fixture.list_equal_replicas(3);
   for (int i = 0; i < 15; ++i)
-    fixture.serve(fixture.last_id, sent_replica(fixture.arrive_with_size(100)));  // earns a retry
-  const auto to = sent_replica(fixture.arrive_with_size(100));
+    fixture.serve(fixture.last_id, sent_replica(fixture.arrive_with_size(100)));  // fills the retry budget
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
   fixture.advance(kSecond + 1);
-  const auto actions = fixture.end_attempt(fixture.last.id, 0, to, Outcome::error);
+  const auto actions = fixture.end_attempt(fixture.last.id, 0, replica, Outcome::error);
   EXPECT_TRUE(actions_of_kind(actions, ActionKind::send).empty());
   EXPECT_EQ(final_answer_count(actions), 1u);
 }
 
-TEST(RuleNoEffectTwice, NoTwoAttemptsAreInFlightWhereHedgingIsForbidden) {
+TEST(RuleNoEffectTwice, ASecondAttemptIsSentInParallelOnlyIfHedgingIsAllowed) {
   auto settings = plain_settings();
   for (const bool allowed : {true, false}) {
     settings.hedging = allowed;
     PolicyFixture fixture(settings);
     fixture.list_equal_replicas(2);
-    fixture.earn_retries();
-    std::size_t copies = 0;
+    fixture.fill_retry_budget();
+    std::size_t second_attempts = 0;
     for (int i = 0; i < 6; ++i) {
       fixture.arrive_with_size(100);
-      copies += actions_of_kind(fixture.advance(seconds(10)), ActionKind::send).size();
+      second_attempts += actions_of_kind(fixture.advance(seconds(10)), ActionKind::send).size();
     }
-    EXPECT_EQ(copies > 0, allowed);
+    EXPECT_EQ(second_attempts > 0, allowed);
   }
 }
 
-// ---------------------------------------------------------------- rule 3: drains
-
-TEST(RuleDrains, NoRequestIsSentToADrainingGoneOrUnlistedReplica) {
+TEST(RuleDrains, NoRequestIsSentToADrainingRemovedOrUnlistedReplica) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(4);
   fixture.list({{.id = 10, .state = EndpointState::draining}, {.id = 20, .state = EndpointState::removed}},
@@ -172,26 +167,24 @@
 TEST(RuleDrains, ARetryIsNotSentToADrainingReplica) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
-  const auto to = sent_replica(fixture.arrive_with_size(100));
-  const ReplicaId other = to == 10 ? 20 : 10;
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
+  const ReplicaId other = replica == 10 ? 20 : 10;
   fixture.list({{.id = other, .state = EndpointState::draining}}, EndpointUpdate::delta);
-  EXPECT_TRUE(
-      actions_of_kind(fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed), ActionKind::send)
-          .empty());
+  EXPECT_TRUE(actions_of_kind(fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed),
+                              ActionKind::send)
+                  .empty());
 }
 
-// ---------------------------------------------------------------- rule 4: cold replicas
-
 TEST(RuleWarmingUpReplicas, TheShareOfAWarmingUpReplicaRisesFromZero) {
   PolicyFixture fixture;
   const auto share_at = [&](Time age) {
     int sent_to_cold = 0;
     for (int i = 0; i < 400; ++i) {
       fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - age}});
-      const auto to =
+      const auto replica =
           sent_replica(fixture.arrive({.prompt_tokens = 100, .session = static_cast<std::uint64_t>(i + 1)}));
-      sent_to_cold += to == 20;
-      fixture.serve(fixture.last.id, to);
+      sent_to_cold += replica == 20;
+      fixture.serve(fixture.last.id, replica);
     }
     return sent_to_cold / 400.0;
   };
@@ -204,7 +197,7 @@
   EXPECT_NEAR(share_at(seconds(11)), 0.5, 0.1);
 }
 
-TEST(RuleWarmingUpReplicas, WhenAllReplicasWarmUpMostRequestsAreRejectedAtFirst) {
+TEST(RuleWarmingUpReplicas, MostRequestsAreRejectedAtFirstWhileAllReplicasWarmUp) {
   PolicyFixture fixture;
   fixture.list(
       {{.id = 10, .started_at = fixture.now - kSecond}, {.id = 20, .started_at = fixture.now - kSecond}});
@@ -218,9 +211,9 @@
   EXPECT_LT(sent, 50);
 }
 
-// Rejections are drawn at random for each request. An earlier version drew them by a hash of the session, so
-// that some sessions were rejected until the first replica had warmed up.
-TEST(RuleWarmingUpReplicas, WhenAllReplicasWarmUpNoSessionIsRejectedThroughout) {
+// Guards against rejections by a hash of the session: some sessions would be rejected until the first replica
+// has warmed up. Rejections are drawn at random for each request.
+TEST(RuleWarmingUpReplicas, NoSessionIsAlwaysRejectedWhileAllReplicasWarmUp) {
   PolicyFixture fixture;
   fixture.list({{.id = 10, .started_at = fixture.now - seconds(3)},
                 {.id = 20, .started_at = fixture.now - seconds(3)}});
@@ -229,14 +222,14 @@
   for (std::uint64_t session = 1; session <= 50; ++session) {
     int served = 0;
     for (int turn = 0; turn < 20; ++turn) {
-      const auto to = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = session}));
-      served += to != 0;
-      if (to != 0) fixture.serve(fixture.last.id, to);
+      const auto replica = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = session}));
+      served += replica != 0;
+      if (replica != 0) fixture.serve(fixture.last.id, replica);
     }
     never_served += served == 0;
     sent += served;
   }
-  EXPECT_LT(sent, 700);  // the test needs that most requests are rejected
+  EXPECT_LT(sent, 700);  // precondition: a large fraction of the 1000 requests is rejected
   EXPECT_LE(never_served, 2);
 }
 
@@ -255,25 +248,25 @@
   int heavy = 0;
   for (std::uint64_t i = 1; i <= 400; ++i) {
     const bool is_heavy = i % 10 == 0;
-    const auto to = sent_replica(
+    const auto replica = sent_replica(
         fixture.arrive({.prompt_tokens = 100, .work_hint = is_heavy ? 30'000.0 : 1000.0, .session = i}));
-    if (i > 150) (is_heavy ? heavy : light) += to == 20;  // by then the mean work is known
-    fixture.serve(fixture.last.id, to);
+    if (i > 150) (is_heavy ? heavy : light) += replica == 20;  // by then the mean work is known
+    fixture.serve(fixture.last.id, replica);
     fixture.advance(2'000);
   }
   EXPECT_GT(light, 20);
   EXPECT_EQ(heavy, 0);
 }
 
-TEST(RuleWarmingUpReplicas, ARepeatOfAClientIsNotSentToAWarmingUpReplica) {
+TEST(RuleWarmingUpReplicas, ARequestThatItsClientRepeatsIsNotSentToAWarmingUpReplica) {
   PolicyFixture fixture;
   fixture.list({{.id = 10}, {.id = 20, .started_at = fixture.now - seconds(5)}});
   int first = 0;
   int again = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
-    const auto to = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = i}));
-    first += to == 20;
-    fixture.serve(fixture.last.id, to);
+    const auto replica = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = i}));
+    first += replica == 20;
+    fixture.serve(fixture.last.id, replica);
     const auto repeat =
         sent_replica(fixture.arrive({.prompt_tokens = 100, .session = i, .client_repeat = true}));
     again += repeat == 20;
@@ -283,21 +276,21 @@
   EXPECT_EQ(again, 0);
 }
 
-TEST(RuleWarmingUpReplicas, TheLiveWeightOfAWarmingUpReplicaCountsAsTheWarmMeanAtMost) {
+TEST(RuleWarmingUpReplicas, TheLiveWeightOfAWarmingUpReplicaIsLimitedToTheMeanOfWarmReplicas) {
   auto settings = plain_settings();
   settings.weight_source = WeightSource::live;
   PolicyFixture fixture(settings);
-  // Overloaded replicas list a tenth of their size; the idle newcomer lists its full size.
+  // The overloaded replicas list a tenth of their capacity; the idle new replica lists its full capacity.
   fixture.list({{.id = 10, .weight = 0.1f},
                 {.id = 20, .started_at = fixture.now - seconds(2)},
                 {.id = 30, .weight = 0.1f}});
   int sent_to_cold = 0;
   for (std::uint64_t i = 1; i <= 200; ++i) {
-    const auto to = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = i}));
-    sent_to_cold += to == 20;
-    fixture.serve(fixture.last.id, to);
+    const auto replica = sent_replica(fixture.arrive({.prompt_tokens = 100, .session = i}));
+    sent_to_cold += replica == 20;
+    fixture.serve(fixture.last.id, replica);
   }
-  EXPECT_LT(sent_to_cold, 40);  // its weight alone would give it half
+  EXPECT_LT(sent_to_cold, 40);  // its listed weight alone would give it half of them
 }
 
 }  // namespace
--- a/tests/policy/rejected_attempts_test.cpp
+++ b/tests/policy/rejected_attempts_test.cpp
@@ -8,24 +8,24 @@
 namespace thornwick::testing {
 namespace {
 
-TEST(ReplicaRejection, IsRetriedOnceAtTheAdjacentReplicaAndThenRejected) {
+TEST(ReplicaRejection, ARequestIsRetriedOnceAtTheAdjacentReplicaAndThenRejected) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(3);
-  const auto to = sent_replica(fixture.arrive_with_size(100));
-  const auto step = fixture.end_attempt(fixture.last.id, 0, to, Outcome::full);
-  const auto next = sent_replica(step);
-  EXPECT_EQ(next, to == 30 ? 20u : to + 10);
-  const auto after = fixture.end_attempt(fixture.last.id, 1, next, Outcome::full);
-  EXPECT_TRUE(actions_of_kind(after, ActionKind::send).empty());
-  EXPECT_EQ(actions_of_kind(after, ActionKind::reject).size(), 1u);
+  const auto replica = sent_replica(fixture.arrive_with_size(100));
+  const auto after_first = fixture.end_attempt(fixture.last.id, 0, replica, Outcome::full);
+  const auto next = sent_replica(after_first);
+  EXPECT_EQ(next, replica == 30 ? 20u : replica + 10);
+  const auto after_second = fixture.end_attempt(fixture.last.id, 1, next, Outcome::full);
+  EXPECT_TRUE(actions_of_kind(after_second, ActionKind::send).empty());
+  EXPECT_EQ(actions_of_kind(after_second, ActionKind::reject).size(), 1u);
 }
 
-TEST(ReplicaRejection, IsNoFailure) {
+TEST(ReplicaRejection, DoesNotCountAsAFailureOfTheReplica) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
   for (int i = 0; i < 10; ++i) {
-    const auto to = sent_replica(fixture.arrive_with_size(100, 0));
-    fixture.end_attempt(fixture.last.id, 0, to, Outcome::full);
+    const auto replica = sent_replica(fixture.arrive_with_size(100, 0));
+    fixture.end_attempt(fixture.last.id, 0, replica, Outcome::full);
     fixture.router.on_client_disconnected(fixture.now, fixture.last.id);
   }
   std::set<ReplicaId> used_replicas;
@@ -36,15 +36,15 @@
   EXPECT_EQ(used_replicas.size(), 2u);
 }
 
-TEST(AttemptLimit, TheLimitHolds) {
+TEST(AttemptLimit, NoAttemptExceedsTheLimit) {
   auto settings = plain_settings();
   settings.max_attempts = 2;
   PolicyFixture fixture(settings);
   fixture.list_equal_replicas(6);
-  auto to = sent_replica(fixture.arrive_with_size(100));
-  to = sent_replica(fixture.end_attempt(fixture.last.id, 0, to, Outcome::connect_failed));
-  ASSERT_NE(to, 0u);
-  const auto actions = fixture.end_attempt(fixture.last.id, 1, to, Outcome::connect_failed);
+  auto replica = sent_replica(fixture.arrive_with_size(100));
+  replica = sent_replica(fixture.end_attempt(fixture.last.id, 0, replica, Outcome::connect_failed));
+  ASSERT_NE(replica, 0u);
+  const auto actions = fixture.end_attempt(fixture.last.id, 1, replica, Outcome::connect_failed);
   EXPECT_EQ(sent_replica(actions), 0u);
   EXPECT_EQ(final_answer_count(actions), 1u);
 }
--- a/tests/policy/routing_policy_test.cpp
+++ b/tests/policy/routing_policy_test.cpp
@@ -1,4 +1,4 @@
-// How the routing policy places ordinary requests, and how far routers agree on it. Tests the module alone.
+// How the routing policy places requests in normal operation, and how far routers agree on the placement.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -9,7 +9,7 @@
 namespace thornwick::testing {
 namespace {
 
-TEST(Settings, ThatMakeNoSenseAreRejected) {
+TEST(Settings, InvalidSettingsAreRejected) {
   EXPECT_THROW(RoutingPolicy(Settings{}, 0), std::invalid_argument);
   auto settings = plain_settings();
   settings.zone = 3;
@@ -26,7 +26,7 @@
   EXPECT_NO_THROW(RoutingPolicy(plain_settings(), 0));
 }
 
-TEST(OrdinaryPath, IsRandomUntilEnoughSizesAreObserved) {
+TEST(Placement, PlacesRequestsAtRandomUntilEnoughSizesAreObserved) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(4);
   std::set<ReplicaId> used_replicas;
@@ -35,35 +35,35 @@
   EXPECT_FALSE(used_replicas.contains(0));
 }
 
-TEST(OrdinaryPath, GivesEachReplicaAnIntervalOfSizesInIdOrder) {
+TEST(Placement, GivesEachReplicaAnIntervalOfSizesInIdOrder) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(4);
   fixture.learn_sizes(200, 100, 4000);
-  ReplicaId before = 0;
+  ReplicaId previous = 0;
   std::set<ReplicaId> used_replicas;
   for (double size = 150; size < 4000; size += 50) {
-    const auto to = sent_replica(fixture.arrive_with_size(size, 0));
-    fixture.serve(fixture.last.id, to);
-    EXPECT_GE(to, before) << "size " << size;
-    before = to;
-    used_replicas.insert(to);
+    const auto replica = sent_replica(fixture.arrive_with_size(size, 0));
+    fixture.serve(fixture.last.id, replica);
+    EXPECT_GE(replica, previous) << "size " << size;
+    previous = replica;
+    used_replicas.insert(replica);
   }
   EXPECT_EQ(used_replicas, (std::set<ReplicaId>{10, 20, 30, 40}));
 }
 
-TEST(OrdinaryPath, DividesSizesByEqualWorkNotByEqualCounts) {
+TEST(Placement, DividesSizesByEqualWorkNotByEqualCounts) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
   fixture.learn_sizes(200, 0, 1000);
-  // Half of the work of sizes even over 0..1000 is below 1000 / sqrt(2).
+  // With sizes spread evenly over 0..1000, half of the work is below 1000 / sqrt(2).
   EXPECT_EQ(sent_replica(fixture.arrive_with_size(620, 0)), 10u);
   EXPECT_EQ(sent_replica(fixture.arrive_with_size(800, 0)), 20u);
 }
 
-TEST(OrdinaryPath, UsesTheCostHintAsWork) {
+TEST(Placement, UsesTheWorkHintAsWork) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(2);
-  for (int i = 0; i < 100; ++i) {  // small requests carry nine tenths of the work
+  for (int i = 0; i < 100; ++i) {  // the small requests are nine tenths of the work
     const auto sent =
         fixture.arrive({.prompt_tokens = i % 2 ? 100.0 + i : 1000.0 + i, .work_hint = i % 2 ? 9e4 : 1e4});
     fixture.serve(fixture.last.id, sent_replica(sent));
@@ -74,7 +74,7 @@
   EXPECT_EQ(sent_replica(fixture.arrive({.prompt_tokens = 110, .work_hint = 9e4})), 10u);
 }
 
-TEST(OrdinaryPath, GivesIntervalsInProportionToWeight) {
+TEST(Placement, GivesIntervalsInProportionToWeight) {
   auto settings = plain_settings();
   settings.weight_source = WeightSource::nominal;
   PolicyFixture fixture(settings);
@@ -84,18 +84,18 @@
   EXPECT_EQ(sent_replica(fixture.arrive_with_size(910, 0)), 2u);
 }
 
-TEST(OrdinaryPath, UsesTheNextHigherIntervalWhereTheOwnerIsClearlyBusier) {
+TEST(Placement, UsesTheNextHigherIntervalIfTheOwnerIsClearlyBusier) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(3);
   fixture.learn_sizes(200, 0, 1000);
   std::map<ReplicaId, int> in_flight;
   for (int i = 0; i < 6; ++i) ++in_flight[sent_replica(fixture.arrive_with_size(100, 0))];
-  EXPECT_GE(in_flight[10], 3);  // owns the interval of this size
-  EXPECT_GE(in_flight[20], 1);  // the adjacent one
+  EXPECT_GE(in_flight[10], 3);  // the owner of the interval with this size
+  EXPECT_GE(in_flight[20], 1);  // the adjacent replica
   EXPECT_EQ(in_flight[30], 0);
 }
 
-TEST(OrdinaryPath, UsesTheNextLowerIntervalForTheTopOne) {
+TEST(Placement, UsesTheNextLowerIntervalIfTheOwnerOfTheTopIntervalIsClearlyBusier) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(3);
   fixture.learn_sizes(200, 0, 1000);
@@ -106,7 +106,7 @@
   EXPECT_EQ(in_flight[10], 0);
 }
 
-TEST(OrdinaryPath, KeepsASessionOnItsReplica) {
+TEST(Placement, KeepsASessionOnItsReplica) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(8);
   fixture.learn_sizes(100, 900, 1100);
@@ -122,35 +122,35 @@
   }
 }
 
-TEST(OrdinaryPath, SpreadsAFrequentPrefixOverSeveralReplicas) {
+TEST(Placement, SpreadsAFrequentPrefixOverSeveralReplicas) {
   PolicyFixture fixture;
   fixture.list_equal_replicas(8);
   std::set<ReplicaId> used_replicas;
   for (std::uint64_t i = 1; i <= 200; ++i) {
-    const auto to = sent_replica(
+    const auto replica = sent_replica(
         fixture.arrive({.prompt_tokens = 1000, .prefix_tokens = 900, .session = i, .prefix = 77}));
-    fixture.serve(fixture.last.id, to);
+    fixture.serve(fixture.last.id, replica);
     fixture.advance(20'000);
-    if (i > 100) used_replicas.insert(to);
+    if (i > 100) used_replicas.insert(replica);
   }
   EXPECT_GE(used_replicas.size(), 4u);
 }
 
-TEST(OrdinaryPath, StaysInTheOwnZone) {
+TEST(Placement, StaysInTheZoneOfTheRouter) {
   auto settings = plain_settings();
   settings.zone_count = 2;
   settings.zone = 1;
   PolicyFixture fixture(settings);
   fixture.list({{.id = 1, .zone = 0}, {.id = 2, .zone = 1}, {.id = 3, .zone = 0}, {.id = 4, .zone = 1}});
   for (int i = 0; i < 30; ++i) {
-    const auto to = sent_replica(fixture.arrive_with_size(100 + i));
-    EXPECT_EQ(to % 2, 0u);
-    fixture.serve(fixture.last.id, to);
+    const auto replica = sent_replica(fixture.arrive_with_size(100 + i));
+    EXPECT_EQ(replica % 2, 0u);
+    fixture.serve(fixture.last.id, replica);
   }
 }
 
-// Routers that used only their own zones left the replicas of quiet zones idle while others rejected
-// requests.
+// Guards against routers that use only the replicas of their zones: replicas in zones with little traffic
+// would be idle while other zones reject requests.
 TEST(Agreement, RoutersOfAllZonesDivideSizesOverTheSameReplicas) {
   std::map<ReplicaId, int> sent[2];
   for (std::uint16_t zone = 0; zone < 2; ++zone) {
@@ -162,15 +162,15 @@
     PolicyFixture fixture(settings);
     fixture.list({{.id = 1, .zone = 0}, {.id = 2, .zone = 1}, {.id = 3, .zone = 0}, {.id = 4, .zone = 1}});
     for (int i = 0; i < 200; ++i) {
-      const auto to = sent_replica(fixture.arrive_with_size(100 + i % 40));
-      ++sent[zone][to];
-      fixture.serve(fixture.last.id, to);
+      const auto replica = sent_replica(fixture.arrive_with_size(100 + i % 40));
+      ++sent[zone][replica];
+      fixture.serve(fixture.last.id, replica);
     }
     EXPECT_EQ(sent[zone].size(), 4u);
   }
 }
 
-TEST(Agreement, ManyRoutersWithFewSamplesShareTheWorkEvenly) {
+TEST(Agreement, ManyRoutersWithFewSamplesDivideTheWorkEvenly) {
   constexpr int kRouters = 60;
   constexpr int kReplicas = 8;
   constexpr int kRequestsEach = 40;
@@ -188,11 +188,11 @@
     fixture.list_equal_replicas(kReplicas);
     for (int i = 0; i < kRequestsEach; ++i) {
       const double size = 200 * std::pow(20.0, draw());
-      const auto to = sent_replica(fixture.arrive({.prompt_tokens = size, .session = state}));
-      fixture.serve(fixture.last.id, to);
+      const auto replica = sent_replica(fixture.arrive({.prompt_tokens = size, .session = state}));
+      fixture.serve(fixture.last.id, replica);
       fixture.advance(kSecond);  // one request a second
       if (i < 20) continue;
-      work[to] += size;
+      work[replica] += size;
       total += size;
     }
   }
--- a/tests/policy/support.hpp
+++ b/tests/policy/support.hpp
@@ -1,5 +1,4 @@
-// Helpers of the routing policy's tests: settings, a policy with a clock of its own, and queries on its
-// actions.
+// Helpers for the tests of the routing policy: settings, a policy with a clock, and queries on its actions.
 #pragma once
 
 #include <algorithm>
@@ -12,6 +11,7 @@
 
 inline constexpr Time kSecond = seconds(1);
 
+// Settings with one class of safe requests. Attempts can be cancelled and requests hedged.
 inline Settings plain_settings() {
   Settings settings;
   settings.seed = 7;
@@ -26,7 +26,7 @@
   return settings;
 }
 
-// The replica of the first send action; 0 if there is none.
+// Returns the replica of the first send action; 0 if there is none.
 inline ReplicaId sent_replica(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (action.kind == ActionKind::send) return action.replica;
@@ -34,8 +34,8 @@
   return 0;
 }
 
-// A routing policy with a clock that the test advances. Takes the policy's actions after each event and keeps
-// its timers.
+// A routing policy with a clock that the test advances. Collects the policy's actions after each event, and
+// stores its timers.
 class PolicyFixture {
  public:
   explicit PolicyFixture(const Settings& settings = plain_settings(), Time start = seconds(1000))
@@ -43,19 +43,21 @@
     take_actions();
   }
 
+  // Delivers an update of the endpoint list.
   void list(std::vector<Endpoint> entries, EndpointUpdate scope = EndpointUpdate::full) {
     router.on_endpoints(now, scope, entries);
     take_actions();
   }
 
-  // Replicas 10, 20, 30, ... of one zone and weight.
+  // Lists the replicas 10, 20, 30, ... with equal zones and weights.
   void list_equal_replicas(int count) {
     std::vector<Endpoint> entries;
     for (int i = 1; i <= count; ++i) entries.push_back({.id = static_cast<ReplicaId>(10 * i)});
     list(entries);
   }
 
-  // Returns the actions that follow the arrival.
+  // Delivers a request, with a new id and a deadline after 8 s unless they are set. Returns the actions that
+  // follow.
   std::vector<Action> arrive(Request request) {
     if (request.id == 0) request.id = ++last_id;
     if (request.deadline == 0) request.deadline = now + seconds(8);
@@ -67,6 +69,7 @@
     return arrive({.prompt_tokens = prompt, .max_tokens = limit});
   }
 
+  // Ends an attempt with this outcome after one second. Returns the actions that follow.
   std::vector<Action> end_attempt(RequestId id, std::uint8_t attempt, ReplicaId replica, Outcome outcome,
                                   bool concluded = false) {
     router.on_attempt_result(now, {.id = id,
@@ -82,28 +85,29 @@
     return take_actions();
   }
 
-  // Serves a request at once: first token, then the end of the stream.
+  // Delivers a complete answer to a request: the first token and the end of the stream.
   void serve(RequestId id, ReplicaId replica, std::uint8_t attempt = 0) {
     first_token(id, attempt, replica);
     end_attempt(id, attempt, replica, Outcome::served, true);
   }
 
-  // Advances the clock, firing every timer on its way.
+  // Advances the clock, and fires every timer that expires meanwhile. Returns the actions that follow.
   std::vector<Action> advance(Time by) {
-    std::vector<Action> seen;
+    std::vector<Action> collected;
     const Time until = now + by;
     while (!timers.empty() && timers.begin()->first <= until) {
-      const auto [when, token] = *timers.begin();
+      const auto [expires_at, token] = *timers.begin();
       timers.erase(timers.begin());
-      now = std::max(now, when);
+      now = std::max(now, expires_at);
       router.on_timer(now, token);
       const auto actions = take_actions();
-      seen.insert(seen.end(), actions.begin(), actions.end());
+      collected.insert(collected.end(), actions.begin(), actions.end());
     }
     now = until;
-    return seen;
+    return collected;
   }
 
+  // Returns the actions decided since the last call, and stores the timers that they set.
   std::vector<Action> take_actions() {
     auto actions = router.take_actions();
     for (const Action& action : actions) {
@@ -112,15 +116,16 @@
     return actions;
   }
 
-  // Serves enough requests that the retry budget allows retries.
-  void earn_retries() {
+  // Serves enough requests for the retry budget to allow retries.
+  void fill_retry_budget() {
     for (int i = 0; i < 25; ++i) {
-      const auto to = sent_replica(arrive_with_size(100));
-      serve(last.id, to);
+      const auto replica = sent_replica(arrive_with_size(100));
+      serve(last.id, replica);
     }
   }
 
-  // Feeds sizes, evenly over [low, high], so that they can be distinguished; all are served at once.
+  // Delivers and serves `count` requests with sizes spread evenly over [low, high), so that the policy learns
+  // to divide requests by size.
   void learn_sizes(int count, double low, double high) {
     for (int i = 0; i < count; ++i) {
       const double size = low + (high - low) * ((i * 37) % count) / count;
@@ -139,7 +144,7 @@
   std::multiset<std::pair<Time, std::uint32_t>> timers;
 };
 
-// The actions of this kind, in order.
+// Returns the actions of this kind, in order.
 inline std::vector<Action> actions_of_kind(const std::vector<Action>& actions, ActionKind kind) {
   std::vector<Action> found;
   std::copy_if(actions.begin(), actions.end(), std::back_inserter(found),
@@ -147,7 +152,7 @@
   return found;
 }
 
-// How many of the actions are final answers of requests.
+// Returns how many of the actions are final answers to requests.
 inline std::size_t final_answer_count(const std::vector<Action>& actions) {
   return actions_of_kind(actions, ActionKind::reject).size() +
          actions_of_kind(actions, ActionKind::fail).size();
