--- a/tests/recordings/day_recording.cpp
+++ b/tests/recordings/day_recording.cpp
@@ -21,7 +21,7 @@
 void add(Digest& digest, const Histogram& histogram) {
   digest.add(histogram.total());
   digest.add_rounded(histogram.mean());
-  for (const double part : {0.1, 0.5, 0.9, 0.99, 0.999}) digest.add_rounded(histogram.quantile(part));
+  for (const double fraction : {0.1, 0.5, 0.9, 0.99, 0.999}) digest.add_rounded(histogram.quantile(fraction));
 }
 
 void add(Digest& digest, const ClassResult& result) {
@@ -52,7 +52,8 @@
   }
 }
 
-// All but the costs, which differ from run to run, and the names, which decide nothing.
+// Returns the digest of a result without its costs, which differ from run to run, and its names, which affect
+// nothing.
 std::uint64_t digest_of(const Result& result) {
   Digest digest;
   add(digest, {result.seed, result.routers, result.replicas, result.turns, result.tries, result.attempts,
@@ -78,6 +79,7 @@
   return digest.value();
 }
 
+// Returns an example that is shortened to 20 seconds.
 Scenario shortened(const std::string& name) {
   Scenario scenario = recordings::example(name);
   scenario.seconds = 20;
--- a/tests/recordings/day_recording.hpp
+++ b/tests/recordings/day_recording.hpp
@@ -1,4 +1,4 @@
-// Recordings of emulated days: scenarios, and the digest and some counts of a day that is played on a fixed
+// Recordings of emulated days: scenarios, and the digest and some counts of a day that is played with a fixed
 // seed.
 #pragma once
 
@@ -12,9 +12,10 @@
 
 namespace thornwick::recordings {
 
+// The recorded result of a day.
 struct DayRecording {
-  std::uint64_t digest = 0;  // of the whole result but its costs and names
-  // Some of its counts, to help to find the cause of a difference.
+  std::uint64_t digest = 0;  // of the complete result, without costs and names
+  // Some counts of the result, which help to find the cause of a difference.
   std::uint64_t turns = 0;
   std::uint64_t tries = 0;
   std::uint64_t attempts = 0;
@@ -31,21 +32,21 @@
 
 std::ostream& operator<<(std::ostream& out, const DayRecording& recording);
 
-// Plays a day, and checks that its sums hold.
+// Plays a day, and checks that its totals are consistent.
 DayRecording record_day(const emulator::Scenario& scenario, std::uint64_t seed);
 std::vector<DayRecording> record_days(const emulator::Scenario& scenario,
                                       std::initializer_list<std::uint64_t> seeds);
 
-// A scenario of examples/lab.
+// Returns a scenario of examples/lab.
 emulator::Scenario example(const std::string& name);
 
-// Days of 20 seconds.
+// Return scenarios of 20 seconds.
 emulator::Scenario calm_day();
 emulator::Scenario lost_zone_day();
 emulator::Scenario overload_day();
-// All kinds of faults at once, behind weighted fair admission.
+// A day with all kinds of faults and weighted fair admission.
 emulator::Scenario rough_day();
-// Two replicas that are plain queues, with sizes from a Bounded Pareto distribution.
+// A day with two replicas that are plain queues, and sizes from a Bounded Pareto distribution.
 emulator::Scenario queue_day();
 
 }  // namespace thornwick::recordings
--- a/tests/recordings/decisions.cpp
+++ b/tests/recordings/decisions.cpp
@@ -1,6 +1,6 @@
-// Recorded decisions of the routing policy. Each test plays a fixed sequence of events and compares
-// everything that the module decides with what it decided when the recording was made. A difference is a
-// changed decision: it is either a fault, or the reason for a commit that changes the recording and says why.
+// Recorded decisions of the routing policy. Each test delivers a fixed sequence of events, and compares all
+// decisions of the policy with those in the recording. A difference is a changed decision: either a fault, or
+// an intended change, whose commit updates the recording and gives the reason.
 #include <catch2/catch.hpp>
 
 #include "router_player.hpp"
@@ -31,7 +31,7 @@
           .dedup_window = 400 * kMillisecond};
 }
 
-// Its window must not count: a repeat does harm whenever it comes.
+// The deduplication window must have no effect on an unsafe class: a repeat does harm at any time.
 ClassSettings unsafe_class() {
   return {.priority_weight = 2,
           .latency_objective = kSecond,
@@ -41,7 +41,7 @@
           .dedup_window = seconds(3)};
 }
 
-// Three routers, six replicas in one zone.
+// Settings of a router in a group of three, with six replicas in one zone.
 Settings small_group() {
   Settings settings;
   settings.seed = 11;
@@ -60,7 +60,7 @@
   return settings;
 }
 
-// Three hundred routers that tell each other of sixty replicas in four zones.
+// Settings of a router in a group of 300 that share observations of sixty replicas in four zones.
 Settings large_group() {
   Settings settings;
   settings.seed = 22;
@@ -86,7 +86,7 @@
   return settings;
 }
 
-// A router alone before two zones of replicas that have all just started, with more to do than they can.
+// Settings of a single router with replicas in two zones that have all just started and are overloaded.
 Settings cold_overload() {
   Settings settings;
   settings.seed = 33;
@@ -115,18 +115,18 @@
   CHECK(played.timers_fired == expected.timers_fired);
   CHECK(played.restarts == expected.restarts);
   CHECK(played.ejected == expected.ejected);
-  // The first digest that differs tells the block of events.
+  // The first digest that differs shows in which block of events the first difference is.
   CHECK(played.digests == expected.digests);
 }
 
 }  // namespace
 
-// The order of the counts: actions send, reject, fail, cancel, set_timer, watch_endpoints, fetch_endpoints,
-// probe, message_peer; outcomes served, error, full, timed_out, connect_failed, reset, cancelled, not_sent.
-// The module never decides fetch_endpoints or probe.
+// The counts are in this order: actions send, reject, fail, cancel, set_timer, watch_endpoints,
+// fetch_endpoints, probe, message_peer; outcomes served, error, full, timed_out, connect_failed, reset,
+// cancelled, not_sent. The policy never decides fetch_endpoints or probe.
 
-TEST_CASE("decisions of a small group's router") {
-  const PlayOptions options{.seed = 101, .replicas = 6, .slow_part = 12};
+TEST_CASE("decisions of a router in a small group are as recorded") {
+  const PlayOptions options{.seed = 101, .replicas = 6, .slow_percent = 12};
   compare(RouterPlayer(small_group(), options).play(),
           {.digests = {0x2ecfdc624c8a80fe, 0x8c2fb0e306880239, 0x75396be0098b7f67, 0x80e31cc77a63d1d8,
                        0xd16f29865055ff0c, 0xa2f605885edd013b, 0x769b1b214430c8bc},
@@ -137,7 +137,7 @@
            .ejected = 127});
 }
 
-TEST_CASE("decisions of a large group's router whose peers gossip about replicas") {
+TEST_CASE("decisions of a router in a large group that shares observations are as recorded") {
   const PlayOptions options{.seed = 202, .replicas = 60, .zones = 4, .cells = 3, .kinds = 3};
   compare(RouterPlayer(large_group(), options).play(),
           {.digests = {0x21e8a0f0fc8bf044, 0x7db331e5257d3a6a, 0x6ea7e73ed49f659c, 0xf72795b351388082,
@@ -149,15 +149,15 @@
            .ejected = 5963});
 }
 
-TEST_CASE("decisions of a router alone, with cold replicas and overload") {
+TEST_CASE("decisions of a single router with cold and overloaded replicas are as recorded") {
   const PlayOptions options{.seed = 303,
                             .replicas = 12,
                             .zones = 2,
                             .cells = 2,
                             .kinds = 2,
                             .all_cold = true,
-                            .longest_gap = 30'000,
-                            .slow_part = 50};
+                            .max_gap = 30'000,
+                            .slow_percent = 50};
   compare(RouterPlayer(cold_overload(), options).play(),
           {.digests = {0x6f7c9a6cf21eb9de, 0x313f65fc62335650, 0x65658726c8488c47, 0x438f2d9056302d45,
                        0x225ca831e0b6f078, 0x4f90816853920f77, 0x832cff2f19996648},
--- a/tests/recordings/digest.hpp
+++ b/tests/recordings/digest.hpp
@@ -7,7 +7,7 @@
 
 namespace thornwick::recordings {
 
-// FNV-1a with 64 bits; integers go in as eight bytes, the least significant one first.
+// The 64-bit FNV-1a hash. An integer is added as eight bytes, the least significant byte first.
 class Digest {
  public:
   void add(std::uint64_t value) {
@@ -19,10 +19,10 @@
     for (const char byte : bytes) add_byte(static_cast<std::uint8_t>(byte));
   }
 
-  // Rounded to three decimals.
-  void add_rounded(double figure) {
+  // Adds the value rounded to three decimals.
+  void add_rounded(double value) {
     constexpr double kSteps = 1000;
-    add(static_cast<std::uint64_t>(std::llround(figure * kSteps)));
+    add(static_cast<std::uint64_t>(std::llround(value * kSteps)));
   }
 
   std::uint64_t value() const { return value_; }
--- a/tests/recordings/emulated_days.cpp
+++ b/tests/recordings/emulated_days.cpp
@@ -1,5 +1,5 @@
-// Recorded emulated days: each test plays days on fixed seeds through the call that `thornwick lab run`
-// makes, and compares the results with those of the time when the recording was made.
+// Recorded emulated days. Each test plays days with fixed seeds by the same call as `thornwick lab run`, and
+// compares the results with the recorded ones.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 using namespace thornwick::emulator;
 using namespace thornwick::recordings;
 
-TEST_CASE("emulated days: calm") {
+TEST_CASE("emulated days: a calm day is as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0xf2cb91f3a228ff02,
                                                .turns = 578,
                                                .tries = 598,
@@ -37,7 +37,7 @@
   CHECK(record_days(calm_day(), {41, 141}) == expected);
 }
 
-TEST_CASE("emulated days: a zone is lost") {
+TEST_CASE("emulated days: a day with a lost zone is as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0x756a252183a1d4e5,
                                                .turns = 994,
                                                .tries = 1123,
@@ -63,7 +63,7 @@
   CHECK(record_days(lost_zone_day(), {42, 142}) == expected);
 }
 
-TEST_CASE("emulated days: overload with a burst and slow replicas") {
+TEST_CASE("emulated days: an overload with a burst and slow replicas is as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0x458c39d7e9fb3b5e,
                                                .turns = 3574,
                                                .tries = 8901,
@@ -89,7 +89,7 @@
   CHECK(record_days(overload_day(), {43, 143}) == expected);
 }
 
-TEST_CASE("emulated days: all kinds of faults at once, behind fair admission") {
+TEST_CASE("emulated days: a day with all kinds of faults and fair admission is as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0xa273f53a58b461b3,
                                                .turns = 1912,
                                                .tries = 5278,
@@ -115,7 +115,7 @@
   CHECK(record_days(rough_day(), {44, 144}) == expected);
 }
 
-TEST_CASE("emulated days: plain queues") {
+TEST_CASE("emulated days: replicas that are plain queues are as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0x0786fe1487cdc0c5,
                                                .turns = 926,
                                                .tries = 956,
@@ -142,7 +142,7 @@
 }
 
 // In the order of baseline_policy_names().
-TEST_CASE("emulated days: each baseline policy on a lost zone") {
+TEST_CASE("emulated days: each baseline policy handles a lost zone as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0xb20a683939e50dfb,
                                                .turns = 1047,
                                                .tries = 1327,
@@ -229,7 +229,7 @@
   CHECK(played == expected);
 }
 
-TEST_CASE("emulated days: the examples in full") {
+TEST_CASE("emulated days: the complete examples are as recorded") {
   const std::vector<DayRecording> expected = {{.digest = 0x89ca20553acee7ea,
                                                .turns = 41,
                                                .tries = 41,
--- a/tests/recordings/random_source.hpp
+++ b/tests/recordings/random_source.hpp
@@ -1,10 +1,11 @@
-// Deterministic random integers for recordings: splitmix64, the same on every platform.
+// Deterministic random integers for recordings: SplitMix64, with equal results on every platform.
 #pragma once
 
 #include <cstdint>
 
 namespace thornwick::recordings {
 
+// A sequence of random integers.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
@@ -17,14 +18,15 @@
     return value ^ (value >> 31);
   }
 
-  // 0 <= result < bound.
+  // Returns a number with 0 <= number < bound.
   std::uint64_t below(std::uint64_t bound) { return next() % bound; }
 
-  // low <= result <= high.
+  // Returns a number with low <= number <= high.
   std::int64_t between(std::int64_t low, std::int64_t high) {
     return low + static_cast<std::int64_t>(below(static_cast<std::uint64_t>(high - low + 1)));
   }
 
+  // Returns true with a probability of `chance` percent.
   bool percent(std::uint64_t chance) { return below(100) < chance; }
 
  private:
--- a/tests/recordings/result_json.cpp
+++ b/tests/recordings/result_json.cpp
@@ -1,4 +1,4 @@
-// Recorded names in the JSON that `thornwick lab run --json` prints.
+// The recorded names of the members in the JSON output of `thornwick lab run --json`.
 #include <catch2/catch.hpp>
 #include <initializer_list>
 #include <nlohmann/json.hpp>
@@ -12,7 +12,8 @@
 
 namespace {
 
-// The names of all members, nested ones as "outer.inner" and those in lists as "outer[].inner".
+// Adds the names of all members to `keys`: nested ones as "outer.inner", and those in lists as
+// "outer[].inner".
 void collect_keys(const nlohmann::json& json, const std::string& path, std::set<std::string>& keys) {
   if (json.is_object()) {
     for (const auto& [name, value] : json.items()) {
@@ -103,6 +104,7 @@
                                           "whole",
                                           "windows"};
 
+// Returns `keys` with more names added.
 std::set<std::string> with(std::set<std::string> keys, std::initializer_list<std::string> more) {
   keys.insert(more);
   return keys;
@@ -110,7 +112,7 @@
 
 }  // namespace
 
-TEST_CASE("emulated days: the names in the JSON of lab run") {
+TEST_CASE("emulated days: the JSON of lab run has the recorded names") {
   CHECK(keys_of(to_json(play_day(calm_day(), 41), Costs::left_out)) == kKeysOfDay);
   CHECK(keys_of(to_json(play_day(queue_day(), 45), Costs::included)) ==
         with(kKeysOfDay, {"slowdown", "wait_us", "wall_s", "module_s"}));
--- a/tests/recordings/router_player.cpp
+++ b/tests/recordings/router_player.cpp
@@ -11,19 +11,19 @@
 
 constexpr Time kMillisecond = milliseconds(1);
 constexpr Time kSecond = seconds(1);
-constexpr Time kTimeStep = 100;  // coarser than what another math library changes in a computed time
+constexpr Time kTimeStep = 100;  // more than computed times differ between math libraries
 constexpr std::size_t kEventsPerBlock = 2000;
-constexpr std::size_t kEventsPerLeftOut = 25;
+constexpr std::size_t kEventsPerEjectionRecord = 25;
 constexpr std::size_t kEventsPerRestart = 3500;
-constexpr Time kPeriod = seconds(8);  // a slow period is the end of each
+constexpr Time kSlowPeriodInterval = seconds(8);  // the end of each interval is a slow period
 constexpr std::uint64_t kSessions = 300, kPrefixes = 40, kRarePrefixes = 3000;
 constexpr std::uint32_t kTooHighRank = 5000;
 constexpr char kMessageMark = 0x54, kMessageVersion = 1;
-constexpr std::size_t kMostNotes = 50;
+constexpr std::size_t kMaxItems = 50;
 
-std::uint64_t coarse(Time time) { return static_cast<std::uint64_t>(time / kTimeStep); }
+std::uint64_t in_steps(Time time) { return static_cast<std::uint64_t>(time / kTimeStep); }
 
-Time to_next_step(Time time) { return (time + kTimeStep - 1) / kTimeStep * kTimeStep; }
+Time round_up_to_step(Time time) { return (time + kTimeStep - 1) / kTimeStep * kTimeStep; }
 
 std::span<const std::uint8_t> as_bytes(const std::string& text) {
   return {reinterpret_cast<const std::uint8_t*>(text.data()), text.size()};
@@ -34,7 +34,7 @@
 std::string describe(const Recording& r) {
   return fmt::format("{{.digests = {{{:#018x}}},\n .actions = {{{}}},\n .outcomes = {{{}}},\n",
                      fmt::join(r.digests, ", "), fmt::join(r.actions, ", "), fmt::join(r.outcomes, ", ")) +
-         fmt::format(" .timers_fired = {}, .restarts = {}, .left_out = {}}}", r.timers_fired, r.restarts,
+         fmt::format(" .timers_fired = {}, .restarts = {}, .ejected = {}}}", r.timers_fired, r.restarts,
                      r.ejected);
 }
 
@@ -50,14 +50,14 @@
   }
   router_ = std::make_unique<RoutingPolicy>(settings_, now_);
   take_actions();
-  if (!settings_.discovery_by_polling) tell_full_list(EndpointUpdate::full);
+  if (!settings_.discovery_by_polling) send_complete_list(EndpointUpdate::full);
 }
 
 Recording RouterPlayer::play() {
   for (std::size_t event = 1; event <= options_.events; ++event) {
     advance();
     play_event();
-    if (event % kEventsPerLeftOut == 0) record_left_out();
+    if (event % kEventsPerEjectionRecord == 0) record_ejected();
     if (event % kEventsPerRestart == 0) restart();
     if (event % kEventsPerBlock == 0) recording_.digests.push_back(digest_.value());
   }
@@ -66,43 +66,39 @@
   return recording_;
 }
 
-// ---------------------------------------------------------------- clock and timers
-
 void RouterPlayer::advance() {
-  const Time until = now_ + kTimeStep * random_.between(1, options_.longest_gap / kTimeStep);
+  const Time until = now_ + kTimeStep * random_.between(1, options_.max_gap / kTimeStep);
   fire_timers_until(until);
   now_ = until;
 }
 
 void RouterPlayer::fire_timers_until(Time until) {
   while (!timers_.empty() && timers_.begin()->first <= until) {
-    const auto [when, token] = *timers_.begin();
+    const auto [expires_at, token] = *timers_.begin();
     timers_.erase(timers_.begin());
-    now_ = std::max(now_, when);
+    now_ = std::max(now_, expires_at);
     ++recording_.timers_fired;
     router_->on_timer(now_, token);
     take_actions();
   }
 }
 
-bool RouterPlayer::slow_period() const {
-  const Time slow = kPeriod * static_cast<Time>(options_.slow_part) / 100;
-  return now_ % kPeriod >= kPeriod - slow;
+bool RouterPlayer::in_slow_period() const {
+  const Time slow_time = kSlowPeriodInterval * static_cast<Time>(options_.slow_percent) / 100;
+  return now_ % kSlowPeriodInterval >= kSlowPeriodInterval - slow_time;
 }
 
-// ---------------------------------------------------------------- events
-
 void RouterPlayer::play_event() {
-  if (list_wanted_) {
-    list_wanted_ = false;
-    return random_.percent(30) ? fail_directory() : tell_full_list(EndpointUpdate::full);
+  if (list_requested_) {
+    list_requested_ = false;
+    return random_.percent(30) ? fail_discovery() : send_complete_list(EndpointUpdate::full);
   }
   const std::uint64_t kind = random_.below(100);
-  const std::uint64_t arrivals = slow_period() ? 60 : 30;
-  const std::uint64_t first_tokens = slow_period() ? 70 : 58;
+  const std::uint64_t arrivals = in_slow_period() ? 60 : 30;
+  const std::uint64_t first_tokens = in_slow_period() ? 70 : 58;
   if (kind < arrivals) return arrive();
-  if (kind < first_tokens) return tell_first_token();
-  if (kind < 92) return tell_result();
+  if (kind < first_tokens) return report_first_token();
+  if (kind < 92) return report_result();
   play_rare_event();
 }
 
@@ -110,14 +106,14 @@
   switch (random_.below(14)) {
     case 0:
     case 1:
-    case 2: return change_listing();
-    case 3: return tell_full_list(random_.percent(50) ? EndpointUpdate::full : EndpointUpdate::cached);
-    case 4: return random_.percent(30) ? fail_directory() : tell_probe();
-    case 5: return tell_probe();
-    case 6: return tell_shared_send();
+    case 2: return update_listing();
+    case 3: return send_complete_list(random_.percent(50) ? EndpointUpdate::full : EndpointUpdate::cached);
+    case 4: return random_.percent(30) ? fail_discovery() : report_probe();
+    case 5: return report_probe();
+    case 6: return report_shared_send();
     case 7:
-    case 8: return leave_client();
-    default: return hear_peer();
+    case 8: return disconnect_client();
+    default: return receive_peer_message();
   }
 }
 
@@ -128,9 +124,9 @@
 
 Request RouterPlayer::make_request() {
   Request request;
-  const bool known = random_.percent(2) && last_id_ > 0;
-  request.id = known ? last_id_ : ++last_id_;
-  // One class and one tenant more than there are.
+  const bool repeats_id = random_.percent(2) && last_id_ > 0;
+  request.id = repeats_id ? last_id_ : ++last_id_;
+  // The class and the tenant may be one beyond those in the settings.
   request.priority_class = static_cast<std::uint8_t>(
       random_.percent(1) ? settings_.classes.size() : random_.below(settings_.classes.size()));
   request.tenant = static_cast<std::uint16_t>(random_.below(settings_.tenants.size() + 1));
@@ -148,13 +144,13 @@
   }
   request.client_repeat = random_.percent(8);
   request.resumed = random_.percent(3);
-  request.cache_hint = make_belief();
+  request.cache_hint = make_cache_hint();
   request.attempts_before = random_.percent(3) ? 1 : 0;
   if (random_.percent(10)) request.weight_factor = 0.5;
   return request;
 }
 
-CacheHint RouterPlayer::make_belief() {
+CacheHint RouterPlayer::make_cache_hint() {
   if (!random_.percent(35)) return {};
   return {.has_replica = random_.percent(90),
           .replica = any_replica(),
@@ -168,29 +164,31 @@
   return listings_[random_.below(listings_.size())].id;
 }
 
-void RouterPlayer::tell_first_token() {
-  if (open_.empty()) return router_->on_first_token(now_, last_id_ + 1, 0, any_replica(), kMillisecond);
-  OpenAttempt& attempt = open_[random_.below(open_.size())];
+void RouterPlayer::report_first_token() {
+  if (open_attempts_.empty())
+    return router_->on_first_token(now_, last_id_ + 1, 0, any_replica(), kMillisecond);
+  OpenAttempt& attempt = open_attempts_[random_.below(open_attempts_.size())];
   attempt.started = true;
-  router_->on_first_token(now_, attempt.id, attempt.attempt, attempt.replica, now_ - attempt.sent);
+  router_->on_first_token(now_, attempt.id, attempt.attempt, attempt.replica, now_ - attempt.sent_at);
   take_actions();
 }
 
-void RouterPlayer::tell_result() {
+void RouterPlayer::report_result() {
   AttemptResult result;
-  if (open_.empty()) {
-    result.replica = any_replica();  // of another module's request
+  if (open_attempts_.empty()) {
+    result.replica = any_replica();  // the attempt belongs to a request of another module
     result.outcome = random_.percent(80) ? Outcome::served : Outcome::reset;
   } else {
-    // The oldest ones end first, most of the time.
-    const std::size_t at = random_.percent(60) ? 0 : random_.below(open_.size());
-    const OpenAttempt attempt = open_[at];
-    open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(at));
+    // Most of the time, the oldest attempt ends first.
+    const std::size_t at = random_.percent(60) ? 0 : random_.below(open_attempts_.size());
+    const OpenAttempt attempt = open_attempts_[at];
+    open_attempts_.erase(open_attempts_.begin() + static_cast<std::ptrdiff_t>(at));
     result.id = attempt.id;
     result.attempt = attempt.attempt;
     result.replica = attempt.replica;
     result.outcome = draw_outcome(attempt);
-    result.elapsed = random_.percent(30) ? std::min(now_ - attempt.sent, kMillisecond) : now_ - attempt.sent;
+    result.elapsed =
+        random_.percent(30) ? std::min(now_ - attempt.sent_at, kMillisecond) : now_ - attempt.sent_at;
     result.concluded = attempt.started || (result.outcome == Outcome::served && random_.percent(95));
   }
   result.cached_tokens = static_cast<double>(random_.below(2000));
@@ -208,7 +206,7 @@
 
 Outcome RouterPlayer::draw_outcome(const OpenAttempt& attempt) {
   if (attempt.cancelled) return Outcome::cancelled;
-  if (random_.percent(slow_period() ? 50 : 80)) return Outcome::served;
+  if (random_.percent(in_slow_period() ? 50 : 80)) return Outcome::served;
   if (attempt.started) return random_.percent(50) ? Outcome::reset : Outcome::error;
   constexpr std::array kUnserved = {Outcome::error,     Outcome::full,           Outcome::full,
                                     Outcome::timed_out, Outcome::connect_failed, Outcome::reset,
@@ -225,32 +223,31 @@
   return report;
 }
 
-void RouterPlayer::tell_shared_send() {
+void RouterPlayer::report_shared_send() {
   router_->on_shared_send(any_replica());
   take_actions();
 }
 
-void RouterPlayer::tell_probe() {
+void RouterPlayer::report_probe() {
   const std::vector<float> report = make_report();
   router_->on_probe_result(now_, any_replica(), random_.percent(70), report);
   take_actions();
 }
 
-void RouterPlayer::leave_client() {
-  const RequestId id = open_.empty() ? last_id_ : open_[random_.below(open_.size())].id;
+void RouterPlayer::disconnect_client() {
+  const RequestId id =
+      open_attempts_.empty() ? last_id_ : open_attempts_[random_.below(open_attempts_.size())].id;
   attempts_.erase(id);
   router_->on_client_disconnected(now_, id);
   take_actions();
 }
 
-// ---------------------------------------------------------------- peers
-
-void RouterPlayer::hear_peer() {
+void RouterPlayer::receive_peer_message() {
   auto peer = static_cast<std::uint32_t>(random_.below(settings_.group_size + 1));
   if (random_.percent(3)) peer = kTooHighRank;
-  // One that is out of its mind sends far more than is believed.
-  const int times = random_.percent(4) ? 6 : 1;
-  for (int i = 0; i < times; ++i) {
+  // A faulty peer sends more items than the policy accepts.
+  const int messages = random_.percent(4) ? 6 : 1;
+  for (int i = 0; i < messages; ++i) {
     const std::string message = make_peer_message();
     router_->on_peer_message(now_, peer, as_bytes(message));
     take_actions();
@@ -259,39 +256,38 @@
 
 std::string RouterPlayer::make_peer_message() {
   if (!last_message_.empty() && random_.percent(20)) return last_message_;
-  const std::size_t notes = random_.percent(10) ? kMostNotes : 1 + random_.below(4);
+  const std::size_t items = random_.percent(10) ? kMaxItems : 1 + random_.below(4);
   std::string message{kMessageMark, kMessageVersion};
-  for (std::size_t note = 0; note < notes; ++note) {
+  for (std::size_t item = 0; item < items; ++item) {
     const ReplicaId id = any_replica();
     for (int shift = 0; shift < 32; shift += 8) message += static_cast<char>(id >> shift & 0xff);
     message += static_cast<char>(random_.below(4));
   }
-  return random_.percent(15) ? damage(std::move(message)) : message;
+  return random_.percent(15) ? damage_message(std::move(message)) : message;
 }
 
-std::string RouterPlayer::damage(std::string message) {
+std::string RouterPlayer::damage_message(std::string message) {
   switch (random_.below(6)) {
     case 0: return {};
     case 1: message.pop_back(); break;
     case 2: message.front() = 0; break;
     case 3: message[1] = 2; break;
     case 4: message.back() = 9; break;
-    default: message.resize(2 + 5 * (kMostNotes + 1)); break;
+    default: message.resize(2 + 5 * (kMaxItems + 1)); break;
   }
   return message;
 }
 
-// ---------------------------------------------------------------- the directory
-
-void RouterPlayer::change_listing() {
+void RouterPlayer::update_listing() {
   Endpoint& listing = listings_[random_.below(listings_.size())];
-  advance_state(listing);
+  change_state(listing);
   router_->on_endpoints(now_, EndpointUpdate::delta, {&listing, 1});
   take_actions();
 }
 
-// Ready, draining, gone, and ready again as a new start; some restart at once, or change their weight.
-void RouterPlayer::advance_state(Endpoint& listing) {
+// Moves a replica to its next state: ready, draining, removed, and ready again after a restart. Some ready
+// replicas restart at once or change their weight.
+void RouterPlayer::change_state(Endpoint& listing) {
   if (listing.state == EndpointState::ready && random_.percent(50)) {
     listing.weight = static_cast<float>(random_.between(1, 8)) / 4;
     return;
@@ -306,7 +302,7 @@
   }
 }
 
-void RouterPlayer::tell_full_list(EndpointUpdate scope) {
+void RouterPlayer::send_complete_list(EndpointUpdate scope) {
   std::vector<Endpoint> entries = listings_;
   if (random_.percent(40))
     entries.erase(entries.begin() + static_cast<std::ptrdiff_t>(random_.below(entries.size())));
@@ -314,33 +310,31 @@
   take_actions();
 }
 
-void RouterPlayer::fail_directory() {
+void RouterPlayer::fail_discovery() {
   router_->on_endpoints(now_, EndpointUpdate::failed, {});
   take_actions();
 }
 
-// ---------------------------------------------------------------- restarts
-
-// A successor in the router's place: it knows what was learned, and nothing of the requests in work.
+// Replaces the router with a successor, which takes over the learned state but no requests in progress.
 void RouterPlayer::restart() {
   LearnedState learned_state = router_->learned_state();
   record_learned(learned_state);
   ++recording_.restarts;
   ++settings_.seed;
   router_ = std::make_unique<RoutingPolicy>(settings_, now_);
-  open_.clear();
+  open_attempts_.clear();
   attempts_.clear();
   timers_.clear();
-  list_wanted_ = false;
+  list_requested_ = false;
   take_actions();
-  tell_full_list(EndpointUpdate::full);
-  if (recording_.restarts % 2 == 0) add_senseless(learned_state);
+  send_complete_list(EndpointUpdate::full);
+  if (recording_.restarts % 2 == 0) add_invalid_values(learned_state);
   router_->restore_learned_state(learned_state);
   take_actions();
 }
 
-// What a successor has to pass over.
-void RouterPlayer::add_senseless(LearnedState& learned_state) {
+// Adds values that a successor must skip.
+void RouterPlayer::add_invalid_values(LearnedState& learned_state) {
   learned_state.samples.push_back({.size = std::numeric_limits<double>::infinity(), .work = 5});
   learned_state.samples.push_back({.size = 100, .work = -1});
   learned_state.prefixes.push_back({.prefix = kRarePrefixes + 1, .work = -3});
@@ -350,8 +344,6 @@
   learned_state.zone_overflow = -1;
 }
 
-// ---------------------------------------------------------------- what the module decides
-
 void RouterPlayer::take_actions() {
   for (const Action& action : router_->take_actions()) {
     record(action);
@@ -362,18 +354,18 @@
 void RouterPlayer::carry_out(const Action& action) {
   switch (action.kind) {
     case ActionKind::send:
-      open_.push_back(
-          {.id = action.id, .attempt = attempts_[action.id]++, .replica = action.replica, .sent = now_});
+      open_attempts_.push_back(
+          {.id = action.id, .attempt = attempts_[action.id]++, .replica = action.replica, .sent_at = now_});
       break;
     case ActionKind::cancel:
-      for (OpenAttempt& attempt : open_) {
+      for (OpenAttempt& attempt : open_attempts_) {
         if (attempt.id == action.id && attempt.attempt == action.attempt) attempt.cancelled = true;
       }
       break;
     case ActionKind::set_timer:
-      timers_.emplace(to_next_step(std::max(action.time, now_ + 1)), action.token);
+      timers_.emplace(round_up_to_step(std::max(action.time, now_ + 1)), action.token);
       break;
-    case ActionKind::watch_endpoints: list_wanted_ = true; break;
+    case ActionKind::watch_endpoints: list_requested_ = true; break;
     case ActionKind::message_peer: last_message_ = action.message; break;
     case ActionKind::reject:
     case ActionKind::fail: attempts_.erase(action.id); break;
@@ -388,14 +380,14 @@
   digest_.add(action.id);
   digest_.add(std::uint64_t{action.replica});
   digest_.add(std::uint64_t{action.attempt});
-  digest_.add(coarse(action.time));
+  digest_.add(in_steps(action.time));
   digest_.add(std::uint64_t{action.token});
   digest_.add(std::string_view{action.message});
   digest_.add(std::uint64_t{action.model});
   digest_.add(std::uint64_t{action.allowance != nullptr});
 }
 
-void RouterPlayer::record_left_out() {
+void RouterPlayer::record_ejected() {
   const std::vector<ReplicaId> ids = router_->ejected(now_);
   recording_.ejected += ids.size();
   digest_.add(std::uint64_t{ids.size()});
@@ -416,9 +408,9 @@
   digest_.add(std::uint64_t{learned_state.replicas.size()});
   for (const auto& replica : learned_state.replicas) {
     digest_.add(std::uint64_t{replica.id});
-    digest_.add(coarse(replica.started_at));
+    digest_.add(in_steps(replica.started_at));
     digest_.add(static_cast<std::uint64_t>(replica.failure_points));
-    digest_.add(coarse(replica.ejected_until));
+    digest_.add(in_steps(replica.ejected_until));
     digest_.add_rounded(replica.speed_factor);
   }
   digest_.add(std::uint64_t{learned_state.kind_speeds.size()});
--- a/tests/recordings/router_player.hpp
+++ b/tests/recordings/router_player.hpp
@@ -1,8 +1,8 @@
-// Plays a pseudo-random sequence of events on one routing policy and records what it decides.
+// Delivers a pseudo-random sequence of events to a routing policy, and records its decisions.
 //
-// The player stands for everything around the module: clients, replicas, the directory, peers, timers and
-// restarts. Its events depend on the seed and on the module's own actions, so one changed decision changes
-// all that follow.
+// The player simulates everything around the policy: clients, replicas, discovery, peers, timers and
+// restarts. Its events depend on the seed and on the actions of the policy, so one changed decision changes
+// all later ones.
 #pragma once
 
 #include <array>
@@ -23,29 +23,32 @@
 inline constexpr std::size_t kActionKinds = 9;
 inline constexpr std::size_t kOutcomes = 8;
 
+// The options of a sequence of events.
 struct PlayOptions {
   std::uint64_t seed = 1;
   std::size_t events = 12'000;
   std::size_t replicas = 6;
   std::uint16_t zones = 1, cells = 1, kinds = 1;
-  bool all_cold = false;                // every replica has just started
-  Time longest_gap = milliseconds(40);  // between two events
-  std::uint64_t slow_part = 25;         // percent of the time in which replicas answer little
+  bool all_cold = false;            // every replica has just started
+  Time max_gap = milliseconds(40);  // longest time between two events
+  std::uint64_t slow_percent = 25;  // percentage of the time in which replicas answer few requests
 };
 
-// What a play came to, in plain numbers.
+// The recorded decisions of the policy.
 struct Recording {
-  std::vector<std::uint64_t> digests;  // after each block of events; the last one includes what was learned
-  std::array<std::size_t, kActionKinds> actions{};  // decided, in the order of ActionKind
-  std::array<std::size_t, kOutcomes> outcomes{};    // reported, in the order of Outcome
+  std::vector<std::uint64_t>
+      digests;  // one after each block of events; the last one includes the learned state
+  std::array<std::size_t, kActionKinds> actions{};  // number of actions, in the order of ActionKind
+  std::array<std::size_t, kOutcomes> outcomes{};    // number of reported results, in the order of Outcome
   std::size_t timers_fired = 0, restarts = 0, ejected = 0;
 
   bool operator==(const Recording&) const = default;
 };
 
-// As the C++ initializer that a table of expected recordings contains.
+// Returns the recording as a C++ initializer, for use as an expected value in a test.
 std::string describe(const Recording& recording);
 
+// Plays the events of one recording.
 class RouterPlayer {
  public:
   RouterPlayer(const Settings& settings, const PlayOptions& options);
@@ -56,46 +59,46 @@
     RequestId id = 0;
     std::uint8_t attempt = 0;
     ReplicaId replica = 0;
-    Time sent = 0;
+    Time sent_at = 0;
     bool started = false, cancelled = false;
   };
 
   // Clock and timers.
   void advance();
   void fire_timers_until(Time until);
-  bool slow_period() const;
+  bool in_slow_period() const;
 
-  // One event each.
+  // Functions that deliver one event each.
   void play_event();
   void play_rare_event();
   void arrive();
-  void tell_first_token();
-  void tell_result();
-  void tell_shared_send();
-  void tell_probe();
-  void leave_client();
-  void hear_peer();
-  void change_listing();
-  void tell_full_list(EndpointUpdate scope);
-  void fail_directory();
+  void report_first_token();
+  void report_result();
+  void report_shared_send();
+  void report_probe();
+  void disconnect_client();
+  void receive_peer_message();
+  void update_listing();
+  void send_complete_list(EndpointUpdate scope);
+  void fail_discovery();
   void restart();
 
-  // Parts of events.
+  // Functions that make the content of events.
   Request make_request();
-  CacheHint make_belief();
+  CacheHint make_cache_hint();
   Outcome draw_outcome(const OpenAttempt& attempt);
   std::vector<float> make_report();
   std::string make_peer_message();
-  std::string damage(std::string message);
-  void advance_state(Endpoint& listing);
+  std::string damage_message(std::string message);
+  void change_state(Endpoint& listing);
   ReplicaId any_replica();
-  void add_senseless(LearnedState& learned_state);
+  void add_invalid_values(LearnedState& learned_state);
 
-  // What the module decides.
+  // Functions that carry out and record the decisions of the policy.
   void take_actions();
   void carry_out(const Action& action);
   void record(const Action& action);
-  void record_left_out();
+  void record_ejected();
   void record_learned(const LearnedState& learned_state);
 
   Settings settings_;
@@ -104,12 +107,12 @@
   Time now_;
   std::unique_ptr<RoutingPolicy> router_;
   std::vector<Endpoint> listings_;
-  std::vector<OpenAttempt> open_;
-  std::map<RequestId, std::uint8_t> attempts_;  // sent for each request
+  std::vector<OpenAttempt> open_attempts_;
+  std::map<RequestId, std::uint8_t> attempts_;  // number of attempts, by request
   std::multiset<std::pair<Time, std::uint32_t>> timers_;
-  std::string last_message_;  // the latest one that the policy sent to its peers
+  std::string last_message_;  // the last message that the policy sent to its peers
   RequestId last_id_ = 0;
-  bool list_wanted_ = false;
+  bool list_requested_ = false;
   Digest digest_;
   Recording recording_;
 };
--- a/tests/recordings/simulations.cpp
+++ b/tests/recordings/simulations.cpp
@@ -1,6 +1,6 @@
-// Recorded simulations in virtual time: each test makes the calls of `thornwick copies virtual`, `thornwick
-// group virtual` or `thornwick group table` on fixed seeds, and compares the results with those of the time
-// when the recording was made.
+// Recorded simulations in virtual time. Each test makes the same calls as `thornwick copies virtual`,
+// `thornwick group virtual` or `thornwick group table`, with fixed seeds, and compares the results with the
+// recorded ones.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Replication simulations that are played: the later ones take long under the sanitizers.
+// Number of replication simulations to play. The later ones take a long time with sanitizers.
 #ifdef THORNWICK_SHORT
 constexpr std::size_t kReplicationPlays = 1;
 #else
@@ -62,7 +62,7 @@
 struct GroupRecording {
   std::uint64_t faults = 0;
   std::uint64_t gone_reports = 0;
-  std::uint64_t lines = 0;  // of the log: faults, and changes that routers reported
+  std::uint64_t lines = 0;  // lines of the log: faults, and changes that routers reported
   Time agreed_after = 0;
 
   bool operator==(const GroupRecording&) const = default;
@@ -93,7 +93,7 @@
 
 }  // namespace
 
-TEST_CASE("replicated ledgers in virtual time") {
+TEST_CASE("simulations of replicated ledgers are as recorded") {
   std::vector<ReplicationRecording> expected = {{8, 1, 1, 3, 8, 4, 3, 5246, 5191, 997},
                                                 {5, 1, 0, 4, 8, 5, 5, 5724, 4563, 994},
                                                 {9, 1, 2, 5, 14, 7, 7, 5682, 5014, 990}};
@@ -108,7 +108,7 @@
   CHECK(played == expected);
 }
 
-TEST_CASE("a group in virtual time") {
+TEST_CASE("simulations of a group with faults are as recorded") {
   const std::vector<GroupRecording> expected = {{9, 10, 90, 0},      {5, 5, 64, 0},        {17, 3, 51, 0},
                                                 {6, 5, 70, 3000000}, {7, 0, 167, 4000000}, {7, 6, 96, 0},
                                                 {9, 8, 60, 0},       {10, 9, 144, 0}};
@@ -117,7 +117,7 @@
   CHECK(played == expected);
 }
 
-TEST_CASE("a group's time to find a death") {
+TEST_CASE("simulated times until a group detects a failed router are as recorded") {
   const experiments::GroupTableOptions options{.calm_s = 120, .kills = 3, .seed = 71};
   CHECK(digest_of(experiments::measure_group("measured", 9, 0.1, options)) == 0xf7c2afe3c8984e45);
   CHECK(digest_of(experiments::measure_group("plain", 9, 0.3, options)) == 0x3c8472ccfe72f73);
