--- a/src/lifecycle/lifecycle.cpp
+++ b/src/lifecycle/lifecycle.cpp
@@ -4,26 +4,26 @@
 namespace {
 
 // A router without an endpoint list reports itself ready this long after its start, so that clients get
-// answers instead of waiting for the load balancer.
+// answers and do not wait for the load balancer.
 constexpr Time kReadyWithoutEndpoints = seconds(5);
 
 // Idle connections are closed this long after a drain, a termination or a handover began. Until then, clients
-// still open connections: for 0.2 s after a drain makes readiness fail, for 0.4 s after SIGTERM. They also
-// use the connections that they have, each of which is closed with its next answer.
+// still open connections: for 0.2 s after a drain makes readiness fail, and for 0.4 s after SIGTERM. Clients
+// also use the connections that they have, each of which is closed with its next answer.
 constexpr Time kIdleCloseDelay = milliseconds(500);
 
-// Requests are admitted this long after SIGTERM. Later ones are rejected, because a request that arrives more
-// than 0.7 s after SIGTERM can be cut off by SIGKILL, however long its answer takes. Connections that have
-// not carried a request are closed at the same time.
+// Requests are admitted until this long after SIGTERM. Later requests are rejected, because a request that
+// arrives more than 0.7 s after SIGTERM can be cut off by SIGKILL, however short its answer is. Connections
+// that have not carried a request are closed at the same time.
 constexpr Time kAdmissionAfterTermination = milliseconds(650);
 
-// Requests are admitted this long after a drain began. 4 s after it, no request that arrived in the last 2 s
-// may be in flight; later ones could be.
+// Requests are admitted until this long after a drain began. 4 s after the beginning of a drain, no request
+// that arrived in the last 2 s may be in flight; requests admitted later than this limit could be.
 constexpr Time kAdmissionAfterDrain = milliseconds(1'500);
 
-// Returns whether a state has held for `duration`. `begun` is empty if the state does not hold.
-bool held_for(const std::optional<Time>& begun, Time now, Time duration) {
-  return begun && now - *begun >= duration;
+// Returns whether a state has held for `duration`. `began_at` is empty if the state does not hold.
+bool held_for(const std::optional<Time>& began_at, Time now, Time duration) {
+  return began_at && now - *began_at >= duration;
 }
 
 }  // namespace
--- a/src/lifecycle/lifecycle.hpp
+++ b/src/lifecycle/lifecycle.hpp
@@ -21,12 +21,13 @@
   handed_over     // a successor process serves at the same address
 };
 
-// One router process. Events move it from phase to phase; queries tell what the current phase allows.
+// The lifecycle of one router process. Events change its phase; queries return what the current phase allows.
 class Lifecycle {
  public:
   explicit Lifecycle(Time started_at) : started_at_(started_at) {}
 
-  // Events. Each of them is allowed in any phase. Repeating one has no effect: the time of the first counts.
+  // Events. Each event is allowed in any phase. Repeating one has no effect: the time of the first one
+  // counts.
 
   // An endpoint list is known.
   void set_endpoints_known() { endpoints_known_ = true; }
@@ -46,7 +47,7 @@
   // Queries.
 
   Phase phase() const;
-  // Returns whether a drain holds, also if a later phase takes precedence over it.
+  // Returns whether a drain is in effect, even if a later phase takes precedence over it.
   bool drained() const { return drained_at_.has_value(); }
 
   // Returns whether a load balancer may send clients to this router.
--- a/src/logging/level.hpp
+++ b/src/logging/level.hpp
@@ -1,5 +1,4 @@
-// The severity of a log line. A header of its own for code that states a level and does not write lines
-// itself.
+// The severity of a log line. It has its own header for code that names a level and writes no lines itself.
 #pragma once
 
 namespace thornwick::logging {
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr const char* kTextPattern = "%l %n: %v";
-// The message (%v) is already JSON: the members part, message and the fields of the line.
+// The message (%v) is JSON already: the members "part" and "message", and the fields of the line.
 constexpr const char* kJsonPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l",%v})";
 
 // The log of this process: its threshold, its format and the stream that it writes to.
@@ -72,14 +72,14 @@
 void Line::write() const {
   std::string message = text_.str();
   if (output().format() == Format::json) {
-    message = fmt::format(R"("part":{},"message":{})", json_text(part_), json_text(message));
+    message = fmt::format(R"("part":{},"message":{})", json_text(component_), json_text(message));
     for (const FormattedField& field : fields_) {
       const std::string value = field.is_number ? field.value : json_text(field.value);
       message += fmt::format(",{}:{}", json_text(field.name), value);
     }
   }
-  const spdlog::string_view_t part{part_.data(), part_.size()};
-  output().write(spdlog::details::log_msg(part, spdlog_level(level_), message));
+  const spdlog::string_view_t component{component_.data(), component_.size()};
+  output().write(spdlog::details::log_msg(component, spdlog_level(level_), message));
 }
 
 }  // namespace thornwick::logging
--- a/src/logging/log.hpp
+++ b/src/logging/log.hpp
@@ -15,12 +15,12 @@
 
 namespace thornwick::logging {
 
-// How lines are written: `LEVEL PART: TEXT`, or a JSON object with time (UTC), level, part, message and the
-// line's fields.
+// The format of lines: `LEVEL COMPONENT: TEXT`, or a JSON object with time (UTC), level, part (the
+// component), message and the fields of the line.
 enum class Format { text, json };
 
-// The lowest level that is written, `Level::info` until it is set. The text of a line below it is never
-// formatted.
+// The lowest level that is written. It is `Level::info` until it is set. The text of a line below this level
+// is never formatted.
 Level threshold();
 void set_threshold(Level level);
 // Returns whether debug lines are written. Callers check it before they compute fields that are expensive.
@@ -28,8 +28,8 @@
 // Sets the format of all later lines. It is `Format::text` until then.
 void set_format(Format format);
 
-// A value that is a named field in JSON and only its value in text. It refers to the value, so it must not
-// outlive the statement that creates it.
+// A value that appears as a named field in JSON, and as the value alone in text. It refers to the value, so
+// it must not outlive the statement that creates it.
 template <typename T>
 struct Field {
   std::string_view name;
@@ -41,12 +41,13 @@
   return {name, value};
 }
 
-// One log line: its level, the part of the program that it comes from, and the text that is streamed into it.
-// The destructor writes it, so a temporary is written at the end of its statement.
+// One log line: its level, the component of the program that writes it, and the text that is streamed into
+// it. The destructor writes the line, so a temporary is written at the end of its statement.
 class Line {
  public:
-  // `part` is kept by reference and must outlive the line.
-  Line(Level level, std::string_view part) : level_(level), part_(part), enabled_(level >= threshold()) {}
+  // `component` is stored as a reference and must outlive the line.
+  Line(Level level, std::string_view component)
+      : level_(level), component_(component), enabled_(level >= threshold()) {}
   Line(const Line&) = delete;
   Line& operator=(const Line&) = delete;
   ~Line() {  // NOLINT(bugprone-exception-escape): without memory for a line the program ends, as elsewhere
@@ -62,8 +63,8 @@
   Line& operator<<(const Field<T>& named) {
     return with(named.name, named.value) << named.value;
   }
-  // Adds a field that appears in JSON only and returns this line. Integers become JSON numbers, everything
-  // else strings.
+  // Adds a field that appears in JSON only, and returns this line. Integers become JSON numbers; all other
+  // values become strings.
   template <typename T>
   Line& with(std::string_view name, const T& value) {
     constexpr bool is_number = std::is_integral_v<T> && !std::is_same_v<T, char>;
@@ -83,16 +84,16 @@
   void write() const;
 
   Level level_;
-  std::string_view part_;
+  std::string_view component_;
   bool enabled_;
   std::ostringstream text_;
   std::vector<FormattedField> fields_;
 };
 
-// A line of the given level. `part` must outlive it.
-inline Line debug(std::string_view part) { return {Level::debug, part}; }
-inline Line info(std::string_view part) { return {Level::info, part}; }
-inline Line warning(std::string_view part) { return {Level::warning, part}; }
-inline Line error(std::string_view part) { return {Level::error, part}; }
+// Each returns a line of the level that it is named after. `component` must outlive the line.
+inline Line debug(std::string_view component) { return {Level::debug, component}; }
+inline Line info(std::string_view component) { return {Level::info, component}; }
+inline Line warning(std::string_view component) { return {Level::warning, component}; }
+inline Line error(std::string_view component) { return {Level::error, component}; }
 
 }  // namespace thornwick::logging
--- a/src/logging/rate_limiter.hpp
+++ b/src/logging/rate_limiter.hpp
@@ -1,8 +1,6 @@
 // Limits repeated log lines to one per second and kind. Some events, such as invalid entries of an endpoint
-// list, can occur thousands of times per second; logging each of them would slow the router down. Counters
-// still count all of them.
-//
-// No I/O and no clock: the caller passes the time in.
+// list, can occur thousands of times per second, and a log line for each of them would slow the router down.
+// Counters still count all of them.
 #pragma once
 
 #include <map>
@@ -18,10 +16,10 @@
   static constexpr Time kInterval = seconds(1);
 
   // Returns whether a line of this kind may be written at `now`, a time on a monotonic clock. If so, the next
-  // one is allowed `kInterval` later.
+  // line of this kind is allowed `kInterval` later.
   //
-  // `kind` is kept by reference for the lifetime of the limiter: it must be a string literal, and there must
-  // be few of them.
+  // `kind` is stored as a reference for the lifetime of the limiter: it must be a string literal, and the
+  // number of kinds must be small.
   [[nodiscard]] bool allows(Time now, std::string_view kind) {
     const auto [last_line, is_first] = last_lines_.try_emplace(kind, now);
     if (is_first) return true;
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-std::string escaped(std::string_view value) {
+std::string escape_label_value(std::string_view value) {
   std::string result;
   for (const char character : value) {
     if (character == '\n') {
@@ -51,7 +51,7 @@
   append_type(exposition, "svc_transactions_total", "counter");
   for (std::size_t i = 0; i < classes_.size(); ++i) {
     for (std::size_t state = 0; state < kRequestStateCount; ++state) {
-      exposition += "svc_transactions_total{group=\"" + escaped(classes_[i]) + "\",state=\"" +
+      exposition += "svc_transactions_total{group=\"" + escape_label_value(classes_[i]) + "\",state=\"" +
                     kStateNames[state] + "\"} " + std::to_string(requests_[i][state]) + "\n";
     }
   }
--- a/src/tracing/trace.cpp
+++ b/src/tracing/trace.cpp
@@ -13,18 +13,18 @@
 constexpr const char* kScopeNames[] = {"delta", "full", "cached", "failed"};
 constexpr const char* kStateNames[] = {"ready", "draining", "gone"};
 
-// Writes a line for each event, then forwards the event; writes a line for each action that it returns. Times
-// in the lines are microseconds.
+// Writes a line for each event before it forwards the event, and a line for each action that the wrapped
+// decider returns. Times in the lines are microseconds.
 class TracingDecider final : public core::DeciderDecorator {
  public:
-  TracingDecider(std::unique_ptr<core::Decider> inner, NameOf name_of)
-      : DeciderDecorator(std::move(inner)), name_of_(std::move(name_of)) {}
+  TracingDecider(std::unique_ptr<core::Decider> inner, ReplicaUidLookup uid_of)
+      : DeciderDecorator(std::move(inner)), uid_of_(std::move(uid_of)) {}
 
   void on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) override {
     now_ = now;
     write_line("endpoints", " scope=", kScopeNames[static_cast<int>(scope)], " entries=", entries.size());
     for (const Endpoint& entry : entries) {
-      write_line("endpoint", " replica=", name_of_(entry.id),
+      write_line("endpoint", " replica=", uid_of_(entry.id),
                  " state=", kStateNames[static_cast<int>(entry.state)], " started=", entry.started_at,
                  " zone=", entry.zone, " kind=", entry.kind, " weight=", entry.weight);
     }
@@ -45,7 +45,7 @@
                       Time elapsed) override {
     now_ = now;
     write_line("first_token", " request=", id, " attempt=", static_cast<int>(attempt),
-               " replica=", name_of_(replica), " elapsed=", elapsed);
+               " replica=", uid_of_(replica), " elapsed=", elapsed);
     DeciderDecorator::on_first_token(now, id, attempt, replica, elapsed);
   }
   void on_attempt_result(Time now, const AttemptResult& result) override {
@@ -53,7 +53,7 @@
     std::string report;
     for (const float value : result.report) report += fmt::format(" report={:g}", value);
     write_line("attempt_result", " request=", result.id, " attempt=", static_cast<int>(result.attempt),
-               " replica=", name_of_(result.replica),
+               " replica=", uid_of_(result.replica),
                " outcome=", kOutcomeNames[static_cast<int>(result.outcome)], " elapsed=", result.elapsed,
                " concluded=", result.concluded, " prompt_tokens=", result.prompt_tokens,
                " cached_tokens=", result.cached_tokens, report);
@@ -70,7 +70,7 @@
   }
   void on_probe_result(Time now, ReplicaId replica, bool alive, std::span<const float> report) override {
     now_ = now;
-    write_line("probe_result", " replica=", name_of_(replica), " alive=", alive);
+    write_line("probe_result", " replica=", uid_of_(replica), " alive=", alive);
     DeciderDecorator::on_probe_result(now, replica, alive, report);
   }
   void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) override {
@@ -95,7 +95,7 @@
   void write_action(const Action& action) const {
     switch (action.kind) {
       case ActionKind::send:
-        return write_line("send", " request=", action.id, " replica=", name_of_(action.replica));
+        return write_line("send", " request=", action.id, " replica=", uid_of_(action.replica));
       case ActionKind::reject:
         return write_line("reject", " request=", action.id, " retry_after=", action.time);
       case ActionKind::fail: return write_line("fail", " request=", action.id, " retry_after=", action.time);
@@ -103,22 +103,22 @@
         return write_line("cancel", " request=", action.id, " attempt=", static_cast<int>(action.attempt));
       case ActionKind::watch_endpoints: return write_line("watch_endpoints");
       case ActionKind::fetch_endpoints: return write_line("fetch_endpoints");
-      case ActionKind::probe: return write_line("probe", " replica=", name_of_(action.replica));
+      case ActionKind::probe: return write_line("probe", " replica=", uid_of_(action.replica));
       case ActionKind::message_peer:
         return write_line("message_sent", " peer=", action.token, " bytes=", action.message.size());
       case ActionKind::set_timer: return;
     }
   }
 
-  NameOf name_of_;
-  Time now_ = 0;  // the time of the latest event; its actions are taken right after it
+  ReplicaUidLookup uid_of_;
+  Time now_ = 0;  // time of the latest event, whose actions are taken right after it
 };
 
 }  // namespace
 
-std::unique_ptr<core::Decider> with_tracing(std::unique_ptr<core::Decider> inner, NameOf name_of) {
+std::unique_ptr<core::Decider> with_tracing(std::unique_ptr<core::Decider> inner, ReplicaUidLookup uid_of) {
   if (!logging::is_debug_enabled()) return inner;
-  return std::make_unique<TracingDecider>(std::move(inner), std::move(name_of));
+  return std::make_unique<TracingDecider>(std::move(inner), std::move(uid_of));
 }
 
 }  // namespace thornwick::tracing
--- a/src/tracing/trace.hpp
+++ b/src/tracing/trace.hpp
@@ -12,12 +12,12 @@
 
 namespace thornwick::tracing {
 
-// Returns the uid of a replica: ids differ from router to router, uids do not.
-using NameOf = std::function<std::string(ReplicaId)>;
+// Returns the uid of a replica. Trace lines need it because ids differ from router to router and uids do not.
+using ReplicaUidLookup = std::function<std::string(ReplicaId)>;
 
 // Returns a decider that traces `inner`. If debug lines are not written at the time of the call, it returns
 // `inner` itself, so that tracing costs nothing; a later change of the threshold has no effect.
 [[nodiscard]] std::unique_ptr<core::Decider> with_tracing(std::unique_ptr<core::Decider> inner,
-                                                          NameOf name_of);
+                                                          ReplicaUidLookup uid_of);
 
 }  // namespace thornwick::tracing
--- a/tests/lifecycle/handover_state.cpp
+++ b/tests/lifecycle/handover_state.cpp
@@ -1,5 +1,5 @@
-// The learned state of a hand-over: a successor decides as its predecessor did, and invalid values are passed
-// over.
+// The learned state of a hand-over: a successor decides as its predecessor did, and invalid values are
+// ignored.
 #include "persistence/handover_state.hpp"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
 }
 
 // Sends requests of 40 sizes in turn through a policy and returns the replicas of their attempts. Every
-// attempt at `failing` fails and every other one is served.
+// attempt at the replica `failing` fails, and every other attempt is served.
 std::vector<ReplicaId> send_requests(RoutingPolicy& router, Time& now, int count, ReplicaId failing) {
   std::vector<ReplicaId> replicas;
   for (int i = 0; i < count; ++i) {
@@ -56,51 +56,51 @@
 
 }  // namespace
 
-TEST_CASE("a successor cuts work by size as its predecessor did and ejects the same replicas") {
+TEST_CASE("a successor divides work by size as its predecessor did and ejects the same replicas") {
   Time now = seconds(1);
-  RoutingPolicy first(settings(), now);
-  first.on_endpoints(now, EndpointUpdate::full, replicas());
-  send_requests(first, now, 200, 3);
-  REQUIRE(first.ejected(now) == std::vector<ReplicaId>{3});
+  RoutingPolicy predecessor(settings(), now);
+  predecessor.on_endpoints(now, EndpointUpdate::full, replicas());
+  send_requests(predecessor, now, 200, 3);
+  REQUIRE(predecessor.ejected(now) == std::vector<ReplicaId>{3});
 
-  const std::string bytes = persistence::encode_handover_state(first.learned_state(), nullptr);
+  const std::string bytes = persistence::encode_handover_state(predecessor.learned_state(), nullptr);
   const auto learned_state = persistence::decode_handover_state(bytes, now, nullptr);
   REQUIRE(learned_state);
-  RoutingPolicy second(settings(), now);
-  second.on_endpoints(now, EndpointUpdate::cached, replicas());
-  second.restore_learned_state(*learned_state);
-  // The successor cuts by size from the first request on, and the ejected replica gets nothing.
+  RoutingPolicy successor(settings(), now);
+  successor.on_endpoints(now, EndpointUpdate::cached, replicas());
+  successor.restore_learned_state(*learned_state);
+  // The successor divides work by size from the first request on, and the ejected replica gets nothing.
   Time successor_time = now;
-  const auto sent = send_requests(second, successor_time, 40, 0);
-  CHECK(std::is_sorted(sent.begin(), sent.end()));  // the sizes rise, and with them the owners
+  const auto sent = send_requests(successor, successor_time, 40, 0);
+  CHECK(std::is_sorted(sent.begin(), sent.end()));  // rising sizes go to replicas with rising ids
   CHECK(std::set<ReplicaId>(sent.begin(), sent.end()) == std::set<ReplicaId>{1, 2, 4});
-  CHECK(second.ejected(successor_time) == std::vector<ReplicaId>{3});
-  // A replica that has restarted since is not ejected any more.
-  auto fresh = replicas();
-  fresh[2].started_at = now;
-  RoutingPolicy third(settings(), now);
-  third.on_endpoints(now, EndpointUpdate::cached, fresh);
-  third.restore_learned_state(*learned_state);
-  send_requests(third, successor_time, 40, 0);
-  CHECK(third.ejected(successor_time).empty());
+  CHECK(successor.ejected(successor_time) == std::vector<ReplicaId>{3});
+  // A replica that has restarted after the hand-over is not ejected any more.
+  auto restarted = replicas();
+  restarted[2].started_at = now;
+  RoutingPolicy later_successor(settings(), now);
+  later_successor.on_endpoints(now, EndpointUpdate::cached, restarted);
+  later_successor.restore_learned_state(*learned_state);
+  send_requests(later_successor, successor_time, 40, 0);
+  CHECK(later_successor.ejected(successor_time).empty());
 }
 
-TEST_CASE("truncated bytes are rejected, and invalid values are passed over") {
+TEST_CASE("truncated bytes are rejected, and invalid values are ignored") {
   Time now = seconds(1);
   RoutingPolicy router(settings(), now);
   router.on_endpoints(now, EndpointUpdate::full, replicas());
-  LearnedState bad;
-  const double none = std::numeric_limits<double>::quiet_NaN();
-  bad.samples = {{none, 1}, {1, -1}, {1, 0}};
-  bad.prefixes = {{1, none}, {2, -5}};
-  bad.replicas = {{99, 0, 3, 0, 1}, {1, 0, 1'000'000, 0, none}};
-  bad.tenant_usage = {none};
-  bad.zone_overflow = 17;
-  bad.load_shedding = none;
-  const std::string bytes = persistence::encode_handover_state(bad, nullptr);
-  const auto read = persistence::decode_handover_state(bytes, now, nullptr);
-  REQUIRE(read);
-  router.restore_learned_state(*read);
+  LearnedState invalid_state;
+  const double not_a_number = std::numeric_limits<double>::quiet_NaN();
+  invalid_state.samples = {{not_a_number, 1}, {1, -1}, {1, 0}};
+  invalid_state.prefixes = {{1, not_a_number}, {2, -5}};
+  invalid_state.replicas = {{99, 0, 3, 0, 1}, {1, 0, 1'000'000, 0, not_a_number}};
+  invalid_state.tenant_usage = {not_a_number};
+  invalid_state.zone_overflow = 17;
+  invalid_state.load_shedding = not_a_number;
+  const std::string bytes = persistence::encode_handover_state(invalid_state, nullptr);
+  const auto decoded_state = persistence::decode_handover_state(bytes, now, nullptr);
+  REQUIRE(decoded_state);
+  router.restore_learned_state(*decoded_state);
   CHECK(send_requests(router, now, 40, 0).size() == 40);
   CHECK(router.learned_state().load_shedding == 0);
   CHECK(router.learned_state().zone_overflow == 0);
--- a/tests/lifecycle/lifecycle.cpp
+++ b/tests/lifecycle/lifecycle.cpp
@@ -53,7 +53,7 @@
   CHECK(router_lifecycle.phase() == Phase::drained);
 }
 
-// A request that comes later than 0.7 s after SIGTERM may be unanswered at SIGKILL.
+// A request that arrives more than 0.7 s after SIGTERM may be unanswered at the time of SIGKILL.
 TEST_CASE("after SIGTERM requests are admitted for a short time, and then none that SIGKILL could cut off") {
   Lifecycle router_lifecycle(0);
   router_lifecycle.set_endpoints_known();
@@ -69,39 +69,39 @@
 }
 
 TEST_CASE(
-    "after any events, 4 s after LEAVE no request of the last 2 s is in flight, and SIGTERM is "
+    "4 s after LEAVE no request of the last 2 s is in flight whatever events precede it, and SIGTERM is "
     "final") {
   REQUIRE(rc::check("any order of calls", [] {
     Lifecycle router_lifecycle(0);
     router_lifecycle.set_endpoints_known();
     Time now = 0;
-    bool ending = false;
-    Time left_at = -1;  // when the drain began; -1: not drained
+    bool shutting_down = false;
+    Time drained_at = -1;  // when the drain began; -1: not drained
     for (const int event : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5))) {
       now += *rc::gen::inRange(0, 3'000'000);
       const bool handed_over = router_lifecycle.phase() == Phase::handed_over;
-      if (event == 0 && router_lifecycle.begin_drain(now) && left_at < 0) left_at = now;
-      if (event == 1 && router_lifecycle.end_drain()) left_at = -1;
+      if (event == 0 && router_lifecycle.begin_drain(now) && drained_at < 0) drained_at = now;
+      if (event == 1 && router_lifecycle.end_drain()) drained_at = -1;
       if (event == 2) {
         router_lifecycle.terminate(now);
-        ending = true;
+        shutting_down = true;
       }
       if (event == 3) router_lifecycle.hand_over(now);
       if (event == 4) router_lifecycle.cancel_handover();
-      RC_ASSERT(router_lifecycle.drained() == (left_at >= 0));
-      if (left_at >= 0) RC_ASSERT(!router_lifecycle.ready(now));
-      if (left_at >= 0 && !handed_over && !ending && router_lifecycle.phase() == Phase::drained)
-        RC_ASSERT(!router_lifecycle.admits_requests(left_at + 2'000'000));
-      if (left_at >= 0)
-        RC_ASSERT(router_lifecycle.closes_idle_connections(left_at + 2'000'000) &&
-                  router_lifecycle.closes_unused_connections(left_at + 2'000'000));
-      if (ending)
+      RC_ASSERT(router_lifecycle.drained() == (drained_at >= 0));
+      if (drained_at >= 0) RC_ASSERT(!router_lifecycle.ready(now));
+      if (drained_at >= 0 && !handed_over && !shutting_down && router_lifecycle.phase() == Phase::drained)
+        RC_ASSERT(!router_lifecycle.admits_requests(drained_at + 2'000'000));
+      if (drained_at >= 0)
+        RC_ASSERT(router_lifecycle.closes_idle_connections(drained_at + 2'000'000) &&
+                  router_lifecycle.closes_unused_connections(drained_at + 2'000'000));
+      if (shutting_down)
         RC_ASSERT(!router_lifecycle.admits_requests(now + 700'000) &&
                   router_lifecycle.closes_unused_connections(now + 700'000));
-      if (ending)
+      if (shutting_down)
         RC_ASSERT(!router_lifecycle.keeps_connections() && !router_lifecycle.can_serve(now) &&
                   !router_lifecycle.begin_drain(now) && !router_lifecycle.end_drain());
-      if (!ending && left_at < 0 && router_lifecycle.phase() == Phase::serving)
+      if (!shutting_down && drained_at < 0 && router_lifecycle.phase() == Phase::serving)
         RC_ASSERT(router_lifecycle.ready(now) && router_lifecycle.keeps_connections());
     }
   }));
--- a/tests/lifecycle/metrics.cpp
+++ b/tests/lifecycle/metrics.cpp
@@ -5,7 +5,7 @@
 
 using namespace thornwick::metrics;
 
-TEST_CASE("every class has its three counters from zero on, and an unknown class has none") {
+TEST_CASE("every class has three counters that start at zero, and an unknown class has none") {
   Metrics metrics({"chat", "a\"b\\c\nd"});
   metrics.count_request(std::string_view("nobody"), RequestState::errored);
   metrics.count_request(7, RequestState::errored);
