--- a/src/core/active_request.hpp
+++ b/src/core/active_request.hpp
@@ -1,4 +1,4 @@
-// The state of a request between its admission and its final answer. Used by the RequestManager alone.
+// The state of a request between its admission and its final answer. Only the RequestManager uses it.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,18 @@
 enum class AttemptState {
   none,                  // no attempt is in flight
   awaiting_first_event,  // launched; nothing was passed on to the client, so another attempt may follow
-  streaming,             // events were passed on: this attempt's answer is the request's
-  complete,              // the same, and the terminal event has come
-  failed                 // the same, and the replica reported that the answer failed
+  streaming,             // events were passed on, so this attempt's answer is the request's answer
+  complete,              // events were passed on, the terminal event among them
+  failed                 // events were passed on, and the replica reported that the answer failed
 };
 
-// Whether events of the attempt have been passed on to the client.
+// Returns whether events of the attempt have been passed on to the client.
 constexpr bool has_started(AttemptState state) {
   return state != AttemptState::none && state != AttemptState::awaiting_first_event;
 }
 
-// The state after an event of the attempt that is passed on. A failure is not undone by later events.
+// Returns the state after an event of the attempt that is passed on to the client. Later events do not undo a
+// failure.
 constexpr AttemptState state_after(AttemptState state, EventKind event) {
   if (event == EventKind::error || state == AttemptState::failed) return AttemptState::failed;
   if (event == EventKind::end) return AttemptState::complete;
@@ -34,12 +35,13 @@
   return state;
 }
 
+// A request that has no final answer yet.
 struct ActiveRequest {
   bool attempt_in_flight() const { return attempt_state != AttemptState::none; }
   bool answer_started() const { return has_started(attempt_state); }
 
   Reply* reply = nullptr;  // not owned; valid until the final call
-  IncomingRequest arrival;
+  IncomingRequest incoming_request;
   RequestSummary summary;
   TimerQueue::Handle deadline_timer;
 
@@ -49,15 +51,15 @@
   ReplicaId replica = 0;
   std::uint16_t model = 0;
   std::shared_ptr<const Allowance> allowance;
-  Time attempt_sent = 0;
+  Time attempt_sent_at = 0;
   TimerQueue::Handle attempt_timer;
 
-  std::uint8_t next_attempt_number = 0;  // attempts that were not launched are numbered, too
+  std::uint8_t next_attempt_number = 0;  // attempts that were not launched are numbered too
   bool may_have_run = false;             // whether a replica may have processed any attempt
 
-  double answer_characters = 0;       // of the answer's text so far
-  bool has_usage = false;             // summary.usage is what the replica reported
-  affinity::Expectation expectation;  // of the attempt whose answer has started
+  double answer_characters = 0;       // length of the answer's text so far
+  bool has_usage = false;             // whether summary.usage is what the replica reported
+  affinity::Expectation expectation;  // cache expectation for the attempt whose answer has started
 };
 
 }  // namespace thornwick::core
--- a/src/core/decider.cpp
+++ b/src/core/decider.cpp
@@ -3,7 +3,7 @@
 namespace thornwick::core {
 namespace {
 
-// Forwards to a RoutingPolicy, which has no virtual functions.
+// Forwards every call to a RoutingPolicy, which has no virtual functions.
 class RoutingPolicyDecider final : public Decider {
  public:
   RoutingPolicyDecider(const Settings& settings, Time now) : policy_(settings, now) {}
--- a/src/core/decider.hpp
+++ b/src/core/decider.hpp
@@ -1,6 +1,6 @@
-// The decision maker of the core: the routing policy, one of its decorators, or in the emulator a baseline
-// policy to compare it with. Its events and actions, and the rules for them, are those of
-// thornwick/routing_policy.hpp.
+// A decider makes the decisions of the core. It is the routing policy, one of the decorators around it, or,
+// in the emulator, a baseline policy to compare it with. thornwick/routing_policy.hpp defines its events and
+// actions and the rules for them.
 #pragma once
 
 #include <memory>
@@ -12,12 +12,12 @@
 
 namespace thornwick::core {
 
-// The `time` of a send action that the core is not to launch. Its outcome is `not_sent`, and it takes an
-// attempt number like any other. Set by decorators that veto a send.
+// The `time` of a send action that the core must not launch. Decorators set it to veto a send. The attempt
+// takes a number like any other, and its outcome is `not_sent`.
 inline constexpr Time kNotSent = -1;
 
-// Receives events and returns the actions decided on them. Not thread-safe; does no I/O, and never calls back
-// from an event: its actions wait for take_actions.
+// Receives events and returns the actions that it decides on. Not thread-safe. A decider does no I/O and
+// never calls back from an event: its actions wait for take_actions().
 class Decider {
  public:
   virtual ~Decider() = default;
@@ -32,13 +32,13 @@
   virtual void on_peer_message(Time now, std::uint32_t peer, std::span<const std::uint8_t> message) = 0;
   // The policy of another pool has sent a request to this replica (see RoutingPolicy::on_shared_send).
   virtual void on_shared_send(ReplicaId) {}
-  // The learned state to hand over to the process that takes over, and its adoption there. A decider that
-  // combines several policies hands over nothing.
+  // learned_state() returns the state to hand over to a successor process, where learn() adopts it. A decider
+  // that combines several policies hands over nothing.
   virtual LearnedState learned_state() const { return {}; }
   virtual void learn(const LearnedState&) {}
-  // The ready replicas that are ejected at this time because they failed.
+  // Returns the ready replicas that are ejected at this time because they failed.
   virtual std::vector<ReplicaId> ejected(Time) const { return {}; }
-  // The actions decided since the last call, in the order in which they are to be carried out.
+  // Returns the actions decided since the last call, in the order in which they are to be carried out.
   virtual std::vector<Action> take_actions() = 0;
 };
 
@@ -76,7 +76,7 @@
   std::unique_ptr<Decider> inner_;
 };
 
-// Makes a decider that is the routing policy alone. Throws std::invalid_argument if the settings contradict
+// Returns a decider that is the routing policy alone. Throws std::invalid_argument if the settings contradict
 // each other.
 [[nodiscard]] std::unique_ptr<Decider> make_routing_policy(const Settings& settings, Time now);
 
--- a/src/core/open_requests.hpp
+++ b/src/core/open_requests.hpp
@@ -1,4 +1,4 @@
-// What a decider knows of the requests that have no final answer yet.
+// The state that a decider has of each request without a final answer.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -10,16 +10,16 @@
 
 namespace thornwick::core {
 
-// States by request id. Pointers and references hold until the next call of put or erase.
+// Maps request ids to states. Pointers and references are valid until the next call of put or erase.
 template <typename State>
 class OpenRequests {
  public:
-  // Null: the request is not open (any more).
+  // Returns null if the request is not open, or not any more.
   [[nodiscard]] State* find(RequestId id) {
     const auto found = states_.find(id);
     return found == states_.end() ? nullptr : &found->second;
   }
-  // Replaces what was known of the same id.
+  // Adds a state, or replaces the one of the same id.
   State& put(RequestId id, State state) {
     return states_.insert_or_assign(id, std::move(state)).first->second;
   }
--- a/src/core/request_manager.cpp
+++ b/src/core/request_manager.cpp
@@ -7,13 +7,14 @@
 namespace thornwick::core {
 namespace {
 
-// The policy's limit, as far as attempts can be numbered.
+// Returns the policy's limit of attempts, or the highest number that an attempt can have if that is lower.
 std::uint32_t attempt_limit(const Settings& settings) {
   constexpr std::uint32_t highest_number = std::numeric_limits<decltype(AttemptId::number)>::max();
   return std::min(settings.max_attempts, highest_number);
 }
 
-// A stream without its terminal event, or with an error in it, is not complete, however it was framed.
+// Returns the outcome of an attempt in view of its stream: an answer without its terminal event, or with an
+// error event, is not complete, even if the transport reports a complete response.
 Outcome checked_outcome(Outcome outcome, AttemptState state) {
   if (outcome != Outcome::served) return outcome;
   if (state == AttemptState::failed) return Outcome::error;
@@ -41,30 +42,28 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-// Null for an attempt that is not out any more: its late events are ignored.
+// Returns null if the attempt is not in flight any more, because its late events are ignored.
 ActiveRequest* RequestManager::find_current(AttemptId attempt) {
   ActiveRequest* request = find_request(attempt.request_id);
   if (request == nullptr || !request->attempt_in_flight() || request->attempt != attempt) return nullptr;
   return request;
 }
 
-// ---------------------------------------------------------------- clients
-
-RequestId RequestManager::admit(IncomingRequest arrival, Reply& reply) {
+RequestId RequestManager::admit(IncomingRequest incoming_request, Reply& reply) {
   const Time arrived = now();
   const RequestId id = ++last_id_;
   ActiveRequest& request = requests_[id];
   request.reply = &reply;
-  request.arrival = std::move(arrival);
-  Request& description = request.arrival.request;
+  request.incoming_request = std::move(incoming_request);
+  Request& description = request.incoming_request.request;
   description.id = id;
   if (dependencies_.affinity_table != nullptr)
     description.cache_hint = dependencies_.affinity_table->find_hint(arrived, description);
   request.summary.arrived_at = arrived;
   request.summary.request = description;
-  request.summary.external_id = request.arrival.external_id;
+  request.summary.external_id = request.incoming_request.external_id;
   ++counters_.admitted;
-  // Whatever the routing policy does, the final answer is out within the slack after the deadline.
+  // Whatever the routing policy does, the final answer is sent within kDeadlineSlack after the deadline.
   request.deadline_timer = timers_.set(description.deadline + kDeadlineSlack,
                                        {.kind = TimerKind::request_deadline, .attempt = {id, 0}});
   decider_->on_request(arrived, description);
@@ -76,13 +75,13 @@
   ActiveRequest* request = find_request(request_id);
   if (request == nullptr) return;
   decider_->on_client_disconnected(now(), request_id);
-  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestProgress::concluded);
   conclude(request_id, {.status = CompletionStatus::client_disconnected});
   apply_actions();
 }
 
-// Avoids work whose result nobody reads. The loop may not have reported a closed connection yet, because
-// unread bytes precede the end of file or because it is handling another event.
+// Avoids work whose result nobody reads. The event loop may not have reported a closed connection yet,
+// because unread bytes precede the end of file or because it is handling another event.
 bool RequestManager::client_is_waiting(AttemptId attempt) {
   const ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return false;
@@ -103,14 +102,12 @@
   dependencies_.upstream.resume_reading(request->attempt);
 }
 
-// ---------------------------------------------------------------- replicas
-
 void RequestManager::attempt_event(AttemptId attempt, const StreamEvent& event) {
   ActiveRequest* request = find_current(attempt);
   if (request == nullptr) return;
-  const bool had_started = request->answer_started();
+  const bool answer_had_started = request->answer_started();
   // Nothing was passed on to the client, so the attempt has failed and another one may follow.
-  if (event.kind == EventKind::error && !had_started) return attempt_ended(attempt, Outcome::error);
+  if (event.kind == EventKind::error && !answer_had_started) return attempt_ended(attempt, Outcome::error);
   if (event.kind == EventKind::usage || event.has_usage) {
     request->summary.usage = event.usage;
     request->has_usage = true;
@@ -118,24 +115,24 @@
   if (event.kind == EventKind::delta) request->answer_characters += static_cast<double>(event.text.size());
   request->answer_characters += static_cast<double>(event.final_text.size());
   request->attempt_state = state_after(request->attempt_state, event.kind);
-  if (!had_started && request->answer_started()) begin_answer(*request);
+  if (!answer_had_started && request->answer_started()) begin_answer(*request);
   ++request->summary.events;
   request->summary.bytes += event.raw_frame.size();
   request->reply->send_event(event);
   apply_actions();
 }
 
-// The answer begins with the first event that is passed on; no other attempt is made after it.
+// Called with the first event that is passed on. No other attempt is made after it.
 void RequestManager::begin_answer(ActiveRequest& request) {
   const Time started = now();
   request.summary.first_event_at = started;
-  request.arrival.payload.reset();  // the body, which takes most of the memory, is not needed again
+  request.incoming_request.payload.reset();  // the body, which takes most of the memory, is not needed again
   if (dependencies_.affinity_table != nullptr) {
-    request.expectation =
-        dependencies_.affinity_table->on_answer_started(started, request.arrival.request, request.replica);
+    request.expectation = dependencies_.affinity_table->on_answer_started(
+        started, request.incoming_request.request, request.replica);
   }
   decider_->on_first_token(started, request.attempt.request_id, request.attempt.number, request.replica,
-                           started - request.attempt_sent);
+                           started - request.attempt_sent_at);
   request.reply->begin_answer(request.model, request.allowance.get());
 }
 
@@ -144,12 +141,13 @@
   if (request == nullptr) return;
   outcome = checked_outcome(outcome, request->attempt_state);
   const bool served = outcome == Outcome::served;
-  const RequestFate fate = request->answer_started() ? RequestFate::concluded : RequestFate::continues;
+  const RequestProgress progress =
+      request->answer_started() ? RequestProgress::concluded : RequestProgress::continues;
   if (!served) dependencies_.upstream.abandon(attempt);
   request->attempt_state = AttemptState::none;
   if (served) learn_cache_use(*request);
-  report_result(*request, outcome, fate, report);
-  if (fate == RequestFate::concluded)
+  report_result(*request, outcome, progress, report);
+  if (progress == RequestProgress::concluded)
     conclude(attempt.request_id,
              {.status = served ? CompletionStatus::served : CompletionStatus::interrupted});
   apply_actions();
@@ -159,11 +157,11 @@
   if (dependencies_.affinity_table == nullptr) return;
   const Usage& usage = request.summary.usage;
   dependencies_.affinity_table->on_answer_complete(
-      now(), request.arrival.request, request.replica, request.expectation,
+      now(), request.incoming_request.request, request.replica, request.expectation,
       static_cast<double>(usage.cached_tokens), static_cast<double>(usage.generated_tokens));
 }
 
-void RequestManager::report_result(ActiveRequest& request, Outcome outcome, RequestFate fate,
+void RequestManager::report_result(ActiveRequest& request, Outcome outcome, RequestProgress progress,
                                    std::span<const float> load) {
   const Time ended = now();
   const Usage& usage = request.summary.usage;
@@ -173,8 +171,8 @@
                                       .attempt = request.attempt.number,
                                       .replica = request.replica,
                                       .outcome = outcome,
-                                      .elapsed = ended - request.attempt_sent,
-                                      .concluded = fate == RequestFate::concluded,
+                                      .elapsed = ended - request.attempt_sent_at,
+                                      .concluded = progress == RequestProgress::concluded,
                                       .cached_tokens = static_cast<double>(usage.cached_tokens),
                                       .prompt_tokens = static_cast<double>(usage.prompt_tokens),
                                       .generated_tokens = static_cast<double>(usage.generated_tokens),
@@ -184,13 +182,13 @@
 }
 
 // The connection is closed before the routing policy learns of it, so that no two attempts of a request are
-// out at once. A request that was not written completely, for instance because the connection did not come up
-// in time, has not run: it is reported as not sent, so that a request that must not run twice can be
-// repeated.
-void RequestManager::abandon_attempt(ActiveRequest& request, Outcome outcome, RequestFate fate) {
+// in flight at once. A request that was not written completely has not run, for instance because its
+// connection was not established in time. It is reported as not sent, so that a request that must not run
+// twice can be repeated.
+void RequestManager::abandon_attempt(ActiveRequest& request, Outcome outcome, RequestProgress progress) {
   const bool written = dependencies_.upstream.abandon(request.attempt);
   request.attempt_state = AttemptState::none;
-  report_result(request, written ? outcome : Outcome::not_sent, fate, {});
+  report_result(request, written ? outcome : Outcome::not_sent, progress, {});
 }
 
 void RequestManager::probe_ended(ReplicaId replica, bool alive, std::span<const float> report) {
@@ -198,8 +196,6 @@
   apply_actions();
 }
 
-// ---------------------------------------------------------------- discovery, peers, clock
-
 void RequestManager::on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries) {
   if (dependencies_.affinity_table != nullptr) dependencies_.affinity_table->on_endpoints(scope, entries);
   decider_->on_endpoints(now(), scope, entries);
@@ -231,7 +227,7 @@
   if (request == nullptr) return;
   request->attempt_timer.reset();
   if (request->attempt != attempt || request->attempt_state != AttemptState::awaiting_first_event) return;
-  abandon_attempt(*request, Outcome::timed_out, RequestFate::continues);
+  abandon_attempt(*request, Outcome::timed_out, RequestProgress::continues);
 }
 
 void RequestManager::on_request_deadline(RequestId id) {
@@ -240,17 +236,15 @@
   request->deadline_timer.reset();
   if (request->answer_started()) return;
   decider_->on_client_disconnected(now(), id);
-  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::timed_out, RequestProgress::concluded);
   // A request that never ran is rejected rather than failed, so that its client may repeat it.
   const CompletionStatus status =
       request->may_have_run ? CompletionStatus::timed_out : CompletionStatus::rejected;
   conclude(id, {.status = status, .retry_after = retry_after_});
 }
 
-// ---------------------------------------------------------------- the routing policy's actions
-
-// Events that actions cause at once (an attempt that cannot even be launched) reach the policy while an outer
-// call of this function runs; the outer call goes on until no action is left.
+// An action may cause an event before this function returns, for instance if an attempt cannot be launched.
+// The event reaches the policy during the outer call, which continues until no action remains.
 void RequestManager::apply_actions() {
   if (applying_actions_) return;
   applying_actions_ = true;
@@ -276,7 +270,8 @@
   }
 }
 
-// Each send takes an attempt number, even if it is not launched, because the policy numbers them so.
+// Each send takes an attempt number, even if it is not launched, because the policy numbers its sends this
+// way.
 void RequestManager::apply_send(const Action& action) {
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr) return;
@@ -293,25 +288,26 @@
 bool RequestManager::may_launch(const ActiveRequest& request, AttemptId attempt, const Action& action,
                                 Time sent) const {
   return !request.attempt_in_flight() && attempt.number < max_attempts_ &&
-         sent < request.arrival.request.deadline && action.time != kNotSent;
+         sent < request.incoming_request.request.deadline && action.time != kNotSent;
 }
 
 void RequestManager::launch(ActiveRequest& request, AttemptId attempt, const Action& action, Time sent) {
-  const Time due = request.arrival.request.deadline;
+  const Time due = request.incoming_request.request.deadline;
   const Time until = action.time > 0 ? std::min(sent + action.time, due) : due;
   request.attempt = attempt;
   request.attempt_state = AttemptState::awaiting_first_event;
   request.replica = action.replica;
   request.model = action.model;
   request.allowance = action.allowance;
-  request.attempt_sent = sent;
+  request.attempt_sent_at = sent;
   request.summary.last_replica = action.replica;
   request.summary.model = action.model;
   ++request.summary.attempts;
   ++counters_.attempts;
   timers_.cancel(request.attempt_timer);
   request.attempt_timer = timers_.set(until, {.kind = TimerKind::attempt_timeout, .attempt = attempt});
-  dependencies_.upstream.launch(attempt, action.replica, request.arrival.payload, until, action.model);
+  dependencies_.upstream.launch(attempt, action.replica, request.incoming_request.payload, until,
+                                action.model);
 }
 
 void RequestManager::report_not_sent(AttemptId attempt, ReplicaId replica, Time when) {
@@ -322,17 +318,17 @@
                                      .outcome = Outcome::not_sent});
 }
 
-// The policy ends a request without an answer.
+// Carries out an action in which the policy ends a request without an answer.
 void RequestManager::apply_refusal(const Action& action) {
   ActiveRequest* request = find_request(action.id);
   if (request == nullptr || request->answer_started()) return;
-  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestFate::concluded);
+  if (request->attempt_in_flight()) abandon_attempt(*request, Outcome::cancelled, RequestProgress::concluded);
   FinalAnswer answer{.status = CompletionStatus::rejected, .retry_after = action.time};
   if (is_rejection(action.allowance)) {
     answer.rejection = action.allowance;
   } else if (action.kind == ActionKind::fail) {
-    answer.status =
-        now() >= request->arrival.request.deadline ? CompletionStatus::timed_out : CompletionStatus::failed;
+    answer.status = now() >= request->incoming_request.request.deadline ? CompletionStatus::timed_out
+                                                                        : CompletionStatus::failed;
   }
   request->summary.refusal = action.refusal;
   conclude(action.id, answer);
@@ -341,11 +337,9 @@
 void RequestManager::apply_cancel(const Action& action) {
   ActiveRequest* request = find_current({action.id, action.attempt});
   if (request == nullptr || request->answer_started()) return;
-  abandon_attempt(*request, Outcome::cancelled, RequestFate::continues);
+  abandon_attempt(*request, Outcome::cancelled, RequestProgress::continues);
 }
 
-// ---------------------------------------------------------------- the end of a request
-
 void RequestManager::conclude(RequestId id, const FinalAnswer& answer) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
--- a/src/core/request_manager.hpp
+++ b/src/core/request_manager.hpp
@@ -1,10 +1,10 @@
-// The core: owns the requests, their attempts and deadlines and the one final answer of each. It turns events
-// of its surroundings into calls of the routing policy, and the policy's actions into calls of the interfaces
-// in core/interfaces.hpp. It knows no wire format and no event loop, and does no I/O.
+// The core: owns the requests, their attempts and deadlines, and the one final answer of each request. It
+// passes events from outside to the routing policy, and carries out the policy's actions through the
+// interfaces of core/interfaces.hpp. It knows no wire format and no event loop, and does no I/O.
 //
 // Guarantees: each admitted request gets exactly one final answer, at the latest kDeadlineSlack after its
-// deadline unless its answer has begun, and none after its client has gone; at most one attempt of a request
-// is out at any time; no timer outlives its request.
+// deadline unless its answer has begun, and none after its client has disconnected; at most one attempt of a
+// request is in flight at any time; no timer outlives its request.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
 
 namespace thornwick::core {
 
-// Counts since the start: requests by how they ended, and attempts.
+// Counts since the start of the process: requests by how they ended, and attempts.
 struct Counters {
   std::uint64_t admitted = 0;  // requests
   std::uint64_t attempts = 0;  // launched
@@ -30,11 +30,11 @@
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
   std::uint64_t interrupted = 0;
-  std::uint64_t client_disconnected = 0;      // the client left first
-  std::map<Outcome, std::uint64_t> outcomes;  // of attempts, those that were not launched included
+  std::uint64_t client_disconnected = 0;      // the client disconnected before its final answer
+  std::map<Outcome, std::uint64_t> outcomes;  // outcomes of attempts, including those that were not launched
 };
 
-// What the core works with. Nothing is owned; all of it has to outlive the core.
+// The objects that the core uses. It does not own them, and all of them have to outlive it.
 struct Dependencies {
   Clock& clock;
   UpstreamTransport& upstream;
@@ -44,8 +44,8 @@
   affinity::AffinityTable* affinity_table = nullptr;  // null: the policy decides without cache hints
 };
 
-// How long after a request's deadline the core waits for the routing policy before it answers itself. A part
-// of the slack that the protocol allows after a deadline.
+// How long after a request's deadline the core waits for the routing policy before it sends a final answer
+// itself. The protocol allows a longer slack after a deadline.
 inline constexpr Time kDeadlineSlack = milliseconds(8);
 
 // Not thread-safe: all calls have to come from one thread. Calls about requests and attempts that have ended
@@ -59,14 +59,14 @@
 
   // Events from the clients.
 
-  // Takes a request and assigns its id. `reply` has to stay valid until its final call or
-  // client_disconnected; that call may be made before this function returns.
-  RequestId admit(IncomingRequest arrival, Reply& reply);
-  // The client has left: the attempt is abandoned, and the reply is not called again.
+  // Admits a request and returns the id that it assigns. `reply` has to stay valid until its final call or
+  // client_disconnected(); the final call may be made before this function returns.
+  RequestId admit(IncomingRequest incoming_request, Reply& reply);
+  // The client has disconnected: the attempt is abandoned, and the reply is not called again.
   void client_disconnected(RequestId request_id);
   // The client reads too slowly: the core stops reading the replica's answer.
   void client_congested(RequestId request_id);
-  // The client has caught up: the core resumes reading.
+  // The client reads fast enough again: the core resumes reading.
   void client_caught_up(RequestId request_id);
 
   // Events from the replicas. `report` and `load` are values in the order of Settings::report_fields.
@@ -74,8 +74,9 @@
   void attempt_event(AttemptId attempt, const StreamEvent& event);
   void attempt_ended(AttemptId attempt, Outcome outcome, std::span<const float> report = {});
   void probe_ended(ReplicaId replica, bool alive, std::span<const float> report);
-  // Whether the client still waits for the attempt. The transport checks it before it writes the first byte,
-  // which may be long after the launch. False: the client has gone, and the attempt is abandoned on return.
+  // Returns whether the client still waits for the attempt. The transport checks it before it writes the
+  // first byte, which may be long after the launch. If the client has disconnected, the attempt is abandoned
+  // when the function returns.
   [[nodiscard]] bool client_is_waiting(AttemptId attempt);
 
   // Events from discovery, the peers and the clock.
@@ -85,19 +86,19 @@
   void wake();
 
   const Counters& counters() const { return counters_; }
-  // Requests without a final answer.
+  // Returns the number of requests without a final answer.
   std::size_t open_requests() const { return requests_.size(); }
-  // Pending timers.
+  // Returns the number of pending timers.
   std::size_t pending_timers() const { return timers_.size(); }
   const Decider& decider() const { return *decider_; }
-  // Hands the state of a predecessor to the decider.
+  // Passes the state that a predecessor handed over to the decider.
   void learn(const LearnedState& learned_state) { decider_->learn(learned_state); }
-  // The ready replicas that are ejected now because they failed.
+  // Returns the ready replicas that are ejected now because they failed.
   std::vector<ReplicaId> ejected() const { return decider_->ejected(dependencies_.clock.now()); }
 
  private:
-  // Whether a request goes on after the end of an attempt.
-  enum class RequestFate { continues, concluded };
+  // Whether a request continues after the end of an attempt.
+  enum class RequestProgress { continues, concluded };
 
   // How a request ends, and the content of its final answer.
   struct FinalAnswer {
@@ -113,8 +114,9 @@
 
   void begin_answer(ActiveRequest& request);
   void learn_cache_use(const ActiveRequest& request);
-  void report_result(ActiveRequest& request, Outcome outcome, RequestFate fate, std::span<const float> load);
-  void abandon_attempt(ActiveRequest& request, Outcome outcome, RequestFate fate);
+  void report_result(ActiveRequest& request, Outcome outcome, RequestProgress progress,
+                     std::span<const float> load);
+  void abandon_attempt(ActiveRequest& request, Outcome outcome, RequestProgress progress);
 
   void on_timer_expired(const TimerEntry& timer);
   void on_attempt_timeout(AttemptId attempt);
@@ -136,7 +138,7 @@
   Dependencies dependencies_;
   std::unique_ptr<Decider> decider_;
   std::uint32_t max_attempts_;
-  Time retry_after_;  // advised by the answers that the core gives itself
+  Time retry_after_;  // the wait that rejections and failures of the core itself advise
   std::unordered_map<RequestId, ActiveRequest> requests_;
   TimerQueue timers_;
   Counters counters_;
--- a/src/core/slow_start_budget.cpp
+++ b/src/core/slow_start_budget.cpp
@@ -9,7 +9,7 @@
 namespace thornwick::core {
 namespace {
 
-// A listed weight may be 0; the replica still counts a little.
+// A listed weight may be 0. Such a replica still counts with this weight.
 constexpr double kMinWeight = 1e-3;
 
 double effective_weight(const Endpoint& replica) { return std::max<double>(kMinWeight, replica.weight); }
@@ -17,12 +17,10 @@
 }  // namespace
 
 SlowStartBudget::SlowStartBudget(std::unique_ptr<Decider> inner, const Settings& settings, Time now)
-    : DeciderDecorator(std::move(inner)), settings_(settings), router_started_(now), now_(now) {
+    : DeciderDecorator(std::move(inner)), settings_(settings), router_started_at_(now), now_(now) {
   for (const TenantSettings& tenant : settings.tenants) total_quota_ += tenant.quota_per_s;
 }
 
-// ---------------------------------------------------------------- limits
-
 double SlowStartBudget::allowed_sends(const Endpoint& replica, Time age) const {
   if (total_quota_ <= 0 || replica.started_at == 0 || age >= settings_.warm_up)
     return std::numeric_limits<double>::infinity();
@@ -33,12 +31,12 @@
          static_cast<double>(settings_.overload_after) / static_cast<double>(seconds(1));
 }
 
-// The sends that remain when each router has its fixed share.
+// Returns the sends that remain after each router has taken its fixed share.
 double SlowStartBudget::remainder_of(double sends) const {
   return sends - std::floor(sends / settings_.group_size) * settings_.group_size;
 }
 
-// How many turns the windows before this one give out, over all routers.
+// Returns the number of turns, over all routers, in the windows before this one.
 std::uint64_t SlowStartBudget::turns_before(const Endpoint& replica, long window) const {
   double sum = 0;
   for (long i = 0; i < window; ++i) {
@@ -65,7 +63,7 @@
 // Returns whether this router may send one more request to the replica now, and counts the request if so.
 bool SlowStartBudget::try_send(Time now, ReplicaId id) {
   const auto found = ready_.find(id);
-  if (found == ready_.end()) return true;  // no listing, so no limit is known
+  if (found == ready_.end()) return true;  // the replica is not listed as ready, so no limit is known
   const Endpoint& replica = found->second;
   if (!std::isfinite(allowed_sends(replica, now - replica.started_at))) return true;
   // The limit at the beginning of the window that ends now: the limit grows during the window.
@@ -74,8 +72,10 @@
   if (settings_.group_size > kMaxWindowsPerTurn * std::max(1.0, sends))
     return try_send_within_share(now, slow_start, 1);
   const long window = window_at(replica, now);
-  // A router that was killed in this window may have used its share before, and forgot it.
-  if (router_started_ >= replica.started_at && window == window_at(replica, router_started_)) return false;
+  // A router that was killed in this window may have used its share before it started again, and has
+  // forgotten it.
+  if (router_started_at_ >= replica.started_at && window == window_at(replica, router_started_at_))
+    return false;
   if (try_send_within_share(now, slow_start, static_cast<std::uint64_t>(sends / settings_.group_size)))
     return true;
   if (!try_send_in_turn(replica, window, slow_start)) return false;
@@ -97,22 +97,20 @@
     slow_start.sends_in_turn = 0;
   }
   const std::uint64_t group_size = settings_.group_size;
-  // Shifts the numbers, so that the turns for each start of a replica begin at another router.
+  // Shifts the numbers, so that the turns after each start of a replica begin at another router.
   const std::uint64_t shift = mix(replica.id ^ static_cast<std::uint64_t>(replica.started_at)) % group_size;
-  // How many of the numbers below `number` belong to this router.
-  const auto own_numbers_below = [&](std::uint64_t number) {
+  // Returns how many of the numbers below `number` belong to this router.
+  const auto local_numbers_below = [&](std::uint64_t number) {
     const std::uint64_t shifted = number + shift;
     return shifted / group_size + (shifted % group_size > settings_.rank ? 1 : 0);
   };
-  const std::uint64_t own_turns =
-      own_numbers_below(turns_before(replica, window + 1)) - own_numbers_below(turns_before(replica, window));
-  if (slow_start.sends_in_turn >= own_turns) return false;
+  const std::uint64_t local_turns = local_numbers_below(turns_before(replica, window + 1)) -
+                                    local_numbers_below(turns_before(replica, window));
+  if (slow_start.sends_in_turn >= local_turns) return false;
   ++slow_start.sends_in_turn;
   return true;
 }
 
-// ---------------------------------------------------------------- events
-
 void SlowStartBudget::on_endpoints(Time now, EndpointUpdate scope, std::span<const Endpoint> entries) {
   now_ = now;
   if (scope != EndpointUpdate::failed) update_ready(scope, entries);
--- a/src/core/slow_start_budget.hpp
+++ b/src/core/slow_start_budget.hpp
@@ -1,5 +1,5 @@
 // Limits how many requests all routers together send to a replica that has just started. The limit is divided
-// among the routers without messages. Decorates the decider; does no I/O.
+// among the routers without messages between them. Decorates the decider; does no I/O.
 //
 // Guarantee: in each window of `overload_after`, the shares of all routers sum to at most N + 1, where N is
 // the number of requests that the settings allow a cold replica in that window:
@@ -8,25 +8,23 @@
 //
 // Capacity is in requests a second: the sum of the tenants' quotas, divided among the replicas by listed
 // weight. The present capacity of a cold replica rises linearly from initial_capacity, the least that the
-// settings promise, to all of its capacity after warm_up. Without quotas the capacity is unknown, and nothing
+// settings promise, to its full capacity after warm_up. Without quotas the capacity is unknown, and nothing
 // is limited.
 //
 // Method:
-// - Each router has the same fixed share, N / group_size rounded down, and may send as many requests in any
+// - Each router has the same fixed share, N / group_size rounded down, and may send that many requests in any
 //   window, whenever its requests arrive.
 // - The routers take turns for the remainder (all of N if the fixed share is below one). The time since the
 //   replica's start, which is the same at every router, is divided into windows. Each window gives out half
 //   of the remainder, so that a window that overlaps two of them has no more than the remainder. The sends
 //   given out are numbered consecutively over all windows, and number s belongs to router s mod group_size.
 // - A router that has just started may have forgotten what it sent, and sends nothing in the window in which
-// it
-//   started.
+//   it started.
 // - In a group so large that a router's turn comes less often than every kMaxWindowsPerTurn windows, there
-// are no
-//   turns, because routers have too few requests to use them: with turns, 300 routers used 7 % of what a cold
-//   replica could take (docs/standing.md). The shares of the routing policy, whose mean is under half of N,
-//   then set the limit, and a router sends at most one request in a window, so that neither its retries nor a
-//   burst of its clients add to the sum.
+//   are no turns, because routers have too few requests to use them: with turns, 300 routers used 7 % of what
+//   a cold replica could take (docs/standing.md). The shares of the routing policy, whose mean is under half
+//   of N, then set the limit. A router sends at most one request in a window, so that neither its retries nor
+//   a burst of its clients add to the sum.
 //
 // A send that the budget does not cover gets the outcome `not_sent` at once, and the decider chooses another
 // replica.
@@ -44,7 +42,7 @@
 // Not thread-safe, like every decider.
 class SlowStartBudget final : public DeciderDecorator {
  public:
-  // Windows between two turns of a router; where there would be more, there are no turns.
+  // The maximum number of windows between two turns of a router. If there were more, there are no turns.
   static constexpr double kMaxWindowsPerTurn = 4;
 
   // `now` is when this router started.
@@ -57,15 +55,16 @@
   void on_timer(Time now, std::uint32_t token) override;
   std::vector<Action> take_actions() override;
 
-  // The sends that the settings allow this replica, from all routers, in a window that begins `age` after its
-  // start. Infinity for a replica that is warm or whose capacity is unknown.
+  // Returns how many requests the settings allow all routers together to send to this replica, in a window
+  // that begins `age` after the replica's start. Returns infinity for a replica that is warm or whose
+  // capacity is unknown.
   double allowed_sends(const Endpoint& replica, Time age) const;
 
  private:
   // What this router has sent to a cold replica.
   struct SlowStart {
-    Time started = 0;                 // of the replica
-    std::deque<Time> recent_sends;    // in the last window
+    Time started = 0;                 // when the replica started
+    std::deque<Time> recent_sends;    // sends in the last window
     long turn_window = -1;            // the latest window in which a turn was used
     std::uint64_t sends_in_turn = 0;  // the sends in that window that used a turn
   };
@@ -80,11 +79,11 @@
   std::uint64_t turns_before(const Endpoint& replica, long window) const;
 
   Settings settings_;
-  double total_quota_ = 0;  // requests a second, of all tenants
-  Time router_started_;
-  Time now_;  // of the latest event: the actions that it caused are taken at once
+  double total_quota_ = 0;  // requests a second, summed over all tenants
+  Time router_started_at_;
+  Time now_;  // time of the latest event; the actions that the event caused are taken at once
   std::map<ReplicaId, Endpoint> ready_;
-  double total_weight_ = 0;  // of all ready replicas
+  double total_weight_ = 0;  // sum over all ready replicas
   std::unordered_map<ReplicaId, SlowStart> slow_starts_;
 };
 
--- a/src/core/timer_queue.hpp
+++ b/src/core/timer_queue.hpp
@@ -1,4 +1,4 @@
-// The core's timers: one queue in time order over the single alarm of the Clock. No I/O.
+// The core's timers: one queue in the order of time, for which the Clock's single alarm is enough. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,11 @@
   request_deadline  // a request has no answer after its deadline
 };
 
+// What a timer is for. Fields that its kind does not name are unused.
 struct TimerEntry {
   TimerKind kind = TimerKind::policy;
-  std::uint32_t token = 0;  // policy: handed back to it
-  AttemptId attempt;        // attempt_timeout: which one; request_deadline: of which request
+  std::uint32_t token = 0;  // policy: the token that the policy gets back
+  AttemptId attempt;        // attempt_timeout: the attempt; request_deadline: any attempt of the request
 };
 
 class TimerQueue {
@@ -33,13 +34,13 @@
   // The clock is not owned and has to outlive the queue.
   explicit TimerQueue(Clock& clock) : clock_(clock) {}
 
-  // Adds a timer and moves the clock's alarm where it is the earliest.
+  // Adds a timer, and sets the clock's alarm to it if it is the earliest.
   Handle set(Time when, const TimerEntry& timer);
   // Removes a pending timer and empties the handle; an empty handle is ignored.
   void cancel(Handle& timer);
-  // Removes and returns the earliest timer that is due at `now`; none: nothing is due.
+  // Removes and returns the earliest timer that is due at `now`, or returns nothing if none is due.
   std::optional<TimerEntry> take_due(Time now);
-  // Sets the clock's alarm to the earliest timer, if there is any.
+  // Sets the clock's alarm to the earliest timer, if there is one.
   void request_wake_up();
 
   std::size_t size() const { return entries_.size(); }
--- a/tests/core/discovery_schedule.cpp
+++ b/tests/core/discovery_schedule.cpp
@@ -1,5 +1,5 @@
-// Calls of discovery by many routers in virtual time: how fresh each router's list is, and how many calls
-// discovery gets.
+// Many routers call discovery in virtual time. The tests check how fresh each router's list is, and how many
+// calls discovery gets.
 #include "core/discovery_schedule.hpp"
 
 #include <algorithm>
@@ -26,8 +26,8 @@
 enum class OutageKind { rejects_calls, returns_errors, stays_silent };
 
 struct Outage {
-  Time from = 0;
-  Time to = 0;
+  Time begins_at = 0;
+  Time ends_at = 0;
   OutageKind kind = OutageKind::rejects_calls;
 };
 
@@ -37,16 +37,16 @@
   struct Call {
     std::uint64_t number = 0;
     DiscoverySchedule::Call plan;
-    std::optional<Time> renewal = {};  // when its subscription is answered; none: it has none
-    bool lost = false;                 // discovery never answers it
+    std::optional<Time> renewal_at = {};  // when discovery answers the subscription; empty: the call has none
+    bool is_lost = false;                 // whether discovery never answers the call
   };
   struct Router {
     std::unique_ptr<DiscoverySchedule> schedule;
-    Time next = 0;             // when it calls
-    std::deque<Call> calls;    // the oldest call first
-    std::uint64_t latest = 0;  // number of the latest call
-    Time list_time = 0;        // its list is of this moment
-    Call* find(std::uint64_t number) {
+    Time next_call_at = 0;          // when the router begins its next call
+    std::deque<Call> calls;         // the oldest call first
+    std::uint64_t latest_call = 0;  // number of the latest call
+    Time list_updated_at = 0;       // when discovery sent the router's list
+    Call* find_call(std::uint64_t number) {
       const auto found =
           std::find_if(calls.begin(), calls.end(), [&](auto& call) { return call.number == number; });
       return found == calls.end() ? nullptr : &*found;
@@ -55,126 +55,128 @@
   struct QueuedCall {
     Router* router = nullptr;
     std::uint64_t number = 0;
-    Time arrived = 0;
+    Time arrived_at = 0;
   };
 
   SimulatedDiscovery(std::uint32_t count, double calls_per_s, std::uint64_t seed)
-      : cost(static_cast<Time>(1e6 / calls_per_s)), random(seed), routers(count) {
+      : answer_duration(static_cast<Time>(1e6 / calls_per_s)), random(seed), routers(count) {
     for (auto& router : routers) {
       router.schedule =
           std::make_unique<DiscoverySchedule>(DiscoverySchedule::Options{.routers = count},
                                               [this] { return boost::random::uniform_01<double>()(random); });
-      router.next = router.schedule->first_call_time(0);
+      router.next_call_at = router.schedule->first_call_time(0);
     }
   }
 
-  bool in_outage() const { return outage && now >= outage->from && now < outage->to; }
+  bool in_outage() const { return outage && now >= outage->begins_at && now < outage->ends_at; }
 
-  void fail(Router& router, std::uint64_t number) {
-    const Call call = *router.find(number);
+  void fail_call(Router& router, std::uint64_t number) {
+    const Call call = *router.find_call(number);
     std::erase_if(router.calls, [&](const Call& other) { return other.number == number; });
-    if (number == router.latest) router.next = router.schedule->on_call_failed(now, call.plan);
+    if (number == router.latest_call) router.next_call_at = router.schedule->on_call_failed(now, call.plan);
   }
-  void answer(Router& router) {
+  void answer_call(Router& router) {
     router.calls.clear();
-    router.list_time = now;
+    router.list_updated_at = now;
     router.schedule->on_call_answered();
-    Call& renewal = add_call(router);  // at once
-    renewal.renewal = now + renewal.plan.max_wait;
+    Call& renewal = add_call(router);  // the router renews its subscription at once
+    renewal.renewal_at = now + renewal.plan.max_wait;
   }
   Call& add_call(Router& router) {
     if (router.calls.size() >= DiscoverySchedule::kMaxCallsInFlight)
       router.calls.erase(router.calls.begin() + 1);
-    router.latest = ++last_number;
-    router.calls.push_back({.number = router.latest, .plan = router.schedule->begin_call(now)});
-    router.next = router.calls.back().plan.next_call_at;
+    router.latest_call = ++last_call_number;
+    router.calls.push_back({.number = router.latest_call, .plan = router.schedule->begin_call(now)});
+    router.next_call_at = router.calls.back().plan.next_call_at;
     return router.calls.back();
   }
-  void begin(Router& router) {
+  void begin_call(Router& router) {
     Call& call = add_call(router);
-    ++begun;
+    ++calls_begun;
     if (!in_outage()) {
       queue.push_back({&router, call.number, now});
     } else if (outage->kind == OutageKind::stays_silent) {
-      call.lost = true;
+      call.is_lost = true;
     } else {
-      fail(router, call.number);
+      fail_call(router, call.number);
     }
   }
-  // Breaks all subscriptions; their routers notice at once.
-  void break_watches() {
+  // Breaks all subscriptions. Their routers notice at once.
+  void break_subscriptions() {
     for (auto& router : routers) {
       for (std::size_t i = router.calls.size(); i-- > 0;) {
-        if (silence(router.calls[i])) fail(router, router.calls[i].number);
+        if (silence_subscription(router.calls[i])) fail_call(router, router.calls[i].number);
       }
     }
   }
-  // All subscriptions fall silent; their routers do not notice at once.
-  void silence_watches() {
+  // Silences all subscriptions. Their routers do not notice at once.
+  void silence_subscriptions() {
     for (auto& router : routers) {
-      for (Call& call : router.calls) silence(call);
+      for (Call& call : router.calls) silence_subscription(call);
     }
   }
   // Returns whether the call had a subscription.
-  static bool silence(Call& call) {
-    if (!call.renewal) return false;
-    call.renewal.reset();
-    call.lost = true;
+  static bool silence_subscription(Call& call) {
+    if (!call.renewal_at) return false;
+    call.renewal_at.reset();
+    call.is_lost = true;
     return true;
   }
-  void serve() {
+  void serve_queue() {
     while (!queue.empty() && free_at <= now) {
       const QueuedCall first = queue.front();
       // `queue_latency` is the time that a queue of other callers adds to each answer.
-      if (now - first.arrived < queue_latency) return;
+      if (now - first.arrived_at < queue_latency) return;
       queue.pop_front();
-      free_at = now + cost;
-      const Call* call = first.router->find(first.number);
-      if (call == nullptr || call->lost) continue;  // it was given up, but took its time all the same
-      if (now - first.arrived > queue_latency + max_queue_time || in_outage()) {  // it has waited too long
-        fail(*first.router, first.number);
+      free_at = now + answer_duration;
+      const Call* call = first.router->find_call(first.number);
+      if (call == nullptr || call->is_lost)
+        continue;  // the call was given up, but cost the server as much as any other
+      if (now - first.arrived_at > queue_latency + max_queue_time ||
+          in_outage()) {  // the call has waited too long, or discovery is down
+        fail_call(*first.router, first.number);
         continue;
       }
-      answer(*first.router);
+      answer_call(*first.router);
     }
   }
   void run_router(Router& router) {
     for (const Call& call : router.calls) {
-      if (call.renewal && now >= *call.renewal) return answer(router);
+      if (call.renewal_at && now >= *call.renewal_at) return answer_call(router);
     }
     for (std::size_t i = router.calls.size(); i-- > 0;) {
-      if (now >= router.calls[i].plan.give_up_at) fail(router, router.calls[i].number);
+      if (now >= router.calls[i].plan.give_up_at) fail_call(router, router.calls[i].number);
     }
-    if (now >= router.next) begin(router);
+    if (now >= router.next_call_at) begin_call(router);
   }
-  void run_to(Time end) {
+  void run_until(Time end) {
     for (; now < end; now += kStep) {
-      if (outage && now == outage->from) {
+      if (outage && now == outage->begins_at) {
         queue.clear();
         if (outage->kind == OutageKind::stays_silent) {
-          silence_watches();
+          silence_subscriptions();
         } else {
-          break_watches();
+          break_subscriptions();
         }
       }
       for (auto& router : routers) run_router(router);
-      serve();
+      serve_queue();
       const std::size_t second = static_cast<std::size_t>(now / kSecond);
-      if (second >= per_second.size()) per_second.resize(second + 1);
-      per_second[second] += static_cast<double>(begun - std::exchange(counted, begun));
+      if (second >= calls_in_second.size()) calls_in_second.resize(second + 1);
+      calls_in_second[second] += static_cast<double>(calls_begun - std::exchange(calls_counted, calls_begun));
     }
   }
   Time age_of_oldest_list() const {
     Time oldest = now;
-    for (const auto& router : routers) oldest = std::min(oldest, router.list_time);
+    for (const auto& router : routers) oldest = std::min(oldest, router.list_updated_at);
     return now - oldest;
   }
-  // The highest mean of calls a second over any five seconds.
+  // Returns the highest mean rate of calls, in calls a second, over any five seconds.
   double max_calls_per_second() const {
     double highest = 0;
-    for (std::size_t i = 0; i + 5 <= per_second.size(); ++i) {
+    for (std::size_t i = 0; i + 5 <= calls_in_second.size(); ++i) {
       double sum = 0;
-      for (std::size_t offset = 0; offset < 5; ++offset) sum += per_second[i + offset];
+      for (std::size_t offset = 0; offset < 5; ++offset) sum += calls_in_second[i + offset];
       highest = std::max(highest, sum / 5);
     }
     return highest;
@@ -182,17 +184,17 @@
 
   Time now = 0;
   Time free_at = 0;
-  Time cost;  // of one answer
+  Time answer_duration;  // the time that the server needs for one answer
   boost::random::mt19937_64 random;
   std::vector<Router> routers;
   std::deque<QueuedCall> queue;
   Time queue_latency = 0;
   Time max_queue_time = seconds(2);  // a call that waited longer fails
-  std::uint64_t last_number = 0;
+  std::uint64_t last_call_number = 0;
   std::optional<Outage> outage;
-  std::uint64_t begun = 0;
-  std::uint64_t counted = 0;
-  std::vector<double> per_second;
+  std::uint64_t calls_begun = 0;
+  std::uint64_t calls_counted = 0;
+  std::vector<double> calls_in_second;
 };
 
 }  // namespace
@@ -204,13 +206,13 @@
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, static_cast<int>(kind), length, seed);
   SimulatedDiscovery discovery(routers, 20, seed);
-  discovery.run_to(seconds(10));
+  discovery.run_until(seconds(10));
   CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
-  const Time back = seconds(10) + length * kSecond;
-  discovery.outage = Outage{seconds(10), back, kind};
-  discovery.run_to(back + kInformedWithin);
-  for (const auto& router : discovery.routers) CHECK(router.list_time > back);
-  discovery.run_to(back + seconds(60));
+  const Time outage_end = seconds(10) + length * kSecond;
+  discovery.outage = Outage{seconds(10), outage_end, kind};
+  discovery.run_until(outage_end + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_updated_at > outage_end);
+  discovery.run_until(outage_end + seconds(60));
   CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
 }
 
@@ -219,11 +221,11 @@
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, seed);
   SimulatedDiscovery discovery(routers, 20, seed);
-  discovery.run_to(seconds(20));
-  discovery.silence_watches();
-  const Time silent = discovery.now;
-  discovery.run_to(silent + kInformedWithin);
-  for (const auto& router : discovery.routers) CHECK(router.list_time > silent);
+  discovery.run_until(seconds(20));
+  discovery.silence_subscriptions();
+  const Time silent_at = discovery.now;
+  discovery.run_until(silent_at + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_updated_at > silent_at);
 }
 
 TEST_CASE("calls of all routers together keep the rate limit and do not overload a slow discovery") {
@@ -232,56 +234,59 @@
   const auto seed = GENERATE(1u, 2u);
   CAPTURE(routers, calls_per_s, seed);
   SimulatedDiscovery discovery(routers, calls_per_s, seed);
-  discovery.run_to(seconds(60));
+  discovery.run_until(seconds(60));
   discovery.outage = Outage{seconds(60), seconds(68), OutageKind::rejects_calls};
-  // Within the time that the settings allow after a failed call, or within three times the time that all
-  // calls take one after another.
-  discovery.run_to(seconds(68) + std::max<Time>(seconds(40), static_cast<Time>(routers / calls_per_s * 3e6)));
+  // All routers have the list within the time that the settings allow after a failed call, or within three
+  // times the time that all calls take one after another.
+  discovery.run_until(seconds(68) +
+                      std::max<Time>(seconds(40), static_cast<Time>(routers / calls_per_s * 3e6)));
   int routers_without_list = 0;
-  for (const auto& router : discovery.routers) routers_without_list += router.list_time <= seconds(68);
+  for (const auto& router : discovery.routers) routers_without_list += router.list_updated_at <= seconds(68);
   CHECK(routers_without_list == 0);
-  // A mean over five seconds: random times add four standard deviations at the most.
+  // The rate is a mean over five seconds. Random times add at most four standard deviations.
   CHECK(discovery.max_calls_per_second() <=
-        DiscoverySchedule::kCallsPerSecond + 4 * std::sqrt(DiscoverySchedule::kCallsPerSecond / 5));
+        DiscoverySchedule::kMaxCallsPerSecond + 4 * std::sqrt(DiscoverySchedule::kMaxCallsPerSecond / 5));
 }
 
 TEST_CASE(
-    "a discovery with a long queue still informs its routers, as a call is not given up for the next one") {
+    "a discovery with a long queue still informs its routers, because a call is not given up for the next "
+    "one") {
   const auto routers = GENERATE(1u, 6u, 30u, 300u);
   const auto queue_latency = GENERATE(as<Time>{}, 1'300'000, seconds(2), seconds(4), seconds(9));
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(routers, queue_latency, seed);
   SimulatedDiscovery discovery(routers, 20, seed);
   discovery.queue_latency = queue_latency;
-  // The time for one call of each router, and for its answers one after another.
-  const Time round = routers <= 30 ? kSecond : seconds(24);
-  discovery.run_to(round + queue_latency + routers * kSecond / 20 + kSecond);
-  for (const auto& router : discovery.routers) CHECK(router.list_time > 0);
+  // The time in which each router begins one call. The time for the answers, one after another, is added
+  // below.
+  const Time call_round = routers <= 30 ? kSecond : seconds(24);
+  discovery.run_until(call_round + queue_latency + routers * kSecond / 20 + kSecond);
+  for (const auto& router : discovery.routers) CHECK(router.list_updated_at > 0);
 }
 
-TEST_CASE("a queue in which calls wait nearly too long empties, as answered routers leave it") {
-  const auto calls_per_s = GENERATE(2.2, 3.5);  // calls a second: fewer than six routers begin
+TEST_CASE("a queue in which calls wait nearly too long empties, because answered routers leave it") {
+  const auto calls_per_s = GENERATE(2.2, 3.5);  // lower than the rate at which six routers begin calls
   const auto seed = GENERATE(1u, 2u, 3u, 4u);
   CAPTURE(calls_per_s, seed);
   SimulatedDiscovery discovery(6, calls_per_s, seed);
   discovery.max_queue_time = seconds(3);
-  discovery.run_to(seconds(10));
+  discovery.run_until(seconds(10));
   CHECK(discovery.age_of_oldest_list() <= kInformedWithin);
   // All routers lose their subscriptions at the same moment.
-  discovery.break_watches();
-  const Time broken = discovery.now;
-  discovery.run_to(broken + kInformedWithin);
-  for (const auto& router : discovery.routers) CHECK(router.list_time > broken);
+  discovery.break_subscriptions();
+  const Time broken_at = discovery.now;
+  discovery.run_until(broken_at + kInformedWithin);
+  for (const auto& router : discovery.routers) CHECK(router.list_updated_at > broken_at);
 }
 
 TEST_CASE("a lost call is followed by another one, and the calls in flight are bounded") {
   SimulatedDiscovery discovery(1, 20, 1);
   discovery.outage = Outage{kStep, seconds(60), OutageKind::stays_silent};
-  discovery.run_to(seconds(60));
-  CHECK(discovery.begun >= 60 / 3);
+  discovery.run_until(seconds(60));
+  CHECK(discovery.calls_begun >= 60 / 3);
   CHECK(discovery.routers[0].calls.size() <= DiscoverySchedule::kMaxCallsInFlight);
-  discovery.run_to(seconds(60) + kInformedWithin);
-  CHECK(discovery.routers[0].list_time > seconds(60));
+  discovery.run_until(seconds(60) + kInformedWithin);
+  CHECK(discovery.routers[0].list_updated_at > seconds(60));
 }
 
 TEST_CASE("an agent on the same machine is called again soon after any failure") {
--- a/tests/core/slow_start_budget.cpp
+++ b/tests/core/slow_start_budget.cpp
@@ -1,4 +1,5 @@
-// The requests that all routers of a group together send to a replica that has just started, in virtual time.
+// Checks how many requests all routers of a group together send to a replica that has just started, in
+// virtual time.
 #include "core/slow_start_budget.hpp"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -39,42 +40,44 @@
     settings.initial_capacity = 0.3;
     settings.overload_multiple = 3;
     settings.overload_after = seconds(2);
-    for (std::uint32_t i = 0; i < count; ++i) start(i);
+    for (std::uint32_t i = 0; i < count; ++i) start_router(i);
   }
-  double chance() { return boost::random::uniform_01<double>()(random); }
-  // Starts the router's process, which has no memory of earlier sends.
-  void start(std::uint32_t i) {
+  double random_fraction() { return boost::random::uniform_01<double>()(random); }
+  // Starts a router's process, which does not know what it sent earlier.
+  void start_router(std::uint32_t i) {
     settings.rank = i;
     routers[i] = std::make_unique<SlowStartBudget>(std::make_unique<SendingDecider>(), settings, now);
     const Endpoint list[] = {
-        {.id = 1}, {.id = 2, .started_at = replica_started, .weight = 1}, {.id = 3}, {.id = 4}};
+        {.id = 1}, {.id = 2, .started_at = replica_started_at, .weight = 1}, {.id = 3}, {.id = 4}};
     routers[i]->on_endpoints(now, EndpointUpdate::full, list);
   }
-  bool request(std::uint32_t i) {
+  // Returns whether router `i` sent the request.
+  bool send_request(std::uint32_t i) {
     routers[i]->on_request(now, {.id = ++last_request});
     const auto actions = routers[i]->take_actions();
     REQUIRE(actions.size() == 1);
     const bool sent = actions[0].time != core::kNotSent;
-    if (sent) sends.push_back(now);
+    if (sent) send_times.push_back(now);
     return sent;
   }
-  // Requires that no window that ends with a send has more sends than the rule allows.
-  void check_limit() const {
+  // Requires that no window that ends with a send has more sends than the limit allows.
+  void require_limit() const {
     std::size_t from = 0;
-    for (std::size_t at = 0; at < sends.size() && sends[at] < replica_started + settings.warm_up; ++at) {
-      while (sends[from] + settings.overload_after <= sends[at]) ++from;
-      const double allowed = routers[0]->allowed_sends({.id = 2, .started_at = replica_started, .weight = 1},
-                                                       sends[from] - replica_started);
+    for (std::size_t at = 0; at < send_times.size() && send_times[at] < replica_started_at + settings.warm_up;
+         ++at) {
+      while (send_times[from] + settings.overload_after <= send_times[at]) ++from;
+      const double allowed = routers[0]->allowed_sends(
+          {.id = 2, .started_at = replica_started_at, .weight = 1}, send_times[from] - replica_started_at);
       REQUIRE(static_cast<double>(at - from + 1) <= allowed + 2 * std::sqrt(allowed) + 2);
     }
   }
 
-  Time replica_started = seconds(100);
+  Time replica_started_at = seconds(100);
   Time now = seconds(99);
   boost::random::mt19937_64 random;
   Settings settings;
   std::vector<std::unique_ptr<SlowStartBudget>> routers;
-  std::vector<Time> sends;
+  std::vector<Time> send_times;
   RequestId last_request = 0;
 };
 
@@ -86,54 +89,56 @@
   const auto seed = GENERATE(1u, 2u);
   CAPTURE(count, quota, seed);
   SimulatedGroup group(count, quota, seed);
-  group.now = group.replica_started;
-  const bool in_turn = count <= SlowStartBudget::kMaxWindowsPerTurn *
-                                    group.routers[0]->allowed_sends(
-                                        {.id = 2, .started_at = group.replica_started, .weight = 1}, 0);
-  if (!in_turn) return;  // the next test case covers these groups
+  group.now = group.replica_started_at;
+  const bool takes_turns =
+      count <=
+      SlowStartBudget::kMaxWindowsPerTurn *
+          group.routers[0]->allowed_sends({.id = 2, .started_at = group.replica_started_at, .weight = 1}, 0);
+  if (!takes_turns) return;  // the next test case covers these groups
   double mean = 0;
   int windows = 0;
-  while (group.now < group.replica_started + group.settings.warm_up) {
-    const std::size_t sends_before = group.sends.size();
+  while (group.now < group.replica_started_at + group.settings.warm_up) {
+    const std::size_t send_count_before = group.send_times.size();
     const Time end = group.now + group.settings.overload_after;
     const double allowed = group.routers[0]->allowed_sends(
-        {.id = 2, .started_at = group.replica_started, .weight = 1}, group.now - group.replica_started);
+        {.id = 2, .started_at = group.replica_started_at, .weight = 1}, group.now - group.replica_started_at);
     for (; group.now < end; group.now += kTick) {
       // All routers have more requests than they may send; the first has four times the traffic.
       for (std::uint32_t i = 0; i < count; ++i) {
-        if (group.chance() < (i == 0 ? 1 : 0.25)) group.request(i);
+        if (group.random_fraction() < (i == 0 ? 1 : 0.25)) group.send_request(i);
       }
     }
-    if (end > group.replica_started + group.settings.warm_up) break;
-    mean += static_cast<double>(group.sends.size() - sends_before) / std::max(1.0, allowed);
+    if (end > group.replica_started_at + group.settings.warm_up) break;
+    mean += static_cast<double>(group.send_times.size() - send_count_before) / std::max(1.0, allowed);
     ++windows;
   }
-  group.check_limit();
+  group.require_limit();
   // The limit has to be used: turns give out half of the remainder, and the limit at the beginning of a
   // window is a little lower than at its end.
   CHECK(mean / windows > 0.3);
 }
 
-// Each of 300 routers has a twentieth of a request a window, all together half of what the replica may get.
+// Each of 300 routers has a twentieth of a request in a window. All together have half of what the replica
+// may get.
 TEST_CASE(
     "in a group too large for turns, skew, bursts and retries do not exceed the limit, and it is used") {
   const auto seed = GENERATE(1u, 2u, 3u);
   CAPTURE(seed);
   SimulatedGroup group(300, 40, seed);
   std::size_t requests = 0;
-  for (group.now = group.replica_started; group.now < group.replica_started + group.settings.warm_up;
+  for (group.now = group.replica_started_at; group.now < group.replica_started_at + group.settings.warm_up;
        group.now += kTick) {
     const double allowed = group.routers[0]->allowed_sends(
-        {.id = 2, .started_at = group.replica_started, .weight = 1}, group.now - group.replica_started);
+        {.id = 2, .started_at = group.replica_started_at, .weight = 1}, group.now - group.replica_started_at);
     const double mean = allowed / 2 * kTick / static_cast<double>(group.settings.overload_after) / 300;
     for (std::uint32_t i = 0; i < 300; ++i) {
-      if (group.chance() >= (i < 10 ? 5 * mean : mean)) continue;
+      if (group.random_fraction() >= (i < 10 ? 5 * mean : mean)) continue;
       ++requests;
-      for (int repeat = 0; repeat < 3; ++repeat) group.request(i);
+      for (int repeat = 0; repeat < 3; ++repeat) group.send_request(i);
     }
   }
-  group.check_limit();
-  CHECK(group.sends.size() > 0.75 * static_cast<double>(requests));
+  group.require_limit();
+  CHECK(group.send_times.size() > 0.75 * static_cast<double>(requests));
 }
 
 TEST_CASE("routers that restart during a slow start and forget their sends do not exceed the limit") {
@@ -141,23 +146,23 @@
   const auto seed = GENERATE(1u, 2u);
   CAPTURE(count, seed);
   SimulatedGroup group(count, 40, seed);
-  for (group.now = group.replica_started; group.now < group.replica_started + group.settings.warm_up;
+  for (group.now = group.replica_started_at; group.now < group.replica_started_at + group.settings.warm_up;
        group.now += kTick) {
     if (group.now % kSecond == 0) {
       for (std::uint32_t i = 0; i < count; ++i) {
-        if (group.chance() < 0.5) group.start(i);
+        if (group.random_fraction() < 0.5) group.start_router(i);
       }
     }
-    for (std::uint32_t i = 0; i < count; ++i) group.request(i);
+    for (std::uint32_t i = 0; i < count; ++i) group.send_request(i);
   }
-  group.check_limit();
+  group.require_limit();
 }
 
 TEST_CASE("a replica that is warm, or whose capacity no quota gives, is not limited") {
   SimulatedGroup group(300, 40, 1);
-  group.now = group.replica_started + group.settings.warm_up;
-  for (int i = 0; i < 100; ++i) CHECK(group.request(5));
-  SimulatedGroup open(300, 0, 1);
-  open.now = open.replica_started;
-  for (int i = 0; i < 100; ++i) CHECK(open.request(5));
+  group.now = group.replica_started_at + group.settings.warm_up;
+  for (int i = 0; i < 100; ++i) CHECK(group.send_request(5));
+  SimulatedGroup without_quotas(300, 0, 1);
+  without_quotas.now = without_quotas.replica_started_at;
+  for (int i = 0; i < 100; ++i) CHECK(without_quotas.send_request(5));
 }
--- a/tests/incidents/peer_reports.cpp
+++ b/tests/incidents/peer_reports.cpp
@@ -96,7 +96,7 @@
 
   void report_drain() {
     REQUIRE(peer_.connect_to(datagram_address_));
-    const core::DrainReport report{.replica = net::preferred_id(kDrainingUid), .start = 0};
+    const core::DrainReport report{.replica = net::preferred_id(kDrainingUid), .start_stamp = 0};
     peer_.send_all(core::encode_drain_message({&report, 1}));
     REQUIRE(first().wait_for_line("a peer reports it draining or gone") != "");
   }
