--- a/tests/incidents/peer_reports.cpp
+++ b/tests/incidents/peer_reports.cpp
@@ -1,5 +1,5 @@
-// What becomes of a peer's report that a replica drains: at an attempt whose connection is still coming up,
-// and at a process that takes over. A router runs as a process, and the test is its peer.
+// The effects of a peer's report that a replica drains, on an attempt whose connection is still being
+// established and on a process that takes over. A router runs as a process, and the test is its peer.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -31,37 +31,38 @@
 constexpr std::size_t kRequests = 12;
 constexpr const char* kDrainingUid = "s-01";
 
-// A replica whose connections do not come up before it lets them in: its queue is full.
-class LateReplica {
+// A replica whose connections are not established before it accepts them, because its queue of connections is
+// full.
+class SlowAcceptReplica {
  public:
-  LateReplica() : address_(listener_.bind_any_port()) {
+  SlowAcceptReplica() : address_(listener_.bind_any_port()) {
     REQUIRE(listen(listener_.fd(), 0) == 0);
-    REQUIRE(in_the_way_.connect_to(address_));
+    REQUIRE(queued_connection_.connect_to(address_));
   }
   std::string entry() const { return testing::write_entry(kDrainingUid, address_, "SERVING"); }
-  // Those that wait come up as soon as they try again.
-  void let_in() {
+  // Lets waiting connections be established when their side tries again.
+  void accept_connections() {
     REQUIRE(listen(listener_.fd(), 64) == 0);
-    listener_.accept_one();  // the one in the way
+    listener_.accept_one();  // the connection that filled the queue
   }
-  // Takes what has come up, without waiting.
+  // Accepts all established connections without waiting.
   void accept_all() {
-    pollfd asked{listener_.fd(), POLLIN, 0};
-    while (poll(&asked, 1, 0) == 1) accepted_.push_back(listener_.accept_one());
+    pollfd readable{listener_.fd(), POLLIN, 0};
+    while (poll(&readable, 1, 0) == 1) accepted_.push_back(listener_.accept_one());
   }
   std::size_t connections() const { return accepted_.size(); }
-  // Connections on which a request has begun.
+  // Returns the number of connections on which a request has begun.
   std::size_t requests() const {
     std::size_t begun = 0;
     for (const Socket& connection : accepted_) {
-      char first = 0;
-      if (recv(connection.fd(), &first, 1, MSG_PEEK | MSG_DONTWAIT) == 1) ++begun;
+      char first_byte = 0;
+      if (recv(connection.fd(), &first_byte, 1, MSG_PEEK | MSG_DONTWAIT) == 1) ++begun;
     }
     return begun;
   }
 
  private:
-  Socket listener_, in_the_way_;
+  Socket listener_, queued_connection_;
   std::string address_;
   std::vector<Socket> accepted_;
 };
@@ -70,7 +71,7 @@
 class RouterWithPeer {
  public:
   explicit RouterWithPeer(const std::string& known)
-      : discovery_(0, SlowDiscovery::Behaviour::says_nothing),
+      : discovery_(0, SlowDiscovery::Behaviour::stays_silent),
         peer_(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)),
         config_(scratch_.path("config.json")),
         tmp_(scratch_.path("tmp")) {
@@ -83,25 +84,25 @@
                                                             .peers = {datagram_address_, peer_address},
                                                             .all_peers = peer_address,
                                                             .admin_endpoint = "127.0.0.1:0",
-                                                            .dial_limit_us = seconds(5)});
-    start();
+                                                            .connect_timeout_us = seconds(5)});
+    start_process();
   }
 
-  // Begins a process; where one serves already, the new one takes over.
-  void start() {
+  // Starts a process. If one serves already, the new one takes over.
+  void start_process() {
     programs_.push_back(std::make_unique<Program>(config_, "text", tmp_));
     address_ = programs_.back()->serving_address();
   }
-  Program& first() { return *programs_.front(); }
+  Program& first_process() { return *programs_.front(); }
 
   void report_drain() {
     REQUIRE(peer_.connect_to(datagram_address_));
     const core::DrainReport report{.replica = net::preferred_id(kDrainingUid), .start_stamp = 0};
     peer_.send_all(core::encode_drain_message({&report, 1}));
-    REQUIRE(first().wait_for_line("a peer reports it draining or gone") != "");
+    REQUIRE(first_process().wait_for_line("a peer reports it draining or gone") != "");
   }
-  // Each on a connection of its own; answers are not waited for.
-  void request(std::size_t count) {
+  // Sends each request on a new connection and does not wait for answers.
+  void send_requests(std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       REQUIRE(clients_.emplace_back().connect_to(address_));
       clients_.back().send_all(testing::write_router_request(clients_.size()));
@@ -119,24 +120,25 @@
 
 }  // namespace
 
-TEST_CASE("a request whose connection comes up after a peer has reported the drain goes elsewhere") {
-  LateReplica late;
+TEST_CASE(
+    "a request whose connection is established after a peer has reported the drain goes to another replica") {
+  SlowAcceptReplica slow_replica;
   CountingReplica staying;
-  RouterWithPeer router(late.entry() + "," + staying.entry("s-02", "SERVING"));
-  router.request(kRequests);
+  RouterWithPeer router(slow_replica.entry() + "," + staying.entry("s-02", "SERVING"));
+  router.send_requests(kRequests);
   run_until([&] { return staying.requests() == kRequests; }, kSecond / 2);
   REQUIRE(staying.requests() < kRequests);  // the others wait for their connections
   router.report_drain();
-  late.let_in();
+  slow_replica.accept_connections();
   run_until(
       [&] {
-        late.accept_all();
+        slow_replica.accept_all();
         return staying.requests() == kRequests;
       },
       seconds(3));
-  late.accept_all();
-  CHECK(late.connections() > 0);
-  CHECK(late.requests() == 0);
+  slow_replica.accept_all();
+  CHECK(slow_replica.connections() > 0);
+  CHECK(slow_replica.requests() == 0);
   CHECK(staying.requests() == kRequests);
 }
 
@@ -144,9 +146,9 @@
   CountingReplica draining, staying;
   RouterWithPeer router(draining.entry(kDrainingUid, "SERVING") + "," + staying.entry("s-02", "SERVING"));
   router.report_drain();
-  router.start();
-  REQUIRE(router.first().wait_for_line("handed-over: a successor serves") != "");
-  router.request(kRequests);
+  router.start_process();
+  REQUIRE(router.first_process().wait_for_line("handed-over: a successor serves") != "");
+  router.send_requests(kRequests);
   run_until([&] { return staying.requests() == kRequests; }, seconds(3));
   CHECK(staying.requests() == kRequests);
   CHECK(draining.requests() == 0);
--- a/tests/incidents/router_config.cpp
+++ b/tests/incidents/router_config.cpp
@@ -21,8 +21,8 @@
          R"(,"rank":)" + std::to_string(config.rank) +
          R"(,"grades":[{"name":"chat","objective":4000000,"deadline":9000000,"streamed":true}],)"
          R"("tenants":[{"name":"acme","share":1.0}],"policyLimits":{"maxAttempts":5,"dialTimeout":)" +
-         std::to_string(config.dial_limit_us) + R"(,"keepalive":)" + std::to_string(config.keepalive_us) +
-         R"(,"peers":)" + may_message_peers + "}}";
+         std::to_string(config.connect_timeout_us) + R"(,"keepalive":)" +
+         std::to_string(config.keepalive_us) + R"(,"peers":)" + may_message_peers + "}}";
 }
 
 }  // namespace
@@ -46,8 +46,8 @@
 }
 
 std::string free_datagram_address() {
-  Socket socket_of_a_moment(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  return socket_of_a_moment.bind_any_port();
+  Socket temporary_socket(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+  return temporary_socket.bind_any_port();
 }
 
 }  // namespace thornwick::testing
--- a/tests/incidents/slow_discovery.cpp
+++ b/tests/incidents/slow_discovery.cpp
@@ -8,8 +8,8 @@
 
 using testbed::Server;
 
-constexpr Time kRenewalWithin =
-    200'000;  // after an answer: the next call on the connection goes on with the watch
+// A call that begins on the same connection within this time after an answer renews the subscription.
+constexpr Time kMaxRenewalDelay = 200'000;
 
 std::int64_t number_in(const std::string& target, const std::string& name) {
   const auto at = target.find(name);
@@ -23,29 +23,29 @@
 
 }  // namespace
 
-SlowDiscovery::SlowDiscovery(Time turn, Behaviour behaviour)
-    : turn_(turn),
+SlowDiscovery::SlowDiscovery(Time answer_delay, Behaviour behaviour)
+    : answer_delay_(answer_delay),
       behaviour_(behaviour),
-      server_("127.0.0.1:0", [this](Server::Line& line) { asked(line); }) {}
+      server_("127.0.0.1:0", [this](Server::Line& line) { on_call(line); }) {}
 
 void SlowDiscovery::publish(std::uint64_t revision, std::string entries) {
   revision_ = revision;
   entries_ = std::move(entries);
-  for (const std::uint64_t watch : std::exchange(watches_, {})) answer(watch);
+  for (const std::uint64_t watch : std::exchange(subscriptions_, {})) answer(watch);
 }
 
-void SlowDiscovery::asked(Server::Line& line) {
+void SlowDiscovery::on_call(Server::Line& line) {
   ++calls_;
-  if (behaviour_ == Behaviour::says_nothing) return;
+  if (behaviour_ == Behaviour::stays_silent) return;
   const auto answered = answered_at_.find(line.number);
-  const bool renews = answered != answered_at_.end() && net::now_us() - answered->second <= kRenewalWithin;
-  if (!renews) return answer_after(turn_, line.number);
+  const bool renews = answered != answered_at_.end() && net::now_us() - answered->second <= kMaxRenewalDelay;
+  if (!renews) return answer_after(answer_delay_, line.number);
   const std::string target = line.reader.head().target;
   if (number_in(target, "after=") != static_cast<std::int64_t>(revision_)) return answer(line.number);
-  watches_.push_back(line.number);
+  subscriptions_.push_back(line.number);
   const std::uint64_t number = line.number;
   timers_.emplace_back().start(1000 * number_in(target, "wait_ms="), [this, number] {
-    if (std::erase(watches_, number) > 0) answer(number);
+    if (std::erase(subscriptions_, number) > 0) answer(number);
   });
 }
 
@@ -55,7 +55,7 @@
 
 void SlowDiscovery::answer(std::uint64_t line_number) {
   Server::Line* line = server_.find(line_number);
-  if (line == nullptr || !line->open()) return;  // its caller has given it up
+  if (line == nullptr || !line->open()) return;  // the caller has given up the call
   ++answers_;
   answered_at_[line_number] = net::now_us();
   line->write(ok_answer("application/json", R"({"rev":)" + std::to_string(revision_) +
@@ -79,11 +79,11 @@
       std::count_if(arrivals_.begin(), arrivals_.end(), [when](Time at) { return at > when; }));
 }
 
-bool run_until(const std::function<bool()>& holds, Time most) {
-  bool late = false;
+bool run_until(const std::function<bool()>& holds, Time timeout) {
+  bool timed_out = false;
   net::Timer limit;
-  limit.start(most, [&] { late = true; });
-  while (!late && !holds()) g_main_context_iteration(nullptr, TRUE);
+  limit.start(timeout, [&] { timed_out = true; });
+  while (!timed_out && !holds()) g_main_context_iteration(nullptr, TRUE);
   return holds();
 }
 
