--- a/src/replication/consensus.cpp
+++ b/src/replication/consensus.cpp
@@ -13,16 +13,17 @@
 
 constexpr std::uint64_t kFoundingTerm = 1;
 constexpr std::uint64_t kFoundingIndex = 1;
-// Election timeouts that the installation of a snapshot, or a catch-up round, may take.
+// The installation of a snapshot, or a catch-up round, may take this many election timeouts.
 constexpr unsigned kSnapshotTimeouts = 10;
 constexpr ReplicaUid kDigestIdDigits = 1000;  // a digest shows the last three digits of an id
 
-// The library counts in milliseconds, and takes 0 for no timeout.
-unsigned in_milliseconds(Time time) {
+// Rounds down, but not to 0, which the library would take for no timeout.
+unsigned to_milliseconds(Time time) {
   return static_cast<unsigned>(std::max<Time>(1, time / milliseconds(1)));
 }
 
-// Closes a C-Raft instance. The library calls back into its I/O while it is closed.
+// Opens a C-Raft instance and closes it at the end. While the instance is closed, the library still calls its
+// I/O.
 class RaftSession {
  public:
   explicit RaftSession(raft& instance) : raft_(instance) {}
@@ -30,7 +31,7 @@
   RaftSession(const RaftSession&) = delete;
   RaftSession& operator=(const RaftSession&) = delete;
 
-  // The library's error; 0: none.
+  // Returns the library's error code, 0 for success.
   [[nodiscard]] int open(raft_io* io, raft_fsm* fsm, ReplicaUid id, const std::string& address) {
     raft_ = {};
     const int status = raft_init(&raft_, io, fsm, id, address.c_str());
@@ -48,7 +49,7 @@
   bool is_open_ = false;
 };
 
-// A command on its way through the library, which keeps the address of `request`.
+// A command that the library has not completed. The library keeps the address of `request`.
 struct Proposal {
   struct raft_apply request {};
   Consensus::ProposalDone done;
@@ -59,7 +60,7 @@
   proposal->done(status == 0 ? Consensus::ProposalOutcome::committed : Consensus::ProposalOutcome::unknown);
 }
 
-class IgnoredRecords final : public Records {
+class DiscardingRecords final : public Records {
  public:
   void write(std::string, std::optional<std::string>) override {}
   std::uint64_t last_write_number() override { return 0; }
@@ -67,7 +68,7 @@
 
 }  // namespace
 
-// The library's instance and its I/O.
+// The library's instance and the library's I/O.
 class Consensus::Node {
  public:
   Node(Options options, Dependencies dependencies, Time now)
@@ -91,27 +92,25 @@
                   std::string_view bytes);
   void on_durable(Time now, std::uint64_t number);
   bool propose(Time now, std::string_view command, ProposalDone done);
-  // Asks the library for a change of members with a function of its own.
+  // Calls the library's function for one kind of change.
   using RequestChange = std::function<int(raft*, raft_change*, raft_change_cb)>;
   bool change_members(Time now, const RequestChange& request);
 
  private:
-  void settle_applied_configuration();
-  void adapt(AppendEntries& message);
-  void restart_from(std::uint64_t cut);
-  void notice_later_term(ReplicaUid from, const std::string& address, std::uint64_t term);
+  void commit_applied_configuration();
+  void work_around_append_faults(AppendEntries& message);
+  void restart_from(std::uint64_t truncation_index);
+  void adopt_later_term(ReplicaUid from, const std::string& address, std::uint64_t term);
 
   Options options_;
   raft raft_{};
   RaftIoAdapter adapter_;
-  RaftSession session_;  // declared after the adapter, which the library still calls while it closes
+  RaftSession session_;  // declared after the adapter, which the library still calls while closing
   raft_change change_{};
   bool is_changing_members_ = false;
   std::string problem_;
 };
 
-// ---------------------------------------------------------------- start and end
-
 void Consensus::Node::load(const StoredRecords& stored) {
   LogStore& store = adapter_.store();
   try {
@@ -119,7 +118,7 @@
     adapter_.durable_position() = store.position();
     problem_ = store.problem();
   } catch (const std::exception&) {
-    problem_ = "its records cannot be read";
+    problem_ = "its records on disk cannot be decoded";
   }
 }
 
@@ -130,9 +129,9 @@
     problem_ = raft_errmsg(&raft_);
     return;
   }
-  const unsigned election = in_milliseconds(options_.election_timeout);
+  const unsigned election = to_milliseconds(options_.election_timeout);
   raft_set_election_timeout(&raft_, election);
-  raft_set_heartbeat_timeout(&raft_, in_milliseconds(options_.heartbeat_interval));
+  raft_set_heartbeat_timeout(&raft_, to_milliseconds(options_.heartbeat_interval));
   raft_set_snapshot_threshold(&raft_, options_.snapshot_threshold);
   raft_set_snapshot_trailing(&raft_, options_.trailing_entries);
   raft_set_install_snapshot_timeout(&raft_, kSnapshotTimeouts * election);
@@ -142,30 +141,29 @@
   adapter_.run_pending();
 }
 
-// Restarts the library from this replica's own records, truncated at index `cut`; see unsafe_truncation().
-// Messages wait from now on until these records are durable, because they report entries that may not be.
-void Consensus::Node::restart_from(std::uint64_t cut) {
+// Restarts the library from this replica's own records, truncated at `truncation_index`; see
+// unsafe_truncation(). Later messages wait until these records are durable, because the messages may report
+// entries that are not durable yet.
+void Consensus::Node::restart_from(std::uint64_t truncation_index) {
   const LogView log = adapter_.log_view();
-  EntriesByIndex kept;
-  for (std::uint64_t index = log.offset() + 1; index < cut; ++index) {
-    kept[index] = stored_entry(log.entry_at(index));
+  EntriesByIndex retained;
+  for (std::uint64_t index = log.offset() + 1; index < truncation_index; ++index) {
+    retained[index] = stored_entry(log.entry_at(index));
   }
-  adapter_.store().reload(std::move(kept), cut);
+  adapter_.store().reload(std::move(retained), truncation_index);
   session_.close();
-  adapter_.restart_sending();
+  adapter_.reset_sending();
   start();
 }
 
 void Consensus::Node::erase() {
   adapter_.store().erase();
-  problem_ = "it was given up";
+  problem_ = "its records were erased";
 }
 
-// ---------------------------------------------------------------- events
-
-// Works around a fault of the library: a change of members that a snapshot committed stays pending in it, so
-// that it would reject every later change.
-void Consensus::Node::settle_applied_configuration() {
+// Works around a fault of the library: a change of members that a snapshot has committed stays pending in the
+// library, so that the library would reject every later change.
+void Consensus::Node::commit_applied_configuration() {
   const raft_index uncommitted = raft_.configuration_uncommitted_index;
   if (uncommitted == 0 || uncommitted > raft_.last_applied) return;
   raft_.configuration_index = std::max(raft_.configuration_index, uncommitted);
@@ -174,7 +172,7 @@
 
 void Consensus::Node::tick(Time now) {
   adapter_.set_time(now);
-  settle_applied_configuration();
+  commit_applied_configuration();
   if (runs()) adapter_.tick();
   adapter_.run_pending();
 }
@@ -185,13 +183,14 @@
   adapter_.run_pending();
 }
 
-// Works around faults of the library: see log_matching.
-void Consensus::Node::adapt(AppendEntries& message) {
+// Works around faults of the library that log_matching describes.
+void Consensus::Node::work_around_append_faults(AppendEntries& message) {
   const LogView log = adapter_.log_view();
   skip_committed(message, log);
   adapter_.verified().on_append(message, log);
   skip_known(message, log);
-  if (const std::uint64_t cut = unsafe_truncation(message, log); cut > 0) restart_from(cut);
+  if (const std::uint64_t truncation_index = unsafe_truncation(message, log); truncation_index > 0)
+    restart_from(truncation_index);
 }
 
 void Consensus::Node::on_message(Time now, ReplicaUid from, const std::string& name, std::uint64_t term,
@@ -200,7 +199,7 @@
   if (!runs()) return;
   auto body = decode_message(bytes);
   if (!body) return;
-  if (auto* entries = std::get_if<AppendEntries>(&*body)) adapt(*entries);
+  if (auto* entries = std::get_if<AppendEntries>(&*body)) work_around_append_faults(*entries);
   const std::string address = address_of(from, name);
   raft_message message{};
   message.server_id = from;
@@ -208,15 +207,16 @@
   fill_raft_message(message, std::move(*body));
   adapter_.set_sender(message.server_address);
   adapter_.receive(message);
-  notice_later_term(from, address, term);
+  adopt_later_term(from, address, term);
   adapter_.set_sender(nullptr);
   adapter_.run_pending();
 }
 
-// Works around a fault of the library: its response to a candidate with an earlier term does not carry the
-// later term. A candidate with a longer log than the servers of the later term would never be elected, nor
-// would they. The candidate is therefore given a request for a vote in the later term, which it rejects.
-void Consensus::Node::notice_later_term(ReplicaUid from, const std::string& address, std::uint64_t term) {
+// Works around a fault of the library: the response to a candidate with an earlier term does not carry the
+// later term. A candidate with a longer log than the servers of the later term would never be elected, and
+// neither would those servers. The candidate is therefore given a request for a vote in the later term: the
+// candidate adopts that term and rejects the request.
+void Consensus::Node::adopt_later_term(ReplicaUid from, const std::string& address, std::uint64_t term) {
   if (!runs() || raft_.state != RAFT_CANDIDATE || term <= raft_.current_term) return;
   raft_message message{};
   message.server_id = from;
@@ -234,7 +234,7 @@
   const raft_buffer buffer = raft_buffer_of(command);
   RaftMemory memory(buffer.base);
   if (raft_apply(&raft_, &proposal->request, &buffer, 1, on_proposal_done) != 0) return false;
-  // The library frees the buffer now, and on_proposal_done the proposal.
+  // From here on the library owns the buffer, and on_proposal_done() frees the proposal.
   static_cast<void>(memory.release());
   static_cast<void>(proposal.release());
   adapter_.run_pending();
@@ -262,15 +262,13 @@
   return id;
 }
 
-// ---------------------------------------------------------------- Consensus
-
 Consensus::Consensus(Options options, Dependencies dependencies, const StoredRecords& stored, Time now)
     : node_(std::make_unique<Node>(std::move(options), std::move(dependencies), now)) {
   node_->load(stored);
   node_->start();
 }
 
-// Closes while `node_` is whole, because pending proposals call back.
+// Closes the node before `node_` is destroyed, because pending proposals call back.
 Consensus::~Consensus() { node_->close(); }
 
 bool Consensus::owns_key(std::string_view key) { return parse_log_key(key).kind != LogRecordKind::other; }
@@ -288,8 +286,8 @@
           {vote_key(), packed(StoredVote{kFoundingTerm, 0})}};
 }
 
-Position Consensus::position(const StoredRecords& stored) {
-  IgnoredRecords ignored;
+LogPosition Consensus::position(const StoredRecords& stored) {
+  DiscardingRecords ignored;
   LogStore store(ignored);
   store.load(stored);
   return store.position();
@@ -310,7 +308,7 @@
 
 ReplicaUid Consensus::leader_id() const { return node_->leader_id(); }
 
-Position Consensus::position() const { return node_->adapter().durable_position(); }
+LogPosition Consensus::position() const { return node_->adapter().durable_position(); }
 
 std::uint64_t Consensus::commit_index() const { return node_->instance().commit_index; }
 
--- a/src/replication/consensus.hpp
+++ b/src/replication/consensus.hpp
@@ -2,9 +2,10 @@
 // time handed in.
 //
 // This module does no I/O: the owner writes records and sends messages, and reports which records are durable
-// and what time it is. A message is sent only when the term and the vote that it reports are durable, and an
-// entry is acknowledged only when it is durable. (The library would block its event loop instead.)
-// Work-arounds for faults of the library are in log_matching and in consensus.cpp, each with its reason.
+// and what time it is. A message is sent only when the term and the vote that the message reports are
+// durable, and an entry is acknowledged only when the entry is durable. (The library's own I/O would block
+// its event loop instead.) Work-arounds for faults of the library are in log_matching and in consensus.cpp,
+// each with its reason.
 //
 // All calls, and all callbacks, are made on one thread. Times are microseconds.
 #pragma once
@@ -29,24 +30,24 @@
 
 struct LogMember {
   ReplicaUid id = 0;
-  std::string name;  // of the router
+  std::string name;  // name of the router
   bool is_voter = false;
   bool operator==(const LogMember&) const = default;
 };
 
-// The end of the log on a disk.
-struct Position {
-  std::uint64_t term = 0;        // current one
-  std::uint64_t last_term = 0;   // of the last entry
+// The current term and the end of the log on a disk.
+struct LogPosition {
+  std::uint64_t term = 0;        // current term
+  std::uint64_t last_term = 0;   // term of the last entry
   std::uint64_t last_index = 0;  // index of the last entry
   // Whether `other` has a later term or a later log.
-  bool is_behind(const Position& other) const {
+  bool is_behind(const LogPosition& other) const {
     return term < other.term || last_term < other.last_term ||
            (last_term == other.last_term && last_index < other.last_index);
   }
-  bool operator==(const Position&) const = default;
-  // Takes over the term and the end of the log of `other` where they are later.
-  void raise(const Position& other) {
+  bool operator==(const LogPosition&) const = default;
+  // Raises the term, and the end of the log, to those of `other` where those are later.
+  void raise_to(const LogPosition& other) {
     term = std::max(term, other.term);
     if (std::pair(last_term, last_index) >= std::pair(other.last_term, other.last_index)) return;
     last_term = other.last_term;
@@ -60,7 +61,8 @@
   virtual ~Records() = default;
   // Removes the record if there is no value.
   virtual void write(std::string key, std::optional<std::string> value) = 0;
-  // The number of the latest write. All writes so far are durable once this number is durable.
+  // The number of the latest write. All writes so far are durable once the owner reports this number as
+  // durable.
   virtual std::uint64_t last_write_number() = 0;
 };
 
@@ -74,47 +76,50 @@
 
   struct Options {
     ReplicaUid id = 0;
-    std::string name;                             // of this router
+    std::string name;                             // name of this router
     Time election_timeout = milliseconds(1'200);  // time without a leader until a replica becomes a candidate
-    Time heartbeat_interval = milliseconds(250);  // between messages of a leader
-    unsigned snapshot_threshold = 4096;           // entries
+    Time heartbeat_interval = milliseconds(250);  // time between two messages of a leader to a member
+    unsigned snapshot_threshold = 4096;           // entries between two snapshots
     unsigned trailing_entries = 512;  // entries kept in the log before a snapshot, for members that lag
   };
 
-  // Services of the owner. All of them have to outlive the Consensus.
+  // Services of the owner, which have to outlive the Consensus.
   struct Dependencies {
     Records& records;
     // Returns a random number, from which the library draws its election timeouts.
     std::function<std::uint64_t()> random_number;
-    // Sends a message. It may lose messages and change their order.
+    // Sends a message. Messages may be lost or arrive in another order.
     std::function<void(ReplicaUid to, const std::string& name, std::string bytes)> send;
     // The state machine gets each committed command once, in the order of the log.
     std::function<void(std::string_view command)> apply;
+    // Returns the state of the state machine.
     std::function<std::string()> snapshot;
     // Replaces the state machine's state. Returns false if the snapshot cannot be read.
     std::function<bool(std::string_view)> restore;
   };
 
-  // Starts from this replica's records on disk. Without records it waits until a leader adds it. If the
-  // records cannot be read it does not run: see problem().
+  // Starts from this replica's records on disk. Without records the replica waits until a leader adds it. If
+  // the records cannot be read the replica does not run: see problem().
   Consensus(Options options, Dependencies dependencies, const StoredRecords& stored, Time now);
   ~Consensus();
   Consensus(const Consensus&) = delete;
   Consensus& operator=(const Consensus&) = delete;
 
-  // The first records of a replica that founds the log together with all of these members. The records are
-  // the same at each member.
+  // Returns the first records, by key, of a replica that founds the log together with all of these members.
+  // The records are the same at each member.
   static std::map<std::string, std::string> founding_records(std::vector<LogMember> members);
   // Whether a record with this key belongs to the log.
   static bool owns_key(std::string_view key);
-  // The position of a log that was not started. Throws std::exception if the records cannot be decoded.
-  static Position position(const StoredRecords& stored);
+  // The position of a log that is stored but not started. Throws std::exception if the records cannot be
+  // decoded.
+  static LogPosition position(const StoredRecords& stored);
 
   // Removes all records of the log from the disk. The replica does not run afterwards.
   void erase();
 
   void tick(Time now);
-  // Handles a message of another replica, whose disk has reached `term`. Ignores bytes that are no message.
+  // Handles a message of the replica `from` on the router `name`, whose disk has reached `term`. Ignores
+  // bytes that cannot be decoded.
   void on_message(Time now, ReplicaUid from, const std::string& name, std::uint64_t term,
                   std::string_view bytes);
   // Reports that all writes up to this number are durable; see Records::last_write_number().
@@ -124,7 +129,7 @@
   // 0 if the leader is not known.
   ReplicaUid leader_id() const;
   // The position of the durable records.
-  Position position() const;
+  LogPosition position() const;
   // The members in the latest configuration of the log, committed or not. Empty if the log does not run.
   std::vector<LogMember> members() const;
   // Index of the last committed entry.
@@ -134,16 +139,16 @@
 
   enum class ProposalOutcome : std::uint8_t {
     committed,  // a majority has the command, and it was applied here
-    unknown     // the command may be lost, or may still be applied
+    unknown     // the command may be lost, or may still be applied later
   };
   using ProposalDone = std::function<void(ProposalOutcome)>;
   // Appends a command to the log, and calls `done` once. Returns false, without a call of `done`, if this
   // replica does not lead or the command is larger than kMostCommand.
   bool propose(Time now, std::string_view command, ProposalDone done);
 
-  // These change the members, one change at a time. They return false if no change can begin now: this
-  // replica does not lead, or another change is pending. An added member has no vote until it is promoted;
-  // promote() first brings it up to date.
+  // Change the members, one change at a time. Each returns false if no change can begin now: this replica
+  // does not lead, or another change is pending. An added member has no vote until it is promoted, and
+  // promote() first brings the member up to date.
   bool add(Time now, ReplicaUid id, const std::string& name);
   bool promote(Time now, ReplicaUid id);
   bool remove(Time now, ReplicaUid id);
@@ -152,7 +157,7 @@
 
   // One line for operators: state, term, indices, members.
   std::string digest() const;
-  // Why the log has stopped for good; empty if it has not.
+  // Why the log has stopped for good; empty if the log has not stopped.
   const std::string& problem() const;
 
  private:
--- a/src/replication/ledger.hpp
+++ b/src/replication/ledger.hpp
@@ -5,8 +5,8 @@
 // randomness and no I/O.
 //
 // Guarantee: at any time a unit of a limit is available, or in one session's lease, or charged as used. The
-// lease of a router that is gone stays until the router sends another request or the window ends, so that no
-// unit is granted twice.
+// lease of a router that has failed stays until the router sends another request or the window ends, so that
+// no unit is granted twice.
 #pragma once
 
 #include <cstdint>
@@ -33,75 +33,78 @@
   CorrectionOutcome correction_outcome = CorrectionOutcome::no_room;
 };
 
-// The quota that one session was granted of one window, and its use; sums since the session began.
+// The quota of one window that was granted to one session, and the use of that quota. Both are sums since the
+// session began.
 struct Lease {
   Units granted = 0;
   Units used = 0;
-  bool ended = false;  // of a bucket: the session expired, and the unused part of its lease was charged
-  // Granted, and not reported as used.
+  bool ended = false;  // bucket only: the session expired, and the unused part of its lease was charged
+  // Quota that was granted and is not reported as used.
   Units unused() const { return granted - used; }
   MSGPACK_DEFINE(granted, used, ended)
 };
 
-// One window of one account. A bucket has one, with number 0.
+// One window of one account. A bucket has a single window, with number 0.
 struct WindowLedger {
-  Units amount = 0;          // of the rule
-  Units available = 0;       // for any session; below 0 after an overdraft
-  Units charged = 0;         // used
-  Units correction_sum = 0;  // sum of the operators' corrections
-  std::int64_t age = 0;      // bucket: the ledger's age at the latest refill
-  std::int64_t filled = 0;   // bucket: refilled part of a unit, in millionths
+  Units amount = 0;                   // limit of the rule
+  Units available = 0;                // quota that any session may lease; below 0 after an overdraft
+  Units charged = 0;                  // quota that was used, or counts as used
+  Units correction_sum = 0;           // sum of the operators' corrections
+  std::int64_t refilled_at = 0;       // bucket only: ledger time of the latest refill
+  std::int64_t refill_remainder = 0;  // bucket only: refilled fraction of a unit, in millionths
   std::map<Session, Lease> leases;
-  // The sum over all leases.
+  // The sum of the unused quota of all leases.
   Units leased() const;
-  MSGPACK_DEFINE(amount, available, charged, correction_sum, age, filled, leases)
+  MSGPACK_DEFINE(amount, available, charged, correction_sum, refilled_at, refill_remainder, leases)
 };
 
 struct AccountLedger {
   std::uint8_t span = 0;  // a budgets::LimitKind
   Units per_s = 0;
-  std::map<std::int64_t, WindowLedger> windows;  // by number
+  std::map<std::int64_t, WindowLedger> windows;  // by window number
   MSGPACK_DEFINE(span, per_s, windows)
 };
 
 struct SessionState {
-  std::uint64_t number = 0;  // of the latest request
-  bool expired = false;      // sent no request for the time of a lease
+  std::uint64_t number = 0;  // number of the latest request
+  bool expired = false;      // the session sent no request for the duration of a lease
   MSGPACK_DEFINE(number, expired)
 };
 
 class Ledger {
  public:
   static constexpr std::size_t kMaxAccounts = 65'536;
-  static constexpr std::size_t kMaxWindows = 3;  // of an account
+  static constexpr std::size_t kMaxWindows = 3;  // per account
   static constexpr std::size_t kMaxSessionsPerRouter = 4;
-  static constexpr std::size_t kMaxCorrectionIds = 4'096;  // whose ids are remembered
+  static constexpr std::size_t kMaxCorrectionIds = 4'096;  // ids that are remembered
 
-  // The bytes of a command.
+  // Encodes a command.
   static std::string write(const Command& command);
-  // Returns none, and changes nothing, if the bytes are no command.
+  // Applies an encoded command. Returns none if the bytes cannot be decoded, which changes nothing, or if the
+  // kind is unknown, which only advances the ledger time.
   std::optional<CommandResult> apply(std::string_view bytes);
 
   std::string snapshot() const;
-  // Returns false, and changes nothing, if the bytes are no snapshot.
+  // Replaces the state by a snapshot. Returns false, and changes nothing, if the bytes cannot be decoded.
   [[nodiscard]] bool restore(std::string_view bytes);
 
   const std::map<std::string, AccountLedger>& accounts() const { return state_.accounts; }
   const std::map<Session, SessionState>& sessions() const { return state_.sessions; }
-  // Router that is gone -> router that takes its place, by operators' decisions.
+  // Router that was replaced -> router that takes its place, by operators' decisions.
   const std::map<std::string, std::string>& replacements() const { return state_.replacements; }
+  // Whether the correction with this id was applied, as far as ids are remembered.
   bool has_applied(std::uint64_t id) const;
-  // Says where the guarantee above is broken; empty if it holds.
+  // Describes the first account whose state breaks the guarantee above; empty if there is none.
   std::string invariant_violation() const;
 
  private:
   struct State {
-    std::int64_t age = 0;  // microseconds that leaders have counted
+    std::int64_t ledger_time = 0;  // microseconds, the sum of the time that leaders have counted
     std::map<std::string, AccountLedger> accounts;
     std::map<Session, SessionState> sessions;
-    std::deque<std::uint64_t> corrections;  // ids, the latest last
+    std::deque<std::uint64_t> corrections;  // ids of applied corrections, the latest last
     std::map<std::string, std::string> replacements;
-    MSGPACK_DEFINE(age, accounts, sessions, corrections, replacements)
+    MSGPACK_DEFINE(ledger_time, accounts, sessions, corrections, replacements)
   };
 
   // Null if there is no room for the account, or the window has long passed.
--- a/src/replication/ledger_replica.cpp
+++ b/src/replication/ledger_replica.cpp
@@ -1,4 +1,4 @@
-// Start of a replica from its disk, and its events.
+// Start of a replica from its disk, and the replica's events.
 #include "replication/ledger_replica.hpp"
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 constexpr std::string_view kReplacedKey = "r";
 constexpr Time kPositionInterval = milliseconds(500);
 constexpr Time kDutyInterval = milliseconds(200);
-constexpr int kMemberHelloFactor = 4;  // a member's interval between hellos, in those of the other stages
-constexpr int kStallDivisor = 4;       // a pause longer than the lease divided by this is a stall
+constexpr int kMemberHelloFactor = 4;  // a member sends hellos this many times less often than other stages
+constexpr int kStallDivisor = 4;       // a pause longer than the lease divided by this number is a stall
 
 struct Meta {
   ReplicaUid id = 0;
@@ -36,15 +36,13 @@
       dependencies_(std::move(dependencies)),
       now_(now),
       entering_since_(now),
-      ticked_at_(now),
+      last_tick_at_(now),
       peers_(dependencies_.records) {
   const LoadResult loaded = load(stored);
   update_placement();
   start_process(loaded);
 }
 
-// ---------------------------------------------------------------- the process and its disk
-
 LedgerReplica::LoadResult LedgerReplica::load(const StoredRecords& stored) {
   LoadResult result = LoadResult::nothing;
   stored([&](std::string_view key, std::string_view value) {
@@ -75,7 +73,7 @@
 void LedgerReplica::start_process(LoadResult loaded) {
   process_.instance_id = static_cast<std::uint32_t>(dependencies_.random_number()) | 1;
   if (loaded == LoadResult::unreadable) {
-    reset_to_blank("its records cannot be read");
+    reset_to_blank("its records on disk cannot be decoded");
     return;
   }
   if (process_.id == 0) process_.id = dependencies_.random_number() | 1;
@@ -84,7 +82,7 @@
     try {
       process_.set_position(Consensus::position(visit_all(loaded_log_)));
     } catch (const std::exception&) {
-      reset_to_blank("its records cannot be read");
+      reset_to_blank("its records on disk cannot be decoded");
       return;
     }
   }
@@ -96,11 +94,11 @@
   const Stage stored_stage = stage_ == Stage::entering ? Stage::member : stage_;
   const Meta meta{process_.id, process_.start_number, static_cast<std::uint8_t>(stored_stage), founders_};
   dependencies_.records.write(std::string(kMetaKey), packed(meta));
-  meta_mark_ = dependencies_.records.last_write_number();
+  meta_write_number_ = dependencies_.records.last_write_number();
 }
 
-// Continues as with an empty disk and a new id. The old id must never send a message again, because it may
-// have given votes that this disk does not have.
+// Continues like a replica with an empty disk, under a new id. The old id must never send a message again,
+// because it may have given votes that this disk does not have.
 void LedgerReplica::reset_to_blank(const std::string& reason) {
   dependencies_.write_log(Severity::warning, "replica of " + ledger_label() + " discarded: " + reason +
                                                  "; it is restored from the others");
@@ -112,7 +110,7 @@
   loaded_log_.clear();
   ledger_ = {};
   was_leader_ = false;
-  ready_ = false;
+  is_ready_ = false;
   process_.id = dependencies_.random_number() | 1;
   process_.start_number = 1;
   process_.set_position({});
@@ -122,13 +120,11 @@
   write_meta();
 }
 
-// ---------------------------------------------------------------- consensus
-
 void LedgerReplica::start_consensus(const std::map<std::string, std::string>& log) {
   stage_ = Stage::member;
   write_meta();
   const Consensus::Options options{.id = process_.id,
-                                   .name = own_name(),
+                                   .name = local_name(),
                                    .election_timeout = options_.election_timeout,
                                    .heartbeat_interval = options_.heartbeat_interval,
                                    .snapshot_threshold = options_.snapshot_threshold,
@@ -150,14 +146,14 @@
 
 void LedgerReplica::send_raft(ReplicaUid receiver, const std::string& router, std::string bytes) {
   if (!is_in_roster(router) || !consensus_) return;
-  const Position position = consensus_->position();
+  const LogPosition position = consensus_->position();
   send(options_.roster->find(router), MessageKind::raft,
        RaftMessage{process_.id, receiver, position.term, position.last_term, position.last_index,
                    std::move(bytes)});
 }
 
 bool LedgerReplica::restore(std::string_view snapshot) {
-  sessions_active_at_.clear();
+  session_active_at_.clear();
   if (!ledger_.restore(snapshot)) return false;
   update_placement();
   return true;
@@ -173,8 +169,6 @@
   placed_members_ = place_replicas(*options_.roster, options_.ledger, options_.replica_count, replaced_);
 }
 
-// ---------------------------------------------------------------- events
-
 void LedgerReplica::on_durable(Time now, std::uint64_t number) {
   now_ = now;
   durable_number_ = std::max(durable_number_, number);
@@ -185,41 +179,41 @@
   now_ = now;
   compensate_for_stall();
   if (std::exchange(reset_pending_, false)) {
-    reset_to_blank(consensus_ ? consensus_->problem() : "it is damaged");
+    reset_to_blank(consensus_ ? consensus_->problem() : "its log is damaged");
   }
   send_due_hellos();
   found_when_agreed();
   enter_when_acknowledged();
   if (!consensus_) return;
   consensus_->tick(now);
-  if (now - duties_at_ < kDutyInterval) return;
-  duties_at_ = now;
+  if (now - last_duties_at_ < kDutyInterval) return;
+  last_duties_at_ = now;
   perform_leader_duties();
 }
 
-// After a pause of this process, messages may wait in its sockets. This gives sessions and peers the time of
-// the pause again, so that none expires before those messages are read.
+// After a pause of this process, messages may wait in its sockets. Gives sessions and the wait for hellos the
+// time of the pause again, so that none expires before those messages are read.
 void LedgerReplica::compensate_for_stall() {
-  const Time paused = now_ - ticked_at_;
-  ticked_at_ = now_;
+  const Time paused = now_ - last_tick_at_;
+  last_tick_at_ = now_;
   if (paused <= options_.lease_duration / kStallDivisor) return;
-  for (auto& [session, active_at] : sessions_active_at_) active_at = now_;
+  for (auto& [session, active_at] : session_active_at_) active_at = now_;
   entering_since_ += paused;
 }
 
 void LedgerReplica::send_due_hellos() {
   const Time interval =
       stage_ == Stage::member ? kMemberHelloFactor * options_.hello_interval : options_.hello_interval;
-  if (now_ - hellos_sent_at_ >= interval) {
-    hellos_sent_at_ = now_;
+  if (now_ - last_hellos_at_ >= interval) {
+    last_hellos_at_ = now_;
     send_hellos();
   }
-  if (now_ - positions_written_at_ >= kPositionInterval) {
-    positions_written_at_ = now_;
+  if (now_ - last_positions_written_at_ >= kPositionInterval) {
+    last_positions_written_at_ = now_;
     peers_.write_positions();
   }
   for (auto& [router, peer] : peers_.all()) {
-    if (peer.durable_mark > durable_number_ || !std::exchange(peer.awaits_hello, false)) continue;
+    if (peer.process_write_number > durable_number_ || !std::exchange(peer.needs_response, false)) continue;
     send_hello(options_.roster->find(router));
   }
 }
@@ -245,9 +239,7 @@
   consensus_->on_message(now_, message.from, name_of(member), message.term, message.bytes);
 }
 
-// ---------------------------------------------------------------- names
-
-bool LedgerReplica::is_wanted(std::size_t member) const {
+bool LedgerReplica::is_placed(std::size_t member) const {
   return std::find(placed_members_.begin(), placed_members_.end(), member) != placed_members_.end();
 }
 
@@ -255,7 +247,7 @@
   return options_.roster->find(router) != options_.roster->size();
 }
 
-std::vector<std::size_t> LedgerReplica::other_wanted() const {
+std::vector<std::size_t> LedgerReplica::other_placed_members() const {
   auto others = placed_members_;
   std::erase(others, options_.self);
   return others;
--- a/src/replication/ledger_replica.hpp
+++ b/src/replication/ledger_replica.hpp
@@ -2,17 +2,19 @@
 // leader.
 //
 // A replica goes through four stages:
-// - blank: it has no state and no vote, and counts towards no majority. If the ledger exists, a leader fills
-//   the replica; otherwise the replica founds the ledger together with all other replicas.
-// - founding: it has durably recorded with which replicas it founds the ledger.
-// - entering: it has the log of an earlier process, and learns from the other replicas' hellos whether they
-//   have recorded a later state of its disk. If one has, the disk was set back to an older copy, and the
+// - blank: the replica has no state and no vote, and counts towards no majority. If the ledger exists, a
+// leader
+//   sends the replica the log; otherwise the replica founds the ledger together with all other replicas.
+// - founding: the replica has durably recorded with which other replicas it founds the ledger.
+// - entering: the replica has the log of an earlier process, and learns from the other replicas' hellos
+// whether
+//   they have recorded a later state of its disk. If one has, the disk was set back to an older copy, and the
 //   replica starts again as a blank one with a new id.
-// - member: it takes part in consensus.
+// - member: the replica takes part in consensus.
 //
 // Sources: ledger_replica.cpp (start, events), ledger_replica_stages.cpp (hellos and stages),
-// ledger_replica_leader.cpp (members, sessions, requests). No I/O and no clock of its own; all on one thread;
-// times are microseconds.
+// ledger_replica_leader.cpp (members, sessions, requests). A replica does no I/O and has no clock; all calls
+// are on one thread; times are microseconds.
 #pragma once
 
 #include <map>
@@ -29,40 +31,40 @@
 
 struct LedgerReplicaOptions {
   std::size_t ledger = 0;
-  std::size_t self = 0;           // this router, in the roster
+  std::size_t self = 0;           // index of this router in the roster
   std::size_t replica_count = 3;  // replicas of the ledger
   std::shared_ptr<const membership::Roster> roster;
   Time lease_duration = seconds(6);  // a session without a lease request for this long expires
-  double max_clock_drift = 0.02;     // by how much two clocks' rates may differ, as a part
+  double max_clock_drift = 0.02;     // difference of two clocks' rates at most, as a fraction
   Time heartbeat_interval = milliseconds(250);
   Time election_timeout = milliseconds(1'200);
-  Time hello_interval = milliseconds(500);  // between two hellos, until the replica is a member
-  Time entry_timeout = seconds(30);         // entering: after this time a majority's hellos suffice
-  unsigned snapshot_threshold = 4096;       // entries
-  unsigned trailing_entries = 512;          // entries
-  // Seeded faults that the tests have to find; for tests only.
+  Time hello_interval = milliseconds(500);  // interval of hellos until the replica is a member
+  Time entry_timeout = seconds(30);         // after this time in stage entering, hellos of a majority suffice
+  unsigned snapshot_threshold = 4096;       // entries between two snapshots
+  unsigned trailing_entries = 512;          // entries kept in the log before a snapshot
+  // Faults that tests switch on, to show that their checks find them.
   bool trust_any_disk = false;
   bool respond_before_majority = false;
 };
 
 class LedgerReplica {
  public:
-  // Services of the owner. All of them have to outlive the replica.
+  // Services of the owner, which have to outlive the replica.
   struct Dependencies {
-    Records& records;  // of this ledger at this router
+    Records& records;  // records of this ledger at this router
     std::function<std::uint64_t()> random_number;
     std::function<void(std::size_t member, std::string envelope)> send;
     LogSink write_log;
   };
 
-  // `stored` are the replica's records on disk. The start of this process is counted in them.
+  // `stored` are the replica's records on disk. The constructor counts the start of this process there.
   LedgerReplica(LedgerReplicaOptions options, Dependencies dependencies, const StoredRecords& stored,
                 Time now);
 
   void tick(Time now);
   // Reports that all writes up to this number are durable.
   void on_durable(Time now, std::uint64_t number);
-  // Handles a message from a member of the roster. Ignores a body that cannot be read.
+  // Handles a message from a member of the roster. Ignores a body that cannot be decoded.
   void on_message(Time now, std::size_t member, MessageKind kind, std::string_view body);
 
   Stage stage() const { return stage_; }
@@ -86,7 +88,7 @@
     bool is_founded = false;  // another replica has founded the ledger with the agreed founders
   };
 
-  // Start.
+  // Start, stages' storage, and events.
   LoadResult load(const StoredRecords& stored);
   void start_process(LoadResult loaded);
   void write_meta();
@@ -105,7 +107,7 @@
   void send_hellos();
   void on_hello(std::size_t member, const Hello& hello);
   void join_existing(const Hello& hello);
-  bool is_older_than(const Process& recorded) const;
+  bool is_superseded_by(const Process& recorded) const;
   void found_when_agreed();
   FoundingView founding_view() const;
   bool have_all_agreed() const;
@@ -114,7 +116,7 @@
   void enter_when_acknowledged();
   std::size_t count_acknowledgements() const;
 
-  // While it leads.
+  // Duties of the leader.
   void perform_leader_duties();
   void begin_leadership();
   void maintain_members();
@@ -131,12 +133,12 @@
   void reject(std::size_t member, std::uint64_t number, RejectReason reason);
   bool is_window_far_ahead(const LeaseRequestLine& line) const;
 
-  bool is_wanted(std::size_t member) const;
+  bool is_placed(std::size_t member) const;
   bool is_in_roster(const std::string& router) const;
-  std::vector<std::size_t> other_wanted() const;
+  std::vector<std::size_t> other_placed_members() const;
   std::string ledger_label() const;
   const std::string& name_of(std::size_t member) const { return options_.roster->at(member).name; }
-  const std::string& own_name() const { return name_of(options_.self); }
+  const std::string& local_name() const { return name_of(options_.self); }
   template <typename Body>
   void send(std::size_t member, MessageKind kind, const Body& body) {
     dependencies_.send(member, write(kind, options_.ledger, body));
@@ -146,30 +148,30 @@
   Dependencies dependencies_;
   Time now_ = 0;
   Time entering_since_ = 0;
-  Time hellos_sent_at_ = 0;
-  Time duties_at_ = 0;
-  Time positions_written_at_ = 0;
-  Time ticked_at_ = 0;
+  Time last_hellos_at_ = 0;
+  Time last_duties_at_ = 0;
+  Time last_positions_written_at_ = 0;
+  Time last_tick_at_ = 0;
 
   Process process_;
   Stage stage_ = Stage::blank;
-  Founders founders_;  // the replicas with which this one founds, or founded, the ledger
+  Founders founders_;  // the replicas that found, or have founded, the ledger
   PeerTable peers_;
-  ReplacementMap replaced_;  // as on disk
+  ReplacementMap replaced_;  // the ledger's replacements as stored on disk
   std::vector<std::size_t> placed_members_;
   std::uint64_t durable_number_ = 0;
-  std::uint64_t meta_mark_ = 0;                    // the start of this process is durable once this number is
-  std::map<std::string, std::string> loaded_log_;  // log records, until consensus starts
+  std::uint64_t meta_write_number_ = 0;  // write number with which the start of this process is durable
+  std::map<std::string, std::string> loaded_log_;  // records of the log, by key, until consensus starts
   std::vector<std::string> loaded_log_keys_;
   bool discarded_disk_ = false;
-  bool reset_pending_ = false;  // consensus could not start
+  bool reset_pending_ = false;  // consensus could not start, so the replica becomes blank
 
   Ledger ledger_;
-  std::optional<CommandResult> last_applied_;  // outcome of the latest command
-  std::map<Session, Time> sessions_active_at_;
+  std::optional<CommandResult> last_result_;  // result of the latest command
+  std::map<Session, Time> session_active_at_;
   bool was_leader_ = false;
-  bool ready_ = false;                    // leads, and has applied all commands of earlier leaders
-  Time proposed_at_ = 0;                  // latest command
+  bool is_ready_ = false;  // this replica leads, and has applied all commands of earlier leaders
+  Time last_proposal_at_ = 0;
   std::unique_ptr<Consensus> consensus_;  // declared last, because it calls back until it is destroyed
 };
 
--- a/src/replication/ledger_replica_stages.cpp
+++ b/src/replication/ledger_replica_stages.cpp
@@ -1,4 +1,4 @@
-// Hellos between replicas, and the stages founding and entering.
+// Hellos between replicas, and how a replica leaves the stages blank, founding and entering.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -7,20 +7,19 @@
 
 namespace thornwick::replication {
 
-// ---------------------------------------------------------------- hellos
-
 // Sends nothing until the start of this process is durable.
 void LedgerReplica::send_hello(std::size_t member) {
-  if (meta_mark_ > durable_number_) return;
+  if (meta_write_number_ > durable_number_) return;
   if (consensus_) process_.set_position(consensus_->position());
   Hello hello;
   hello.process = process_;
   hello.stage = static_cast<std::uint8_t>(stage_);
   hello.founders = founders_;
   const PeerRecord* peer = peers_.find(name_of(member));
-  if (peer != nullptr && peer->durable_mark <= durable_number_) hello.receiver_process = peer->process;
+  if (peer != nullptr && peer->process_write_number <= durable_number_)
+    hello.receiver_process = peer->process;
   if (is_leader()) {
-    for (const std::size_t wanted : placed_members_) hello.placed_routers.push_back(name_of(wanted));
+    for (const std::size_t placed : placed_members_) hello.placed_routers.push_back(name_of(placed));
   }
   send(member, MessageKind::hello, hello);
 }
@@ -28,40 +27,40 @@
 // Sends hellos to all routers on which replicas are placed. A leader also sends them to members of the log
 // that are no longer placed.
 void LedgerReplica::send_hellos() {
-  for (const std::size_t member : other_wanted()) send_hello(member);
+  for (const std::size_t member : other_placed_members()) send_hello(member);
   if (!is_leader()) return;
   for (const LogMember& log_member : consensus_->members()) {
     const std::size_t member = options_.roster->find(log_member.name);
-    if (is_in_roster(log_member.name) && !is_wanted(member)) send_hello(member);
+    if (is_in_roster(log_member.name) && !is_placed(member)) send_hello(member);
   }
 }
 
 void LedgerReplica::on_hello(std::size_t member, const Hello& hello) {
   PeerRecord& peer = peers_.record_of(name_of(member));
-  // The sender's process has been followed by another one of the same disk. Its hello is not recorded; the
-  // response shows the sender which process this replica has recorded.
-  if (hello.process.followed_by(peer.process)) {
+  // The sender's process has been followed by another process of the same disk. The hello is not recorded,
+  // and the response shows the sender which process this replica has recorded.
+  if (hello.process.is_followed_by(peer.process)) {
     if (hello.sender_stage() != Stage::member) send_hello(member);
     return;
   }
   if (!peer.process.is_same(hello.process)) peers_.set_process(name_of(member), hello.process);
-  peer.awaits_hello = stage_ == Stage::member && hello.sender_stage() != Stage::member;
+  peer.needs_response = stage_ == Stage::member && hello.sender_stage() != Stage::member;
   peer.received_at = now_;
   peer.stage = hello.sender_stage();
   peer.founders = hello.founders;
   peer.knows_this_process = hello.receiver_process.is_same(process_);
-  if (is_older_than(hello.receiver_process) && !options_.trust_any_disk) {
-    reset_to_blank("another holder knew a later state of this disk");
+  if (is_superseded_by(hello.receiver_process) && !options_.trust_any_disk) {
+    reset_to_blank("another replica has recorded a later state of this disk");
     return;
   }
   const bool ledger_exists = peer.stage >= Stage::entering;
   if (ledger_exists && stage_ <= Stage::founding) join_existing(hello);
 }
 
-// Another replica has the ledger. This replica is either one of its founders, or waits for the leader to fill
-// it.
+// Another replica has the ledger. This replica is either one of the ledger's founders, or starts with an
+// empty log and waits for the leader.
 void LedgerReplica::join_existing(const Hello& hello) {
-  const Founder self{own_name(), process_.id};
+  const Founder self{local_name(), process_.id};
   const auto found = std::find(hello.founders.begin(), hello.founders.end(), self);
   if (found == hello.founders.end()) {
     start_consensus({});
@@ -72,16 +71,14 @@
 }
 
 // Whether another replica has recorded a later process, or a later position, of this replica's disk.
-bool LedgerReplica::is_older_than(const Process& recorded) const {
-  if (process_.followed_by(recorded)) return true;
+bool LedgerReplica::is_superseded_by(const Process& recorded) const {
+  if (process_.is_followed_by(recorded)) return true;
   return recorded.id == process_.id && stage_ == Stage::entering &&
          process_.position().is_behind(recorded.position());
 }
 
-// ---------------------------------------------------------------- founding
-
-// All replicas of a ledger found it together, each after it has durably recorded the agreement and announced
-// it. So a replica that has lost its disk cannot found a second ledger.
+// All replicas of a ledger found it together, each after it has durably recorded and announced the agreement.
+// A replica that has lost its disk therefore cannot found a second ledger.
 void LedgerReplica::found_when_agreed() {
   if (stage_ > Stage::founding) return;
   const FoundingView view = founding_view();
@@ -97,8 +94,8 @@
 
 LedgerReplica::FoundingView LedgerReplica::founding_view() const {
   FoundingView view;
-  view.founders.push_back({own_name(), process_.id});
-  for (const std::size_t member : other_wanted()) {
+  view.founders.push_back({local_name(), process_.id});
+  for (const std::size_t member : other_placed_members()) {
     const PeerRecord* peer = peers_.find_recent(name_of(member), now_);
     if (peer == nullptr) {
       view.all_recent = false;
@@ -116,7 +113,7 @@
 }
 
 bool LedgerReplica::have_all_agreed() const {
-  const auto others = other_wanted();
+  const auto others = other_placed_members();
   return std::all_of(others.begin(), others.end(), [this](std::size_t member) {
     const PeerRecord* peer = peers_.find(name_of(member));
     return peer != nullptr && peer->stage != Stage::blank && peer->founders == founders_;
@@ -139,14 +136,12 @@
   dependencies_.write_log(Severity::info, "created " + ledger_label());
 }
 
-// ---------------------------------------------------------------- entering
-
-// Enters when all other replicas have recorded this process, and none has a later state of its disk. After
-// `entry_timeout` a majority suffices, in which this replica counts.
+// Becomes a member when all other replicas have recorded this process, and none has a later state of its
+// disk. After `entry_timeout` a majority suffices, which includes this replica.
 void LedgerReplica::enter_when_acknowledged() {
-  if (stage_ != Stage::entering || meta_mark_ > durable_number_) return;
+  if (stage_ != Stage::entering || meta_write_number_ > durable_number_) return;
   const std::size_t acknowledged = count_acknowledgements();
-  const bool by_all = acknowledged == other_wanted().size();
+  const bool by_all = acknowledged == other_placed_members().size();
   const bool by_majority =
       acknowledged >= options_.replica_count / 2 && now_ - entering_since_ > options_.entry_timeout;
   if (!by_all && !by_majority && !options_.trust_any_disk) return;
@@ -156,7 +151,7 @@
 }
 
 std::size_t LedgerReplica::count_acknowledgements() const {
-  const auto others = other_wanted();
+  const auto others = other_placed_members();
   const auto count = std::count_if(others.begin(), others.end(), [this](std::size_t member) {
     const PeerRecord* peer = peers_.find(name_of(member));
     return peer != nullptr && peer->knows_this_process;
--- a/src/replication/log_matching.hpp
+++ b/src/replication/log_matching.hpp
@@ -1,7 +1,7 @@
-// How a leader's entries compare with this replica's log.
+// Compares a leader's entries with this replica's log, and adapts messages that C-Raft would mishandle.
 //
-// C-Raft mishandles a few of these comparisons. The functions here adapt a message before the library gets
-// it, and each says why. They read the library's log in memory, and change messages only, never the log.
+// The functions here change a message before the library gets the message; each says why. They read the
+// library's log in memory, and never change the log.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,15 @@
 // Read access to the log in the library's memory. Valid until the library is called again.
 class LogView {
  public:
-  // `next_index` follows the last entry that was written.
+  // `next_index` is the index after the last entry that was written.
   LogView(const raft& raft, std::uint64_t next_index) : raft_(raft), next_index_(next_index) {}
 
   std::uint64_t current_term() const { return raft_.current_term; }
   std::uint64_t commit_index() const { return raft_.commit_index; }
   std::uint64_t next_index() const { return next_index_; }
-  // Entries up to this one are no longer in the log.
+  // The entries up to this index are no longer in the log.
   std::uint64_t offset() const { return raft_.log.offset; }
-  // Requires an entry that is in the log.
+  // The entry has to be in the log.
   const raft_entry& entry_at(std::uint64_t index) const;
   // 0 if the entry is not in the log.
   std::uint64_t term_at(std::uint64_t index) const;
@@ -36,17 +36,17 @@
   std::uint64_t next_index_;
 };
 
-// Removes committed entries from a message that begins before the first entry of the log, so that it begins
-// after the last committed one. Committed entries are the same at every replica, but the library would reject
-// such a message again and again.
+// Removes committed entries from a message that begins before the first entry of the log, so that the message
+// begins after the last committed entry. Committed entries are the same at every replica, but the library
+// would reject such a message each time that the leader sends it.
 void skip_committed(AppendEntries& message, const LogView& log);
 
-// Removes from a message the entries that are in the log already, or all of them if the library will reject
-// the message, because the library would not free them.
+// Removes from a message the entries that are in the log already, or all entries if the library will reject
+// the message, because the library would not free these entries.
 void skip_known(AppendEntries& message, const LogView& log);
 
 // Returns the index at which the log has to be truncated before the library gets this message; 0 if the
-// library can handle it.
+// library can handle the message.
 //
 // When the library rolls back an uncommitted change of members, it reads the entry of the committed one,
 // which a snapshot may have removed from the log. If a message would cause this, the replica has to restart
--- a/src/replication/log_records.cpp
+++ b/src/replication/log_records.cpp
@@ -6,12 +6,12 @@
 constexpr std::string_view kVoteKey = "v";
 constexpr std::string_view kSnapshotKey = "s";
 constexpr char kEntryPrefix = 'e';
-constexpr char kPartPrefix = 'p';
+constexpr char kChunkPrefix = 'p';
 constexpr std::size_t kNumberSize = 8;
 constexpr std::size_t kEntryKeySize = 1 + kNumberSize;
-constexpr std::size_t kPartKeySize = 1 + 2 * kNumberSize;
+constexpr std::size_t kChunkKeySize = 1 + 2 * kNumberSize;
 
-// Big-endian, so that keys sort as their numbers.
+// Appends the number in big-endian order, so that keys sort in the order of their numbers.
 void append_number(std::string& key, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8) key += static_cast<char>(number >> shift & 0xff);
 }
@@ -36,10 +36,10 @@
   return key;
 }
 
-std::string snapshot_part_key(std::uint64_t generation, std::uint64_t part) {
-  std::string key(1, kPartPrefix);
+std::string snapshot_chunk_key(std::uint64_t generation, std::uint64_t chunk) {
+  std::string key(1, kChunkPrefix);
   append_number(key, generation);
-  append_number(key, part);
+  append_number(key, chunk);
   return key;
 }
 
@@ -47,8 +47,8 @@
   if (key == kVoteKey) return {LogRecordKind::vote};
   if (key == kSnapshotKey) return {LogRecordKind::snapshot};
   if (key.size() == kEntryKeySize && key[0] == kEntryPrefix) return {LogRecordKind::entry, number_at(key, 1)};
-  if (key.size() == kPartKeySize && key[0] == kPartPrefix) {
-    return {LogRecordKind::snapshot_part, number_at(key, 1), number_at(key, 1 + kNumberSize)};
+  if (key.size() == kChunkKeySize && key[0] == kChunkPrefix) {
+    return {LogRecordKind::snapshot_chunk, number_at(key, 1), number_at(key, 1 + kNumberSize)};
   }
   return {};
 }
--- a/src/replication/log_records.hpp
+++ b/src/replication/log_records.hpp
@@ -12,8 +12,8 @@
 
 namespace thornwick::replication {
 
-// Bytes of a snapshot in one record.
-inline constexpr std::size_t kSnapshotPartSize = std::size_t{32} * 1024;
+// The maximum number of a snapshot's bytes in one record.
+inline constexpr std::size_t kSnapshotChunkBytes = std::size_t{32} * 1024;
 
 // A server of the log's configuration; `role` is C-Raft's number (RAFT_VOTER, ...).
 struct StoredServer {
@@ -31,15 +31,15 @@
   MSGPACK_DEFINE(term, type, data)
 };
 
-// The current term and the vote that was given in it; candidate 0: none.
+// The current term, and the candidate that got this replica's vote in that term; candidate 0: none.
 struct StoredVote {
   std::uint64_t term = 0;
   std::uint64_t candidate = 0;
   MSGPACK_DEFINE(term, candidate)
 };
 
-// The log position that the snapshot on disk covers. The data of the snapshot is in parts, each a record of
-// its own with the same generation; `size` is the sum of the parts' bytes.
+// The log position that the snapshot on disk covers. The data of the snapshot is split into chunks, each in a
+// separate record with the same generation; `size` is the sum of the chunks' bytes.
 struct StoredSnapshot {
   std::uint64_t index = 0;
   std::uint64_t term = 0;
@@ -50,19 +50,19 @@
   MSGPACK_DEFINE(index, term, configuration_index, generation, size, servers)
 };
 
-// Keys of one kind sort as their numbers do.
+// Keys of one kind sort in the order of their numbers.
 std::string vote_key();
 std::string snapshot_key();
 std::string entry_key(std::uint64_t index);
-std::string snapshot_part_key(std::uint64_t generation, std::uint64_t part);
+std::string snapshot_chunk_key(std::uint64_t generation, std::uint64_t chunk);
 
-enum class LogRecordKind : std::uint8_t { other, vote, snapshot, entry, snapshot_part };
+enum class LogRecordKind : std::uint8_t { other, vote, snapshot, entry, snapshot_chunk };
 
-// A key that was read back. `number` is the index of an entry or the generation of a snapshot part.
+// A parsed key. `number` is the index of an entry or the generation of a snapshot chunk.
 struct LogRecordKey {
   LogRecordKind kind = LogRecordKind::other;
   std::uint64_t number = 0;
-  std::uint64_t part = 0;
+  std::uint64_t chunk = 0;
 };
 LogRecordKey parse_log_key(std::string_view key);
 
--- a/src/replication/log_sink.hpp
+++ b/src/replication/log_sink.hpp
@@ -1,4 +1,4 @@
-// Where this module reports what an operator should see. The owner writes the lines to the program's log.
+// The interface for log lines of this module. The owner writes the lines to the program's log.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 enum class Severity : std::uint8_t { info, warning };
 
-// Called once for each line of the log, on the thread of the call that causes it.
+// Called once for each log line, on the thread of the call that causes the line.
 using LogSink = std::function<void(Severity severity, const std::string& text)>;
 
 }  // namespace thornwick::replication
--- a/src/replication/log_store.cpp
+++ b/src/replication/log_store.cpp
@@ -14,26 +14,26 @@
     if (parsed.kind == LogRecordKind::snapshot) snapshot_ = unpacked<StoredSnapshot>(value);
     if (parsed.kind == LogRecordKind::entry) loaded_entries_[parsed.number] = unpacked<StoredEntry>(value);
   });
-  load_snapshot_parts(stored);
-  find_range();
+  load_snapshot_chunks(stored);
+  determine_entry_range();
 }
 
-// Skips the parts of earlier and of unfinished snapshots, which carry another generation.
-void LogStore::load_snapshot_parts(const StoredRecords& stored) {
-  std::map<std::uint64_t, std::string> parts;
+// Skips the chunks of earlier and of unfinished snapshots, which have another generation.
+void LogStore::load_snapshot_chunks(const StoredRecords& stored) {
+  std::map<std::uint64_t, std::string> chunks;
   stored([&](std::string_view key, std::string_view value) {
     const LogRecordKey parsed = parse_log_key(key);
-    if (parsed.kind == LogRecordKind::snapshot_part && parsed.number == snapshot_.generation) {
-      parts[parsed.part] = std::string(value);
+    if (parsed.kind == LogRecordKind::snapshot_chunk && parsed.number == snapshot_.generation) {
+      chunks[parsed.chunk] = std::string(value);
     }
   });
-  for (const auto& [number, part] : parts) snapshot_data_ += part;
-  if (snapshot_data_.size() != snapshot_.size) problem_ = "its snapshot is not whole";
+  for (const auto& [number, chunk] : chunks) snapshot_data_ += chunk;
+  if (snapshot_data_.size() != snapshot_.size) problem_ = "its snapshot is incomplete";
 }
 
-// Sets the range of the entries. Reports a problem if they have a gap, or do not begin right after the
-// snapshot or before.
-void LogStore::find_range() {
+// Sets the range of the entries. Reports a problem if the entries have a gap, or begin later than right after
+// the snapshot.
+void LogStore::determine_entry_range() {
   if (loaded_entries_.empty()) {
     first_index_ = snapshot_.index + 1;
     next_index_ = first_index_;
@@ -77,28 +77,28 @@
   }
 }
 
-void LogStore::remove_snapshot_parts() {
-  for (std::size_t offset = 0; offset < snapshot_data_.size(); offset += kSnapshotPartSize) {
-    records_.write(snapshot_part_key(snapshot_.generation, offset / kSnapshotPartSize), std::nullopt);
+void LogStore::remove_snapshot_chunks() {
+  for (std::size_t offset = 0; offset < snapshot_data_.size(); offset += kSnapshotChunkBytes) {
+    records_.write(snapshot_chunk_key(snapshot_.generation, offset / kSnapshotChunkBytes), std::nullopt);
   }
 }
 
 void LogStore::put_snapshot(StoredSnapshot snapshot, std::string data, std::uint64_t trailing) {
   snapshot.generation = snapshot_.generation + 1;
   snapshot.size = data.size();
-  for (std::size_t offset = 0; offset < data.size(); offset += kSnapshotPartSize) {
-    records_.write(snapshot_part_key(snapshot.generation, offset / kSnapshotPartSize),
-                   data.substr(offset, kSnapshotPartSize));
+  for (std::size_t offset = 0; offset < data.size(); offset += kSnapshotChunkBytes) {
+    records_.write(snapshot_chunk_key(snapshot.generation, offset / kSnapshotChunkBytes),
+                   data.substr(offset, kSnapshotChunkBytes));
   }
   records_.write(snapshot_key(), packed(snapshot));
-  remove_snapshot_parts();
-  const bool replaces_whole_log = trailing == 0;
-  std::uint64_t first_kept = next_index_;
-  if (!replaces_whole_log) first_kept = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
-  for (; first_index_ < std::min(first_kept, next_index_); ++first_index_) {
+  remove_snapshot_chunks();
+  const bool replaces_log = trailing == 0;
+  std::uint64_t first_retained = next_index_;
+  if (!replaces_log) first_retained = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
+  for (; first_index_ < std::min(first_retained, next_index_); ++first_index_) {
     records_.write(entry_key(first_index_), std::nullopt);
   }
-  if (replaces_whole_log) {
+  if (replaces_log) {
     first_index_ = snapshot.index + 1;
     next_index_ = first_index_;
     last_term_ = snapshot.term;
@@ -111,7 +111,7 @@
   for (std::uint64_t index = first_index_; index < next_index_; ++index) {
     records_.write(entry_key(index), std::nullopt);
   }
-  remove_snapshot_parts();
+  remove_snapshot_chunks();
   records_.write(snapshot_key(), std::nullopt);
   records_.write(vote_key(), std::nullopt);
 }
--- a/src/replication/membership_plan.cpp
+++ b/src/replication/membership_plan.cpp
@@ -5,7 +5,7 @@
 namespace thornwick::replication {
 namespace {
 
-bool is_wanted(const MembershipView& view, const std::string& router) {
+bool is_placed(const MembershipView& view, const std::string& router) {
   return std::find(view.placed_routers.begin(), view.placed_routers.end(), router) !=
          view.placed_routers.end();
 }
@@ -37,25 +37,25 @@
   return {};
 }
 
-MembershipChange remove_unwanted(const MembershipView& view) {
-  const auto wanted_voters = std::count_if(
+MembershipChange remove_unplaced(const MembershipView& view) {
+  const auto placed_voters = std::count_if(
       view.members.begin(), view.members.end(),
-      [&view](const LogMember& member) { return member.is_voter && is_wanted(view, member.name); });
-  if (static_cast<std::size_t>(wanted_voters) < view.placed_routers.size()) return {};
+      [&view](const LogMember& member) { return member.is_voter && is_placed(view, member.name); });
+  if (static_cast<std::size_t>(placed_voters) < view.placed_routers.size()) return {};
   for (const LogMember& member : view.members) {
-    if (!is_wanted(view, member.name) && member.id != view.self.id) {
-      return {MembershipAction::remove_unwanted, member.id, member.name};
+    if (!is_placed(view, member.name) && member.id != view.self.id) {
+      return {MembershipAction::remove_unplaced, member.id, member.name};
     }
   }
-  if (!is_wanted(view, view.self.name))
-    return {MembershipAction::remove_unwanted, view.self.id, view.self.name};
+  if (!is_placed(view, view.self.name))
+    return {MembershipAction::remove_unplaced, view.self.id, view.self.name};
   return {};
 }
 
 }  // namespace
 
 MembershipChange next_membership_change(const MembershipView& view) {
-  for (const auto plan : {remove_lost, add_or_promote, remove_unwanted}) {
+  for (const auto plan : {remove_lost, add_or_promote, remove_unplaced}) {
     MembershipChange change = plan(view);
     if (change.action != MembershipAction::none) return change;
   }
--- a/src/replication/membership_plan.hpp
+++ b/src/replication/membership_plan.hpp
@@ -1,4 +1,4 @@
-// The leader's next change to the members of a log, derived from the members, the placement of the replicas,
+// Derives the leader's next change to the members of a log from the members, the placement of the replicas,
 // and the replicas that run. No state and no I/O.
 #pragma once
 
@@ -20,20 +20,20 @@
 
 enum class MembershipAction : std::uint8_t {
   none,
-  remove_lost,      // its router runs another replica, so the disk of this one is gone
-  add,              // without a vote
-  promote,          // to a voter
-  remove_unwanted,  // another router has taken its place
+  remove_lost,      // the member's router runs another replica, so the member's disk is lost
+  add,              // adds a member without a vote
+  promote,          // makes the member a voter
+  remove_unplaced,  // no replica is placed on the member's router any more
 };
 
 struct MembershipChange {
   MembershipAction action = MembershipAction::none;
   ReplicaUid id = 0;
-  std::string name;  // of its router
+  std::string name;  // name of the replica's router
 };
 
-// Returns one change, or `none`. Unwanted members are removed once all wanted ones vote, the leader itself
-// last.
+// Returns one change, or `none`. Members on routers without a placed replica are removed when all placed
+// replicas have a vote, the leader itself last.
 MembershipChange next_membership_change(const MembershipView& view);
 
 }  // namespace thornwick::replication
--- a/src/replication/message.hpp
+++ b/src/replication/message.hpp
@@ -1,6 +1,6 @@
-// The messages between routers about ledgers: a header with the kind and a MessagePack body.
+// The messages between routers about ledgers: a header with the kind, and a MessagePack body.
 //
-// Bodies are packed by position, so that fields keep their order; a change of layout needs another kVersion.
+// Bodies are packed by position, so fields must keep their order; a change of layout needs another kVersion.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,7 @@
 
 namespace thornwick::replication {
 
-// A message of another version is dropped.
+// The version of the messages. A message of another version is dropped.
 inline constexpr std::uint8_t kVersion = 1;
 
 // Replicas send each other hello and raft. A quota lease client sends lease_request, correction and
@@ -33,19 +33,19 @@
 
 struct MessageHeader {
   std::uint8_t version = kVersion;
-  std::uint8_t kind = 0;  // a Kind, or of a later version
+  std::uint8_t kind = 0;  // a MessageKind, or a kind of a later version
   std::uint16_t ledger = 0;
   std::string body;
   MSGPACK_DEFINE(version, kind, ledger, body)
 };
 
-// One process on one disk, and the position of that disk. Replicas compare these records to find out whether
-// a disk was set back to an earlier state, or copied.
+// One process on one disk, and the log position on that disk. Replicas compare these records to detect that a
+// disk was set back to an earlier state, or copied.
 struct Process {
   ReplicaUid id = 0;
-  std::uint32_t start_number = 0;  // starts of processes on this disk so far
-  std::uint32_t instance_id = 0;   // drawn by the process
-  // The latest known position of the disk.
+  std::uint32_t start_number = 0;  // number of this process's start on this disk, from 1
+  std::uint32_t instance_id = 0;   // random number of the process
+  // The latest known log position on the disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
   std::uint64_t last_index = 0;
@@ -53,14 +53,14 @@
   bool is_same(const Process& other) const {
     return id == other.id && start_number == other.start_number && instance_id == other.instance_id;
   }
-  // Whether `other` is a later process of the same disk, or another process with the same start, which runs
-  // on a copy of the disk.
-  bool followed_by(const Process& other) const {
+  // Whether `other` is a later process of the same disk, or another process with the same start number, which
+  // runs on a copy of the disk.
+  bool is_followed_by(const Process& other) const {
     return id == other.id && (other.start_number > start_number ||
                               (other.start_number == start_number && other.instance_id != instance_id));
   }
-  Position position() const { return {term, last_term, last_index}; }
-  void set_position(const Position& position) {
+  LogPosition position() const { return {term, last_term, last_index}; }
+  void set_position(const LogPosition& position) {
     term = position.term;
     last_term = position.last_term;
     last_index = position.last_index;
@@ -73,11 +73,11 @@
 
 // A replica that founds a ledger together with others.
 struct Founder {
-  std::string name;  // of its router
+  std::string name;  // name of the replica's router
   ReplicaUid id = 0;
   bool operator==(const Founder&) const = default;
 
-  // Packs a pair, because reading a pair rejects an array of any other length.
+  // Packs a pair, because a pair is not read from an array of any other length.
   template <typename Packer>
   void msgpack_pack(Packer& packer) const {
     packer.pack(std::pair(name, id));
@@ -88,36 +88,36 @@
 };
 using Founders = std::vector<Founder>;
 
-// Sent by each replica to the others of its ledger, at intervals.
+// A message that each replica sends to the other replicas of its ledger at intervals.
 struct Hello {
   Process process;
   std::uint8_t stage = 0;  // a Stage
-  Founders founders;       // with which the sender founds the ledger, or founded it
-  // The receiver's process as the sender has durably recorded it; id 0: not recorded.
+  Founders founders;       // the replicas that found, or have founded, the ledger, as known to the sender
+  // The receiver's process that the sender has durably recorded; id 0: none.
   Process receiver_process;
-  std::vector<std::string> placed_routers;  // from a leader: the routers on which replicas are placed
+  std::vector<std::string> placed_routers;  // routers on which replicas are placed; only from a leader
   Stage sender_stage() const { return static_cast<Stage>(stage); }
   MSGPACK_DEFINE(process, stage, founders, receiver_process, placed_routers)
 };
 
-// A message of the consensus protocol.
+// A message of the consensus protocol from one replica to another.
 struct RaftMessage {
   ReplicaUid from = 0;
   ReplicaUid to = 0;
-  // The position of the sender's disk.
+  // The log position on the sender's disk.
   std::uint64_t term = 0;
   std::uint64_t last_term = 0;
   std::uint64_t last_index = 0;
   std::string bytes;
-  Position position() const { return {term, last_term, last_index}; }
+  LogPosition position() const { return {term, last_term, last_index}; }
   MSGPACK_DEFINE(from, to, term, last_term, last_index, bytes)
 };
 
-// The response to a lease request that the receiver does not accept, because it does not lead, or because the
-// request names a window far ahead.
+// The response to a lease request that the receiver does not accept, because the receiver does not lead, or
+// because the request names a window far ahead.
 struct LeaseRejection {
-  std::uint64_t number = 0;                  // of the request
-  std::string leader;                        // empty: not known
+  std::uint64_t number = 0;                  // number of the request
+  std::string leader;                        // name of the leader's router; empty: not known
   std::vector<std::string> replica_routers;  // routers with a replica, as far as the sender knows
   bool clock_ahead = false;                  // the requested window is far ahead of the sender's clock
   MSGPACK_DEFINE(number, leader, replica_routers, clock_ahead)
@@ -127,18 +127,18 @@
 struct OperatorResponse {
   std::uint64_t id = 0;
   bool accepted = false;
-  std::string reason;  // of a rejection
+  std::string reason;  // reason of a rejection
   MSGPACK_DEFINE(id, accepted, reason)
 };
 
 // Why an operator's request is rejected.
 enum class OperatorRejection : std::uint8_t {
-  too_many_requests,  // at this router
+  too_many_requests,  // too many requests are open at this router
   clock_ahead,        // the corrected window is far ahead of the leader's clock
-  no_room,            // for the account
+  no_room,            // the ledger has no room for the account
   unknown_routers     // a replacement does not name two different routers of the group
 };
-// The reason in an OperatorResponse, and for the operator.
+// The reason as written in an OperatorResponse and shown to the operator.
 std::string to_string(OperatorRejection rejection);
 
 // An operator's decision that router `new_name` takes over all replica places of router `old_name`.
@@ -149,7 +149,7 @@
   MSGPACK_DEFINE(id, old_name, new_name)
 };
 
-// The bytes of a whole message with its header.
+// Encodes a message with its header.
 template <typename Body>
 std::string write(MessageKind kind, std::size_t ledger, const Body& body) {
   return packed(MessageHeader{kVersion, static_cast<std::uint8_t>(kind), static_cast<std::uint16_t>(ledger),
--- a/src/replication/message_pack.hpp
+++ b/src/replication/message_pack.hpp
@@ -1,4 +1,4 @@
-// Values to MessagePack bytes and back.
+// Encodes values as MessagePack bytes, and decodes them.
 #pragma once
 
 #include <exception>
@@ -16,13 +16,13 @@
   return {buffer.data(), buffer.size()};
 }
 
-// Throws (msgpack::unpack_error, msgpack::type_error) where the bytes are no T.
+// Decodes a T. Throws msgpack::unpack_error or msgpack::type_error if the bytes are not a T.
 template <typename T>
 T unpacked(std::string_view bytes) {
   return msgpack::unpack(bytes.data(), bytes.size()).get().as<T>();
 }
 
-// None where the bytes are no T.
+// Decodes a T. Returns none if the bytes are not a T.
 template <typename T>
 std::optional<T> read(std::string_view bytes) {
   try {
--- a/src/replication/peer_table.cpp
+++ b/src/replication/peer_table.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr char kPeerPrefix = 'n';
-constexpr Time kRecent = seconds(5);
+constexpr Time kHelloValidity = seconds(5);
 
 std::string peer_key(const std::string& router) { return kPeerPrefix + router; }
 
@@ -23,25 +23,25 @@
 
 const PeerRecord* PeerTable::find_recent(const std::string& router, Time now) const {
   const PeerRecord* peer = find(router);
-  if (peer == nullptr || peer->received_at == 0 || now - peer->received_at > kRecent) return nullptr;
+  if (peer == nullptr || peer->received_at == 0 || now - peer->received_at > kHelloValidity) return nullptr;
   return peer;
 }
 
 void PeerTable::set_process(const std::string& router, const Process& process) {
   PeerRecord& peer = peers_[router];
-  const Position known = peer.process.id == process.id ? peer.process.position() : Position();
+  const LogPosition known = peer.process.id == process.id ? peer.process.position() : LogPosition();
   peer.process = process;
   peer.process.set_position(known);
   records_.write(peer_key(router), packed(process));
-  peer.durable_mark = records_.last_write_number();
+  peer.process_write_number = records_.last_write_number();
 }
 
-void PeerTable::raise_position(const std::string& router, ReplicaUid id, const Position& position) {
+void PeerTable::raise_position(const std::string& router, ReplicaUid id, const LogPosition& position) {
   const auto found = peers_.find(router);
   if (found == peers_.end() || found->second.process.id != id) return;
   Process& process = found->second.process;
-  Position known = process.position();
-  known.raise(position);
+  LogPosition known = process.position();
+  known.raise_to(position);
   process.set_position(known);
 }
 
--- a/src/replication/quota_lease_client.cpp
+++ b/src/replication/quota_lease_client.cpp
@@ -7,11 +7,12 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr Time kRetryAfterShortage = milliseconds(500);  // after a response that had too little quota
-constexpr Time kAwaitingLeaseRetryAfter =
-    seconds(1);  // advised to clients while a lease request is in flight
-constexpr Units kTypicalDecayDivisor =
-    16;  // the typical request shrinks by itself over this with each request
+// An account is not requested at once again within this time after a request that the ledger could not fill.
+constexpr Time kRetryAfterShortage = milliseconds(500);
+// The minimum retry_after for clients while a lease request is in flight.
+constexpr Time kMinRetryAfterLease = seconds(1);
+// With each request the typical request decays by its own value divided by this number.
+constexpr Units kTypicalDecayDivisor = 16;
 
 }  // namespace
 
@@ -23,32 +24,30 @@
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
     Channel& channel = channels_[ledger];
     channel.replica_routers = place_replicas(*options_.roster, ledger, options_.replica_count);
-    channel.target = options_.self % std::max<std::size_t>(1, channel.replica_routers.size());
+    channel.target_counter = options_.self % std::max<std::size_t>(1, channel.replica_routers.size());
     channel.instance_id = options_.instance_id + static_cast<std::uint32_t>(ledger);
   }
 }
 
-// ---------------------------------------------------------------- accounts
-
 std::int64_t QuotaLeaseClient::window_of(const Account& account, Time wall) {
   return is_bucket_rule(account) ? 0 : wall / budgets::window_length(account.rule.kind);
 }
 
-Units QuotaLeaseClient::block_of(const Account& account) const {
-  const double block = static_cast<double>(account.rule.amount) * options_.max_prefetch_fraction;
-  return std::max<Units>(1, static_cast<Units>(block));
+Units QuotaLeaseClient::max_prefetch(const Account& account) const {
+  const double max_units = static_cast<double>(account.rule.amount) * options_.max_prefetch_fraction;
+  return std::max<Units>(1, static_cast<Units>(max_units));
 }
 
-// The quota to lease ahead of need: the next request, and twice the use since the latest lease request; a
-// block at most, unless one request needs more.
-Units QuotaLeaseClient::target_in_hand(const Account& account) const {
-  const Units block = block_of(account);
-  const Units typical = account.typical_request > 0 ? account.typical_request : block / 2;
-  return std::max(typical, std::min(block, typical + 2 * account.used_since_request));
+// The quota to lease ahead of need: a typical request, and twice the use since the latest lease request. The
+// sum is at most max_prefetch(), unless a typical request needs more.
+Units QuotaLeaseClient::target_unreserved(const Account& account) const {
+  const Units max_units = max_prefetch(account);
+  const Units typical = account.typical_request > 0 ? account.typical_request : max_units / 2;
+  return std::max(typical, std::min(max_units, typical + 2 * account.used_since_request));
 }
 
-bool QuotaLeaseClient::is_short(const Account& account, const HeldLease& lease) const {
-  return lease.unreserved() < target_in_hand(account) / 2;
+bool QuotaLeaseClient::is_low(const Account& account, const HeldLease& lease) const {
+  return lease.unreserved() < target_unreserved(account) / 2;
 }
 
 QuotaLeaseClient::AccountIndex QuotaLeaseClient::open(const std::string& key,
@@ -70,8 +69,8 @@
   request_update(place, Urgency::at_once);
 }
 
-// A lease is a little shorter by this router's clock than by the replicas' clocks, whose rates may differ:
-// this router stops using the lease before a replica may declare it expired.
+// This router ends a lease a little earlier than the replicas do, because the rates of their clocks may
+// differ: this router stops using the lease before a replica may expire it.
 bool QuotaLeaseClient::is_within_lease(const Channel& channel) const {
   return now_ < channel.lease_until || options_.use_expired_leases;
 }
@@ -79,7 +78,7 @@
 // While a request is in flight, the next one is sent right after its response.
 void QuotaLeaseClient::request_update(AccountIndex place, Urgency urgency) {
   Account& account = accounts_[place];
-  account.is_changed = true;
+  account.needs_report = true;
   if (urgency != Urgency::at_once) return;
   Channel& channel = channels_[account.ledger];
   channel.is_urgent = true;
@@ -99,15 +98,16 @@
   account.reserved_at = now_;
   if (lease.unreserved() >= units && is_within_lease(channel)) {
     lease.reserved += units;
-    if (is_short(account, lease)) request_update(place, Urgency::at_once);
+    if (is_low(account, lease)) request_update(place, Urgency::at_once);
     return true;
   }
   ++metrics_.insufficient;
-  account.need = std::max(account.need, units);
-  // A ledger that had too little quota a moment ago hardly has more now.
-  const bool too_little = lease.known && lease.available + lease.unreserved() < units;
-  const bool is_fresh = now_ - lease.requested_at < kRetryAfterShortage;
-  request_update(place, too_little && is_fresh ? Urgency::with_next_request : Urgency::at_once);
+  account.required = std::max(account.required, units);
+  // A ledger that had too little quota a moment ago is unlikely to have more now.
+  const bool was_insufficient = lease.has_response && lease.available + lease.unreserved() < units;
+  const bool was_requested_recently = now_ - lease.requested_at < kRetryAfterShortage;
+  request_update(place,
+                 was_insufficient && was_requested_recently ? Urgency::with_next_request : Urgency::at_once);
   return reserve_overdraft(channel, account, lease, units);
 }
 
@@ -115,8 +115,8 @@
 bool QuotaLeaseClient::reserve_overdraft(const Channel& channel, Account& account, HeldLease& lease,
                                          Units units) {
   const auto requested = static_cast<double>(units);
-  const double most = options_.overdraft_fraction * static_cast<double>(account.rule.amount);
-  if (channel.has_majority || account.overdrawn + requested > most) return false;
+  const double max_overdraft = options_.overdraft_fraction * static_cast<double>(account.rule.amount);
+  if (channel.has_majority || account.overdrawn + requested > max_overdraft) return false;
   account.overdrawn += requested;
   ++metrics_.overdrawn;
   lease.reserved += units;
@@ -127,28 +127,29 @@
   now_ = std::max(now_, wall);
   Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, at));
-  if (found == account.leases.end()) return;  // its window has long passed
+  if (found == account.leases.end()) return;  // the window has long passed
   HeldLease& lease = found->second;
   lease.reserved = std::max<Units>(0, lease.reserved - reserved);
   lease.used = budgets::saturating_sum(lease.used, used);
   account.used_since_request = budgets::saturating_sum(account.used_since_request, used);
-  request_update(place, is_short(account, lease) ? Urgency::at_once : Urgency::with_next_request);
+  request_update(place, is_low(account, lease) ? Urgency::at_once : Urgency::with_next_request);
 }
 
-QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(AccountIndex place, Units wanted, Time wall) {
+QuotaLeaseClient::QuotaStatus QuotaLeaseClient::quota_status(AccountIndex place, Units requested, Time wall) {
   const Account& account = accounts_.at(place);
   const auto found = account.leases.find(window_of(account, wall));
-  const bool known = found != account.leases.end() && found->second.known;
-  const Units left =
-      known ? std::max<Units>(0, found->second.available + found->second.unreserved()) : account.rule.amount;
-  budgets::Limit limit(account.rule, {account.rule.amount, left, wall}, wall);
-  QuotaStatus status{.remaining = left,
+  const bool has_response = found != account.leases.end() && found->second.has_response;
+  const Units remaining = has_response
+                              ? std::max<Units>(0, found->second.available + found->second.unreserved())
+                              : account.rule.amount;
+  budgets::Limit limit(account.rule, {account.rule.amount, remaining, wall}, wall);
+  QuotaStatus status{.remaining = remaining,
                      .reset_after = limit.time_until_full(wall),
-                     .retry_after = limit.time_until(wanted, wall),
-                     .awaiting_lease = left >= wanted};
-  // A lease in flight, and a refill, take a moment to arrive at this router.
+                     .retry_after = limit.time_until(requested, wall),
+                     .awaiting_lease = remaining >= requested};
+  // A requested lease, and a refill of the ledger, take a moment to arrive at this router.
   if (status.retry_after && (status.awaiting_lease || is_bucket_rule(account))) {
-    status.retry_after = std::max(kAwaitingLeaseRetryAfter, *status.retry_after);
+    status.retry_after = std::max(kMinRetryAfterLease, *status.retry_after);
   }
   return status;
 }
@@ -181,8 +182,6 @@
   return statuses;
 }
 
-// ---------------------------------------------------------------- events
-
 void QuotaLeaseClient::tick(Time now) {
   now_ = std::max(now_, now);
   for (std::size_t ledger = 0; ledger < channels_.size(); ++ledger) {
@@ -235,8 +234,6 @@
   schedule();
 }
 
-// ---------------------------------------------------------------- operators
-
 void QuotaLeaseClient::send_to_replicas(std::size_t ledger, const std::string& envelope) {
   for (const std::size_t member : channels_[ledger].replica_routers) dependencies_.send(member, envelope);
 }
--- a/src/replication/quota_lease_client.hpp
+++ b/src/replication/quota_lease_client.hpp
@@ -1,12 +1,13 @@
-// This router's share of the group's limits: the client draws leases from the ledgers ahead of need, lets
-// requests use them without a message, reports the use, and gives back quota that it no longer needs.
+// This router's share of the group's limits. The client requests leases from the ledgers ahead of need, lets
+// requests use the leases without a message, reports the use, and gives back quota that is no longer needed.
 //
-// Guarantees: without an overdraft (strict) the client lets nothing beyond its leases be used, and nothing at
-// all once they have expired by its own clock. With an `overdraft` it goes on, up to that part of each limit,
-// while no majority of a ledger's replicas responds, and reports the use when one does.
+// Guarantees: without an overdraft (strict) the client grants nothing beyond its leases, and nothing at all
+// once the leases have expired by its clock. With an overdraft the client also grants up to that fraction of
+// each limit while no majority of a ledger's replicas responds, and reports the use when a majority responds.
 //
 // Sources: quota_lease_client.cpp (accounts, and events), quota_lease_channel.cpp (lease requests to a ledger
-// and their responses). No I/O and no clock of its own; all calls on one thread; times are microseconds.
+// and their responses). The client does no I/O and has no clock; all calls are on one thread; times are
+// microseconds.
 #pragma once
 
 #include <deque>
@@ -24,26 +25,26 @@
 namespace thornwick::replication {
 
 struct QuotaLeaseOptions {
-  std::size_t self = 0;  // this router, in the roster
+  std::size_t self = 0;  // index of this router in the roster
   std::size_t ledger_count = 1;
   std::size_t replica_count = 3;  // replicas of a ledger
   std::shared_ptr<const membership::Roster> roster;
-  std::uint32_t instance_id = 1;        // drawn by this process
-  double max_prefetch_fraction = 0.02;  // part of a limit that is leased ahead of need at most
-  Time lease_duration = seconds(6);     // duration, from the sending of the request
-  double max_clock_drift = 0.02;        // by how much two clocks' rates may differ, as a part
-  Time response_timeout = seconds(1);   // for a lease request
-  double overdraft_fraction = 0;        // part of each limit; 0: strict
-  bool use_expired_leases = false;      // a seeded fault that the tests have to find; for tests only
+  std::uint32_t instance_id = 1;        // random number of this process
+  double max_prefetch_fraction = 0.02;  // fraction of a limit that is leased ahead of need at most
+  Time lease_duration = seconds(6);     // counts from the sending of the request
+  double max_clock_drift = 0.02;        // difference of two clocks' rates at most, as a fraction
+  Time response_timeout = seconds(1);   // of a lease request
+  double overdraft_fraction = 0;        // fraction of each limit; 0: strict
+  bool use_expired_leases = false;      // a fault that tests switch on
 };
 
 // Counters since the start.
 struct QuotaLeaseCounters {
   std::uint64_t requests = 0;          // lease requests sent
-  std::uint64_t responses = 0;         // lease requests that were granted or refused by a leader
+  std::uint64_t responses = 0;         // lease requests to which a leader responded
   std::uint64_t rejections = 0;        // lease requests that the receiver did not accept
   std::uint64_t timeouts = 0;          // lease requests without a response in time
-  std::uint64_t insufficient = 0;      // reservations for which the lease had too little quota
+  std::uint64_t insufficient = 0;      // reservations that the lease could not cover
   std::uint64_t overdrawn = 0;         // reservations beyond the leases
   std::uint64_t new_sessions = 0;      // sessions begun after the first one of a ledger
   std::uint64_t clock_rejections = 0;  // rejections because this router's clock is far ahead
@@ -61,23 +62,24 @@
   void change(AccountIndex place, const budgets::LimitRule& rule) override;
   bool reserve(AccountIndex place, Units units, Time wall) override;
   void settle(AccountIndex place, Units reserved, Units used, Time at, Time wall) override;
-  QuotaStatus quota_status(AccountIndex place, Units wanted, Time wall) override;
+  QuotaStatus quota_status(AccountIndex place, Units requested, Time wall) override;
 
   void tick(Time now);
-  // When the next tick() is due.
+  // The time at which the next tick() is due.
   Time next_tick() const { return next_; }
-  // Handles a ledger's response. Ignores other messages.
+  // Handles a ledger's response. Ignores messages of other kinds, and bodies that cannot be decoded.
   void on_message(Time now, std::size_t member, std::size_t ledger, MessageKind kind, std::string_view body);
   // Reports all use and gives all leases back, with one message per ledger, before the process ends.
   void leave(Time now);
   // Whether each ledger has responded to the message of leave().
   bool has_left() const;
 
-  // Pass an operator's request on to the ledgers. `done` is called once. A replacement is accepted when every
+  // Send an operator's request to the ledgers, and call `done` once. A replacement is accepted when every
   // ledger has accepted it.
   void correct(Time now, const Correction& correction, OperatorRequests::Done done);
   void replace(Time now, const Replacement& replacement, OperatorRequests::Done done);
-  // Key, rule and current window of an account, for a correction. None if this router has no such account.
+  // Returns key, rule and current window of an account, for a correction. None if this router has no such
+  // account.
   std::optional<LeaseRequestLine> describe_account(const std::string& key, Time wall) const;
 
   // Whether a majority of the ledger's replicas responds.
@@ -89,7 +91,7 @@
   }
   const QuotaLeaseCounters& metrics() const { return metrics_; }
 
-  // One window of one account, for operators.
+  // The state of one window of one account, for operators.
   struct WindowStatus {
     std::string key;
     std::int64_t window = 0;
@@ -102,33 +104,33 @@
   std::vector<WindowStatus> window_statuses() const;
 
  private:
-  static constexpr Time kMinRequestInterval = milliseconds(20);  // between two requests to one ledger
+  static constexpr Time kMinRequestInterval = milliseconds(20);  // time between two requests to one ledger
 
-  // The lease of one window of one account; sums since the session began.
+  // The lease of one window of one account. Amounts are sums since the session began.
   struct HeldLease {
-    Units granted = 0;  // never more than in the ledger: quota given back leaves here as it is sent
+    Units granted = 0;  // at most the ledger's value: quota to give back is subtracted when sent
     Units used = 0;
     Units reserved = 0;
-    Units available = 0;  // in the ledger, by its latest response
-    Units reported = 0;   // part of `used` that the ledger has confirmed
-    Units reporting = 0;  // part of `used` in the request in flight
-    bool known = false;   // a response has come
+    Units available = 0;        // quota in the ledger, from its latest response
+    Units reported_use = 0;     // part of `used` that the ledger has confirmed
+    Units used_in_flight = 0;   // value of `used` that the latest request reports
+    bool has_response = false;  // the ledger has responded for this window
     Time requested_at = 0;
-    // Quota that reservations may still use.
+    // Quota that further reservations may use.
     Units unreserved() const { return granted - used - reserved; }
   };
-  // One account, and its leases of all windows in use.
+  // One account, and the leases of its windows in use.
   struct Account {
     std::string key;
     budgets::LimitRule rule;
     std::size_t ledger = 0;
-    std::map<std::int64_t, HeldLease> leases;  // by window, three at most
-    Units typical_request = 0;                 // the largest recent one, decaying
+    std::map<std::int64_t, HeldLease> leases;  // by window number, three at most
+    Units typical_request = 0;                 // largest recent request; decays with each request
     Units used_since_request = 0;
-    Units need = 0;        // of a client's request for which there was too little quota
-    Time reserved_at = 0;  // latest attempt of a reservation
+    Units required = 0;    // quota of a client's request that the lease could not cover
+    Time reserved_at = 0;  // time of the latest reservation, granted or not
     double overdrawn = 0;
-    bool is_changed = true;  // has use to report, or quota to request
+    bool needs_report = true;  // there is use to report, or quota to request
   };
   struct RequestedWindow {
     AccountIndex place = 0;
@@ -136,23 +138,24 @@
   };
   // This router's session with one ledger.
   struct Channel {
-    std::uint64_t number = 0;       // of the latest request
-    std::uint32_t instance_id = 0;  // of the session
-    bool is_waiting = false;        // for a lease request
+    std::uint64_t request_number = 0;  // number of the latest request
+    std::uint32_t instance_id = 0;     // instance id of the session
+    bool is_waiting = false;           // a lease request is in flight
     bool has_majority = false;
-    bool is_urgent = false;  // the next request is sent right after the response
+    bool is_urgent = false;  // the next request is sent right after the current response
     bool is_new = true;      // the session has no response yet
     bool has_left = false;   // the ledger has responded to the message of leave()
     Time sent_at = 0;
     Time lease_until = 0;
-    Time due_at = 0;  // when the next request is due, or the current one times out
-    std::vector<RequestedWindow> requested_windows;  // of the request in flight, in its order
-    std::size_t target = 0;  // counter; modulo the size of `replica_routers` the receiver of requests
+    Time due_at = 0;  // when the next request is due, or the request in flight times out
+    std::vector<RequestedWindow> requested_windows;  // windows of the request in flight, in order
+    // Modulo the size of `replica_routers`, the index of the receiver of requests.
+    std::size_t target_counter = 0;
     std::vector<std::size_t> replica_routers;
     std::vector<AccountIndex> accounts;
-    std::size_t next_account = 0;  // counter; modulo the number of accounts the first one of the next request
+    std::size_t account_counter = 0;  // modulo the size of `accounts`, the first one of the next request
   };
-  // When an account's change is sent to the ledger.
+  // The time at which an account's change is sent to the ledger.
   enum class Urgency : std::uint8_t { with_next_request, at_once };
 
   // Accounts.
@@ -160,9 +163,9 @@
     return account.rule.kind == budgets::LimitKind::bucket;
   }
   static std::int64_t window_of(const Account& account, Time wall);
-  Units block_of(const Account& account) const;
-  Units target_in_hand(const Account& account) const;
-  bool is_short(const Account& account, const HeldLease& lease) const;
+  Units max_prefetch(const Account& account) const;
+  Units target_unreserved(const Account& account) const;
+  bool is_low(const Account& account, const HeldLease& lease) const;
   bool is_within_lease(const Channel& channel) const;
   bool reserve_overdraft(const Channel& channel, Account& account, HeldLease& lease, Units units);
   void request_update(AccountIndex place, Urgency urgency);
--- a/src/replication/raft_io_adapter.cpp
+++ b/src/replication/raft_io_adapter.cpp
@@ -8,8 +8,9 @@
 namespace thornwick::replication {
 namespace {
 
-// Messages that may wait for the disk. Further ones are dropped, as a network would.
-constexpr std::size_t kMostHeldMessages = 4096;
+// The maximum number of messages that wait for the disk. Further messages are dropped, as a network may do,
+// too.
+constexpr std::size_t kMaxHeldMessages = 4096;
 constexpr int kIoVersion = 2;
 constexpr int kFsmVersion = 1;
 
@@ -22,8 +23,6 @@
 RaftIoAdapter::RaftIoAdapter(const raft& raft, Consensus::Dependencies dependencies, Time now)
     : raft_(raft), dependencies_(std::move(dependencies)), now_(now), store_(dependencies_.records) {}
 
-// ---------------------------------------------------------------- interfaces
-
 raft_io* RaftIoAdapter::connect_io() {
   io_ = {};
   io_.version = kIoVersion;
@@ -43,9 +42,9 @@
     return 0;
   };
   io_.time = [](raft_io* io) { return static_cast<raft_time>(from(io).now_ / milliseconds(1)); };
-  io_.random = [](raft_io* io, int least, int most) {
-    const auto range = static_cast<std::uint64_t>(std::max(1, most - least));
-    return least + static_cast<int>(from(io).dependencies_.random_number() % range);
+  io_.random = [](raft_io* io, int min, int max) {
+    const auto range = static_cast<std::uint64_t>(std::max(1, max - min));
+    return min + static_cast<int>(from(io).dependencies_.random_number() % range);
   };
   io_.async_work = [](raft_io* io, raft_io_async_work* request, raft_io_async_work_cb done) {
     from(io).completions_.emplace_back([request, done] { done(request, request->work(request)); });
@@ -122,16 +121,14 @@
   return &fsm_;
 }
 
-// Reports waiting writes as durable, not as cancelled: for each cancelled write the library would take its
-// entries off a log that may have been truncated since. No message is sent after this call.
+// Reports waiting writes as durable, not as cancelled: for each cancelled write the library would remove the
+// write's entries from a log that may have been truncated since. No message is sent after this call.
 void RaftIoAdapter::close(raft_io_close_cb done) {
   for (auto& waiter : std::exchange(disk_waiters_, {})) waiter.done();
   for (auto& completion : std::exchange(completions_, {})) completion();
   done(&io_);
 }
 
-// ---------------------------------------------------------------- storage
-
 void RaftIoAdapter::load(raft_term* term, raft_id* voted_for, raft_snapshot** snapshot,
                          raft_index* start_index, raft_entry** entries, std::size_t* count) {
   *term = store_.vote().term;
@@ -146,7 +143,7 @@
   *count = in_order.size();
 }
 
-// The library frees the result.
+// Returns a copy of the stored snapshot, which the library frees.
 raft_snapshot* RaftIoAdapter::stored_snapshot() const {
   const StoredSnapshot& stored = store_.snapshot();
   auto* snapshot = raft_array<raft_snapshot>(1);
@@ -186,12 +183,12 @@
 }
 
 void RaftIoAdapter::on_vote_written() {
-  send_barrier_ = dependencies_.records.last_write_number();
+  next_required_write_ = dependencies_.records.last_write_number();
   when_durable([this, term = store_.vote().term] { durable_position_.term = term; });
 }
 
-// The position never goes back: entries that are truncated before they are durable are replaced by entries of
-// a later term.
+// The durable position never goes back: entries that are truncated before they are durable are replaced by
+// entries of a later term.
 void RaftIoAdapter::on_log_written() {
   when_durable([this, last_term = store_.last_term(), last_index = store_.last_index()] {
     durable_position_.last_term = last_term;
@@ -201,13 +198,11 @@
 
 void RaftIoAdapter::on_durable(std::uint64_t number) { durable_number_ = std::max(durable_number_, number); }
 
-// ---------------------------------------------------------------- messages
-
 void RaftIoAdapter::receive(raft_message& message) { on_receive_(&io_, &message); }
 
-// When the records of an append are durable, the library sends the result to the leader of that moment. If
-// this replica has no leader any more, or is a candidate, the library's union has other data in the place of
-// the leader's address.
+// Guards against a wrong receiver address. When the records of an append are durable, the library sends the
+// result to the current leader. If this replica no longer has a leader, or is a candidate, the library's
+// union has other data in the place of the leader's address.
 bool RaftIoAdapter::is_expected_by_receiver(const raft_message& result) const {
   if (sender_address_ != nullptr && result.server_address == sender_address_) return true;
   if (raft_.state != RAFT_FOLLOWER) return false;
@@ -220,61 +215,59 @@
     return RAFT_NOCONNECTION;
   }
   auto body = protocol_message(message);
-  if (body && held_messages_.size() < kMostHeldMessages) {
+  if (body && held_messages_.size() < kMaxHeldMessages) {
     if (auto* result = std::get_if<AppendEntriesResult>(&*body)) {
       verified_.limit(*result, raft_.commit_index);
     }
     held_messages_.push_back(
-        {send_barrier_, message.server_id, name_of(message.server_address), encode(std::move(*body))});
+        {next_required_write_, message.server_id, name_of(message.server_address), encode(std::move(*body))});
   }
   completions_.emplace_back([request, done] { done(request, 0); });
   return 0;
 }
 
-void RaftIoAdapter::restart_sending() {
+void RaftIoAdapter::reset_sending() {
   held_messages_.clear();
-  send_barrier_ = dependencies_.records.last_write_number();
+  next_required_write_ = dependencies_.records.last_write_number();
 }
 
-// ---------------------------------------------------------------- pending work
-
-// Repeats until nothing was run, because a completion may queue writes and completions.
+// Repeats until nothing has run, because a completion may queue writes and further completions.
 void RaftIoAdapter::run_pending() {
-  if (std::exchange(running_pending_, true)) return;
-  bool more = true;
-  while (more) {
+  if (std::exchange(is_running_pending_, true)) return;
+  bool has_more = true;
+  while (has_more) {
     const bool ran_waiters = run_durable_waiters();
     const bool ran_completions = run_completions();
     send_held();
-    more = ran_waiters || ran_completions;
+    has_more = ran_waiters || ran_completions;
   }
-  running_pending_ = false;
+  is_running_pending_ = false;
 }
 
 bool RaftIoAdapter::run_durable_waiters() {
-  bool any = false;
-  while (!disk_waiters_.empty() && disk_waiters_.front().mark <= durable_number_) {
+  bool ran_any = false;
+  while (!disk_waiters_.empty() && disk_waiters_.front().required_write <= durable_number_) {
     const auto done = std::move(disk_waiters_.front().done);
     disk_waiters_.pop_front();
     done();
-    any = true;
+    ran_any = true;
   }
-  return any;
+  return ran_any;
 }
 
 bool RaftIoAdapter::run_completions() {
-  bool any = false;
+  bool ran_any = false;
   while (!completions_.empty()) {
     const auto done = std::move(completions_.front());
     completions_.pop_front();
     done();
-    any = true;
+    ran_any = true;
   }
-  return any;
+  return ran_any;
 }
 
 void RaftIoAdapter::send_held() {
-  while (!held_messages_.empty() && held_messages_.front().barrier <= durable_number_) {
+  while (!held_messages_.empty() && held_messages_.front().required_write <= durable_number_) {
     HeldMessage message = std::move(held_messages_.front());
     held_messages_.pop_front();
     dependencies_.send(message.receiver, message.receiver_name, std::move(message.bytes));
--- a/src/replication/raft_io_adapter.hpp
+++ b/src/replication/raft_io_adapter.hpp
@@ -1,7 +1,8 @@
-// C-Raft's I/O and state machine interfaces, implemented over the callbacks of a Consensus.
+// Implements C-Raft's I/O and state machine interfaces with the callbacks of a Consensus.
 //
-// Nothing is sent before the term and the vote that it speaks of are durable, and an entry counts as stored
-// when it is durable. Completions are queued and run from run_pending(), never within the library's own call.
+// A message is sent only when the term and the vote that the message reports are durable, and an entry counts
+// as stored when the entry is durable. Completions are queued and run from run_pending(), never within the
+// library's own call.
 #pragma once
 
 #include <cstdint>
@@ -16,54 +17,58 @@
 
 namespace thornwick::replication {
 
-// The library wants addresses of servers to differ, and one router's name may have an old and a new disk for
-// a while.
+// The address of a replica for the library, "name#id". The library requires different addresses of servers,
+// and one router's name may have an old and a new disk for a while.
 std::string address_of(ReplicaUid id, const std::string& name);
+// The router's name in an address.
 std::string name_of(std::string_view address);
 
 class RaftIoAdapter {
  public:
-  // `raft` is the library's instance that is given io() and fsm(); both outlive its last call to them.
+  // `raft` is the library's instance that uses connect_io() and connect_fsm(). This adapter has to outlive
+  // that instance's last call.
   RaftIoAdapter(const raft& raft, Consensus::Dependencies dependencies, Time now);
   RaftIoAdapter(const RaftIoAdapter&) = delete;
   RaftIoAdapter& operator=(const RaftIoAdapter&) = delete;
 
-  // Interfaces for raft_init, set up anew: the library keeps state of its own in them.
+  // Set up and return the interfaces for raft_init. The library keeps state in them, so each raft_init needs
+  // a new call.
   raft_io* connect_io();
   raft_fsm* connect_fsm();
 
   LogStore& store() { return store_; }
   const LogStore& store() const { return store_; }
-  // What of the log is durable.
-  Position& durable_position() { return durable_position_; }
-  const Position& durable_position() const { return durable_position_; }
+  // The position up to which the log is durable.
+  LogPosition& durable_position() { return durable_position_; }
+  const LogPosition& durable_position() const { return durable_position_; }
   LogView log_view() const { return {raft_, store_.next_index()}; }
   VerifiedPrefix& verified() { return verified_; }
 
   void set_time(Time now) { now_ = now; }
   void on_durable(std::uint64_t number);
-  // Whether the library has started and can be ticked.
+  // Whether the library has started, so that tick() may be called.
   bool is_started() const { return on_tick_ != nullptr; }
   void tick() { on_tick_(&io_); }
-  // Hands a message to the library, which keeps the sender's address to send its result there.
+  // Passes a message to the library, which keeps the sender's address for the response.
   void receive(raft_message& message);
-  // Sets the address from which the message came that receive() is about to handle; null after it was
+  // Sets the sender's address of the message that the next receive() handles; null after the message was
   // handled.
   void set_sender(const char* address) { sender_address_ = address; }
-  // Runs completions and sends messages whose records are durable. Does nothing while it is running.
+  // Runs completions, and sends messages whose records are durable. Does nothing when called from within
+  // itself.
   void run_pending();
-  // Drops messages that wait, and holds later ones until all that was written so far is durable.
-  void restart_sending();
+  // Drops the messages that wait, and holds later messages until all writes so far are durable.
+  void reset_sending();
 
  private:
   struct HeldMessage {
-    std::uint64_t barrier = 0;  // number of the records that have to be durable first
+    std::uint64_t required_write = 0;  // number of the write that has to be durable first
     ReplicaUid receiver = 0;
     std::string receiver_name;
     std::string bytes;
   };
   struct DiskWaiter {
-    std::uint64_t mark = 0;
+    std::uint64_t required_write = 0;
     std::function<void()> done;
   };
 
@@ -93,18 +98,18 @@
   Consensus::Dependencies dependencies_;
   Time now_;
   LogStore store_;
-  Position durable_position_;
+  LogPosition durable_position_;
   VerifiedPrefix verified_;
   raft_io io_{};
   raft_fsm fsm_{};
   raft_io_tick_cb on_tick_ = nullptr;
   raft_io_recv_cb on_receive_ = nullptr;
   std::uint64_t durable_number_ = 0;
-  std::uint64_t send_barrier_ = 0;  // of messages that are sent from now on
+  std::uint64_t next_required_write_ = 0;  // required write of the messages that are sent from now on
   std::deque<HeldMessage> held_messages_;
   std::deque<DiskWaiter> disk_waiters_;
   std::deque<std::function<void()>> completions_;
-  bool running_pending_ = false;
+  bool is_running_pending_ = false;
   const char* sender_address_ = nullptr;
 };
 
--- a/src/replication/raft_memory.cpp
+++ b/src/replication/raft_memory.cpp
@@ -5,7 +5,7 @@
 namespace thornwick::replication {
 namespace {
 
-constexpr std::size_t kLeastAllocation = 8;
+constexpr std::size_t kMinAllocationBytes = 8;
 
 class ScopedConfiguration {
  public:
@@ -24,7 +24,7 @@
 }  // namespace
 
 raft_buffer raft_buffer_of(std::string_view bytes) {
-  raft_buffer buffer{raft_malloc(std::max(kLeastAllocation, bytes.size())), bytes.size()};
+  raft_buffer buffer{raft_malloc(std::max(kMinAllocationBytes, bytes.size())), bytes.size()};
   if (buffer.base == nullptr) throw std::bad_alloc();
   std::memcpy(buffer.base, bytes.data(), bytes.size());
   return buffer;
--- a/src/replication/raft_messages.cpp
+++ b/src/replication/raft_messages.cpp
@@ -8,8 +8,8 @@
 namespace thornwick::replication {
 namespace {
 
-// The layout of every type on the wire. The meaning of a number depends on the type: see the map_fields()
-// overloads below.
+// The layout of every type on the wire. The meaning of a numbered field depends on the type: see the
+// map_fields() overloads below.
 struct WireMessage {
   std::uint16_t type = 0;
   std::uint64_t term = 0;
@@ -26,13 +26,10 @@
                  data)
 };
 
-// ---------------------------------------------------------------- fields
-//
-// Each map_fields() calls `copy(field, other_field)` for the corresponding fields of a message of this module
-// and of its other form, which is the wire layout or C-Raft's struct. The direction of `copy` makes one list
-// of fields serve reading and writing. Fields that own memory, or that have to be checked, are handled by
-// read_owned(), fill_owned() and is_valid() below.
-
+// Each map_fields() calls `copy(field, other_field)` for each field of a message and the corresponding field
+// of the message's other form, which is the wire layout or C-Raft's struct. `copy` copies in one direction,
+// so that one list of fields serves reading and writing. Fields that own memory, or that have to be checked,
+// are handled by read_owned(), fill_owned() and is_valid() below.
 template <typename Copy>
 void map_fields(AppendEntries& message, WireMessage& wire, Copy copy) {
   copy(message.term, wire.term);
@@ -138,8 +135,6 @@
   other = static_cast<std::remove_reference_t<decltype(other)>>(std::move(field));
 };
 
-// ---------------------------------------------------------------- types
-
 // The type of a message in C-Raft and on the wire, and its struct in C-Raft's union.
 template <typename Message>
 struct MessageTraits;
@@ -175,8 +170,7 @@
   static constexpr auto kBody = &raft_message::timeout_now;
 };
 
-// Calls `read` with an empty message of this type. Returns none for a type that is not one of
-// ProtocolMessage.
+// Calls `read` with an empty message of this type. Returns none for a type that is not in ProtocolMessage.
 template <typename Read>
 std::optional<ProtocolMessage> read_by_type(int type, Read read) {
   switch (type) {
@@ -190,8 +184,6 @@
   }
 }
 
-// ---------------------------------------------------------------- fields that own memory
-
 template <typename Message, typename Body>
 void read_owned(Message&, const Body&) {}
 
@@ -217,7 +209,7 @@
   body.data = raft_buffer_of(message.data);
 }
 
-// Whether all fields of the wire layout are in their range.
+// Whether all fields of the wire layout are in their range. Only the result of a pre-vote has a range.
 template <typename Message>
 bool is_valid(const WireMessage& wire) {
   if constexpr (!std::is_same_v<Message, RequestVoteResult>) return true;
--- a/src/replication/raft_messages.hpp
+++ b/src/replication/raft_messages.hpp
@@ -1,7 +1,8 @@
-// The messages of the consensus protocol: typed, as bytes between routers, and as C-Raft's struct.
+// The messages of the consensus protocol in three forms: typed structs, bytes between routers, and C-Raft's
+// struct.
 //
-// All types share one layout on the wire (WireMessage in raft_messages.cpp), which is fixed. The names of
-// fields are those of the Raft paper (Ongaro and Ousterhout, "In Search of an Understandable Consensus
+// All types share one layout on the wire (WireMessage in raft_messages.cpp), which must not change. The names
+// of fields are those of the Raft paper (Ongaro and Ousterhout, "In Search of an Understandable Consensus
 // Algorithm", 2014) and of the library.
 #pragma once
 
@@ -26,7 +27,7 @@
 };
 struct AppendEntriesResult {
   std::uint64_t term = 0;
-  std::uint64_t rejected = 0;  // index that did not match; 0: accepted
+  std::uint64_t rejected = 0;  // index of the entry that did not match; 0: accepted
   std::uint64_t last_log_index = 0;
 };
 struct RequestVote {
@@ -59,14 +60,14 @@
 using ProtocolMessage = std::variant<AppendEntries, AppendEntriesResult, RequestVote, RequestVoteResult,
                                      InstallSnapshot, TimeoutNow>;
 
-// Copies the library's message. None for a type that is not one of ProtocolMessage.
+// Copies the library's message. Returns none for a type that is not in ProtocolMessage.
 std::optional<ProtocolMessage> protocol_message(const raft_message& message);
 // Sets the type and the body of `message`; the caller sets the sender. The library frees the memory that the
 // body points to.
 void fill_raft_message(raft_message& message, ProtocolMessage body);
 
 std::string encode(ProtocolMessage message);
-// None if the bytes are no such message.
+// Decodes the bytes of encode(). Returns none if the bytes cannot be decoded.
 std::optional<ProtocolMessage> decode_message(std::string_view bytes);
 
 }  // namespace thornwick::replication
--- a/src/replication/replication_node.cpp
+++ b/src/replication/replication_node.cpp
@@ -42,8 +42,6 @@
       std::make_unique<LedgerReplica>(std::move(options), std::move(dependencies), stored, now);
 }
 
-// ---------------------------------------------------------------- events
-
 void ReplicationNode::tick(Time now) {
   for (auto& [ledger, replica] : ledger_replicas_) replica->tick(now);
   if (now >= quota_client_->next_tick()) quota_client_->tick(now);
@@ -71,8 +69,6 @@
   is_delivering_to_self_ = false;
 }
 
-// ---------------------------------------------------------------- messages
-
 void ReplicationNode::send(std::size_t member, std::string bytes) {
   if (member == options_.replica.self) {
     to_self_.push_back(std::move(bytes));
@@ -100,7 +96,7 @@
     quota_client_->on_message(now, member, ledger, kind, header->body);
     return;
   }
-  if (kind == MessageKind::hello) open_if_wanted(ledger, header->body, now);
+  if (kind == MessageKind::hello) open_if_placed(ledger, header->body, now);
   const auto replica = ledger_replicas_.find(ledger);
   if (replica != ledger_replicas_.end()) {
     replica->second->on_message(now, member, kind, header->body);
@@ -109,7 +105,7 @@
   }
 }
 
-// Counts the message. Writes the log line once.
+// Counts a message of another version. Writes a log line for the first one only.
 void ReplicationNode::on_other_version(std::size_t member, std::uint8_t version) {
   ++metrics_.other_version;
   if (std::exchange(version_logged_, true)) return;
@@ -119,19 +115,19 @@
                                                  std::to_string(kVersion) + ": its messages are ignored");
 }
 
-// Opens a replica if the leader's hello names this router, which it does when this router has taken another
-// one's place.
-void ReplicationNode::open_if_wanted(std::size_t ledger, std::string_view hello_body, Time now) {
+// Opens a replica if the leader's hello names this router, which happens when this router has replaced
+// another one.
+void ReplicationNode::open_if_placed(std::size_t ledger, std::string_view hello_body, Time now) {
   if (ledger_replicas_.contains(ledger)) return;
   const auto hello = read<Hello>(hello_body);
   if (!hello) return;
-  const std::string& own_name = options_.replica.roster->at(options_.replica.self).name;
-  const bool is_wanted = std::find(hello->placed_routers.begin(), hello->placed_routers.end(), own_name) !=
+  const std::string& local_name = options_.replica.roster->at(options_.replica.self).name;
+  const bool is_placed = std::find(hello->placed_routers.begin(), hello->placed_routers.end(), local_name) !=
                          hello->placed_routers.end();
-  if (is_wanted) open(ledger, now);
+  if (is_placed) open(ledger, now);
 }
 
-// Sends the placement of the replicas to the sender of the request.
+// Responds to a lease request for a ledger without a replica here, with the routers that have replicas.
 void ReplicationNode::reject_without_replica(std::size_t member, std::size_t ledger,
                                              std::string_view request_body) {
   const LedgerReplicaOptions& replica = options_.replica;
--- a/src/replication/replication_node.hpp
+++ b/src/replication/replication_node.hpp
@@ -1,7 +1,7 @@
-// One router's part in replicated ledgers: its quota lease client, and its replicas of some ledgers. It
-// passes messages, ticks and durable writes on to them.
+// One router's quota lease client, and its replicas of some ledgers. The node passes messages, ticks and
+// durable writes on to them.
 //
-// No I/O and no clock of its own; all calls on one thread; times are microseconds.
+// The node does no I/O and has no clock; all calls are on one thread; times are microseconds.
 #pragma once
 
 #include <deque>
@@ -14,11 +14,11 @@
 namespace thornwick::replication {
 
 struct Options {
-  LedgerReplicaOptions replica;  // of each replica; ReplicationNode sets `ledger`
+  LedgerReplicaOptions replica;  // options of each replica; ReplicationNode sets `ledger`
   QuotaLeaseOptions quota_client;
 };
 
-// Messages since the start; those to this router itself count as neither received nor sent.
+// Counters of messages since the start. Messages of this router to itself count as neither received nor sent.
 struct MessageCounters {
   std::uint64_t received = 0;
   std::uint64_t unreadable = 0;
@@ -29,13 +29,13 @@
 
 class ReplicationNode {
  public:
-  // Services of the owner. All of them have to outlive the node.
+  // Services of the owner, which have to outlive the node.
   struct Dependencies {
     std::function<Records&(std::size_t ledger)> records;
     // Calls the visitor with each stored record of a ledger, in the order of their keys.
     std::function<void(std::size_t ledger, const RecordVisitor&)> stored;
     std::function<std::uint64_t()> random_number;
-    // Sends a message to another router. It may lose messages.
+    // Sends a message to another router. Messages may be lost.
     std::function<void(std::size_t member, std::string bytes)> send;
     LogSink write_log;
   };
@@ -45,10 +45,10 @@
   void tick(Time now);
   // Reports that all writes up to this number are durable.
   void on_durable(Time now, std::uint64_t number);
-  // Handles a message from a member of the roster. Counts and drops a message that cannot be read.
+  // Handles a message from a member of the roster. Counts and drops a message that cannot be decoded.
   void on_message(Time now, std::size_t member, std::string_view bytes);
-  // Delivers messages of this router to itself. The owner calls it after it has called the quota lease
-  // client.
+  // Delivers the messages of this router to itself. The owner calls this function after each call of the
+  // quota lease client.
   void deliver_to_self(Time now);
 
   QuotaLeaseClient& quota_client() { return *quota_client_; }
@@ -64,7 +64,7 @@
   void send(std::size_t member, std::string bytes);
   void deliver(Time now, std::size_t member, std::string_view bytes);
   void on_other_version(std::size_t member, std::uint8_t version);
-  void open_if_wanted(std::size_t ledger, std::string_view hello_body, Time now);
+  void open_if_placed(std::size_t ledger, std::string_view hello_body, Time now);
   void reject_without_replica(std::size_t member, std::size_t ledger, std::string_view request_body);
 
   Options options_;
--- a/tests/replication/ledger.cpp
+++ b/tests/replication/ledger.cpp
@@ -1,5 +1,5 @@
-// The ledger and the quota lease client without consensus: arithmetic, repeated requests, and a lease that
-// expires. The tests choose the order of all events.
+// Tests of the ledger and the quota lease client without consensus: arithmetic, repeated requests, and a
+// lease that expires. The tests choose the order of all events.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -49,7 +49,7 @@
 constexpr Units kRefillPerSecond = 1'000;
 constexpr Units kRequest = 1'000;
 
-// Two quota lease clients that share one ledger. Messages are delivered when the test says so.
+// Two quota lease clients that share one ledger. Messages are delivered by calls of the test.
 class SharedLedger {
  public:
   explicit SharedLedger(LeaseExpiry expiry) {
@@ -76,7 +76,7 @@
     }
   }
 
-  // Expires the sessions of a router, as a leader does that gets no request of it.
+  // Expires the sessions of a router, as a leader does that gets no request from that router.
   void expire_sessions(std::size_t router) {
     Command command = next_command(CommandKind::expiry);
     for (const auto& [session, state] : ledger_.sessions()) {
@@ -131,8 +131,8 @@
   std::vector<std::string> sent_[2];
 };
 
-// r0 has a lease and is suspended for longer than the lease. The burst is refilled, r1 uses all of it, and r0
-// resumes. Returns the quota that both used beyond the burst and the refill.
+// r0 has a lease and is suspended for longer than the lease. The burst is refilled, r1 uses the whole burst,
+// and r0 resumes. Returns the quota that both routers used beyond the burst and the refill.
 Units used_beyond_limit(LeaseExpiry expiry) {
   SharedLedger shared(expiry);
   shared.pass_messages(0);
@@ -149,8 +149,8 @@
 
 }  // namespace
 
-TEST_CASE("a ledger: a unit is available, in one lease, or charged") {
-  rc::check("whatever is requested, repeated, corrected, expired", [] {
+TEST_CASE("a ledger: each unit is either available, or in one lease, or charged") {
+  rc::check("after any requests, repeats, corrections and expiries", [] {
     Ledger ledger;
     struct Sent {
       std::uint64_t number = 0;
@@ -166,7 +166,7 @@
       const auto span = static_cast<std::uint8_t>(*rc::gen::inRange(0, 2));
       if (kind < 5) {
         used += *rc::gen::inRange(0, 200);
-        number += kind == 0 ? 0 : 1;  // a repeat now and then
+        number += kind == 0 ? 0 : 1;  // sometimes a repeated request
         apply_request(ledger, session, std::max<std::uint64_t>(1, number),
                       request_line(used, *rc::gen::inRange(0, 500), *rc::gen::inRange(0, 300), span,
                                    *rc::gen::inRange(5, 9)),
@@ -191,15 +191,14 @@
   });
 }
 
-TEST_CASE(
-    "a ledger: repeated and overtaken lease requests change nothing, and a correction is applied once") {
+TEST_CASE("a ledger: repeated and late lease requests change nothing, and a correction is applied once") {
   Ledger ledger;
   const Session session = session_of(1, 1);
   CHECK(apply_request(ledger, session, 1, request_line(0, 300, 300))->response->lines[0].granted == 300);
   CHECK(apply_request(ledger, session, 2, request_line(100, 300, 300))->response->lines[0].granted == 400);
   const std::string before = ledger.snapshot();
   CHECK_FALSE(apply_request(ledger, session, 2, request_line(100, 300))->response);
-  CHECK_FALSE(apply_request(ledger, session, 1, request_line(0, 0))->response);  // an overtaken request
+  CHECK_FALSE(apply_request(ledger, session, 1, request_line(0, 0))->response);  // a late request
   CHECK(ledger.snapshot() == before);
   CHECK(apply_request(ledger, session, 3, request_line(150, 50))->response->lines[0].available == 800);
   Command command(CommandKind::correction);
@@ -223,7 +222,7 @@
 }
 
 TEST_CASE(
-    "a quota lease client: suspended for longer than its lease, it uses no quota that others may have got") {
+    "a quota lease client that was suspended for longer than its lease uses no quota that others may have") {
   CHECK(used_beyond_limit(LeaseExpiry::respected) <= 0);
-  CHECK(used_beyond_limit(LeaseExpiry::ignored) > 0);  // the seeded fault
+  CHECK(used_beyond_limit(LeaseExpiry::ignored) > 0);  // the fault that the test switches on
 }
--- a/tests/replication/replica_placement.cpp
+++ b/tests/replication/replica_placement.cpp
@@ -1,4 +1,4 @@
-// The placement of ledger replicas, which depends on the routers' names alone.
+// Tests of the placement of ledger replicas, which depends on the configured routers alone.
 #include "replication/replica_placement.hpp"
 
 #include <catch2/catch.hpp>
@@ -35,7 +35,8 @@
 
 }  // namespace
 
-TEST_CASE("placement: never two replicas on one machine, and three sites bear the loss of one") {
+TEST_CASE(
+    "placement: a machine has one replica of a ledger at most, and three sites survive the loss of one") {
   for (const std::size_t replicas : {3, 5}) {
     for (const std::size_t sites : {1, 2, 3, 4}) {
       const auto roster = make_roster(60, sites, 2);
@@ -52,24 +53,23 @@
 }
 
 TEST_CASE(
-    "placement: a router has few ledger replicas in a group of any size, and a replaced router hands over "
-    "its "
-    "places") {
+    "placement: a router has few ledger replicas in a group of any size, and a replaced router's replicas "
+    "move to its replacement") {
   for (const std::size_t routers : {3, 9, 50, 300}) {
     const auto roster = make_roster(routers, 3);
     CHECK(ledger_count_for(routers) <= 16);
     std::size_t placed = 0;
-    std::size_t most_of_a_router = 0;
+    std::size_t max_per_router = 0;
     std::vector<std::size_t> placed_by_router(routers, 0);
     for (std::size_t ledger = 0; ledger < ledger_count_for(routers); ++ledger) {
       for (const std::size_t member : place_replicas(roster, ledger, 3)) {
         ++placed;
         ++placed_by_router[member];
-        most_of_a_router = std::max(most_of_a_router, placed_by_router[member]);
+        max_per_router = std::max(max_per_router, placed_by_router[member]);
       }
     }
     CHECK(placed == 3 * ledger_count_for(routers));
-    CHECK(most_of_a_router <= 6);
+    CHECK(max_per_router <= 6);
   }
   const auto roster = make_roster(9, 3);
   for (std::size_t ledger = 0; ledger < 3; ++ledger) {
--- a/tests/replication/virtual_time.cpp
+++ b/tests/replication/virtual_time.cpp
@@ -1,5 +1,5 @@
-// Ledgers, quota lease clients and disks in virtual time, under fault scripts. The simulation counts the
-// granted quota independently of the ledgers.
+// Tests of ledgers, quota lease clients and disks in virtual time, under fault scripts. The simulation counts
+// the granted quota independently of the ledgers.
 #include <catch2/catch.hpp>
 
 #include "emulator/replication_simulation.hpp"
@@ -18,7 +18,7 @@
 
 struct GroupSize {
   std::size_t routers = 3;
-  std::size_t replicas = 3;  // of each ledger
+  std::size_t replicas = 3;  // replicas of each ledger
   std::size_t ledgers = 1;
   std::size_t sites = 1;
 };
@@ -33,17 +33,17 @@
   return options;
 }
 
-void require_unbroken(const ReplicationOptions& options) {
+void require_no_violation(const ReplicationOptions& options) {
   const auto result = simulate_replication(options);
-  INFO("again: thornwick copies virtual --seed " << options.seed << " --routers " << options.routers
-                                                 << " --copies " << options.replicas << " --ledgers "
-                                                 << options.ledgers << " --say\n"
-                                                 << result.timeline);
+  INFO("to repeat: thornwick copies virtual --seed " << options.seed << " --routers " << options.routers
+                                                     << " --copies " << options.replicas << " --ledgers "
+                                                     << options.ledgers << " --say\n"
+                                                     << result.timeline);
   REQUIRE(result.violation == "");
 }
 
-// Whether the simulation finds a seeded fault of the program in kFaultScripts scripts from this seed on. One
-// script in eleven finds a vote that the disk has lost.
+// Whether the simulation finds a fault that the test switches on, in kFaultScripts scripts from this seed on.
+// One script in eleven finds a vote that the disk has lost.
 template <typename SetFault>
 bool finds_fault(std::uint64_t first_seed, SetFault set_fault) {
   for (std::uint64_t seed = first_seed; seed < first_seed + kFaultScripts; ++seed) {
@@ -68,19 +68,18 @@
 
 TEST_CASE(
     "ledgers in virtual time: no limit is exceeded with lost, older, full and slow disks, suspensions, "
-    "partitions and "
-    "message loss") {
-  for (std::uint64_t seed = 1; seed <= kScripts; ++seed) require_unbroken(simulation_options(seed, {}));
+    "partitions and message loss") {
+  for (std::uint64_t seed = 1; seed <= kScripts; ++seed) require_no_violation(simulation_options(seed, {}));
 }
 
-TEST_CASE("ledgers in virtual time: five replicas at three sites bear the loss of two disks at a time") {
+TEST_CASE("ledgers in virtual time: five replicas at three sites survive the loss of two disks at a time") {
   for (std::uint64_t seed = 1; seed <= kScripts / 3; ++seed)
-    require_unbroken(simulation_options(seed, {.routers = 5, .replicas = 5, .sites = 3}));
+    require_no_violation(simulation_options(seed, {.routers = 5, .replicas = 5, .sites = 3}));
 }
 
 TEST_CASE("ledgers in virtual time: no limit is exceeded with nine routers, three ledgers and three sites") {
   for (std::uint64_t seed = 1; seed <= kScripts / 6; ++seed)
-    require_unbroken(simulation_options(seed, {.routers = 9, .ledgers = 3, .sites = 3}));
+    require_no_violation(simulation_options(seed, {.routers = 9, .ledgers = 3, .sites = 3}));
 }
 
 TEST_CASE(
