--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// Internet addresses as text, "127.0.0.1:9000".
+// Conversion between internet addresses and text such as "127.0.0.1:9000".
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 // Whether another socket of this user may be bound to the same address.
 enum class AddressUse { exclusive, shared };
 
-// nullptr if the text is no numeric address with a port.
+// Returns nullptr if the text is not a numeric address with a port.
 Owned<GSocketAddress> parse_address(const std::string& text);
 
-// Empty if it is no internet address.
+// Returns an empty text if `address` is not an internet address.
 std::string address_text(GSocketAddress* address);
 
-// Where a socket is bound, as text.
+// Returns the address to which the socket is bound, as text.
 std::string local_address_text(GSocket* socket);
 
 }  // namespace thornwick::net
--- a/src/net/admin_endpoint.cpp
+++ b/src/net/admin_endpoint.cpp
@@ -6,10 +6,10 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kLineTimeout = seconds(2);    // from the connection to the end of the line
+constexpr Time kLineTimeout = seconds(2);    // from the start of the connection to the end of the line
 constexpr Time kAnswerTimeout = seconds(2);  // for the caller to read its answer and close
 constexpr std::size_t kMaxLineBytes = 256;
-constexpr std::size_t kMaxDiscarded = 64UL * 1024;  // bytes read and dropped after the line
+constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // bytes that are read and dropped after the line
 
 bool always_room() { return true; }
 
@@ -30,8 +30,8 @@
   Caller(const Caller&) = delete;
   Caller& operator=(const Caller&) = delete;
 
-  // Whether no whole line has come yet.
-  bool silent() const { return !answered_; }
+  // Whether no complete line has come yet.
+  bool awaits_line() const { return !answered_; }
 
   void close() {
     if (std::exchange(closed_, true)) return;
@@ -48,30 +48,30 @@
 
   void on_bytes(std::string_view bytes) {
     if (answered_) return discard(bytes.size());
-    line_ += bytes;
-    const auto end = line_.find('\n');
-    if (end != std::string::npos) return on_whole_line(end);
-    if (line_.size() > kMaxLineBytes) reject("the line is too long");
+    received_line_ += bytes;
+    const auto end = received_line_.find('\n');
+    if (end != std::string::npos) return on_complete_line(end);
+    if (received_line_.size() > kMaxLineBytes) reject("the line is too long");
   }
 
   void discard(std::size_t size) {
-    discarded_ += size;
-    if (discarded_ > kMaxDiscarded) close();
+    discarded_bytes_ += size;
+    if (discarded_bytes_ > kMaxDiscardedBytes) close();
   }
 
-  // `end`: the length of the line.
-  void on_whole_line(std::size_t end) {
-    const bool more = end + 1 < line_.size();
-    line_.resize(end);
-    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-    if (line_.size() > kMaxLineBytes) return reject("the line is too long");
+  // `end` is the length of the line, without its newline.
+  void on_complete_line(std::size_t end) {
+    const bool more = end + 1 < received_line_.size();
+    received_line_.resize(end);
+    if (!received_line_.empty() && received_line_.back() == '\r') received_line_.pop_back();
+    if (received_line_.size() > kMaxLineBytes) return reject("the line is too long");
     if (more) return reject("one line to a connection");
-    call();
+    answer_call();
   }
 
-  void call() {
-    std::string answer = owner_.answer_(line_);
-    if (answer.empty()) return reject("the calls are " + owner_.calls_);
+  void answer_call() {
+    std::string answer = owner_.answer_(received_line_);
+    if (answer.empty()) return reject("the calls are " + owner_.call_names_);
     ++owner_.counters_.calls;
     write_answer(std::move(answer));
   }
@@ -87,24 +87,24 @@
     stream_.write(std::move(answer));
   }
 
-  // The caller closes once it has read the end. If this side closed first and the caller had sent more bytes,
-  // a reset might destroy the answer.
+  // The caller closes the connection after it has read the end of the answer. If this side closed first and
+  // the caller had sent more bytes, a reset could destroy the answer before the caller reads it.
   void on_drained() {
     if (answered_) stream_.finish_sending();
   }
 
-  // The line needs no newline if the caller closes its sending side after it.
+  // A line without a newline is complete if the caller closes its sending side after the line.
   void on_ended() {
-    if (answered_ || line_.empty()) return close();
-    on_whole_line(line_.size());
+    if (answered_ || received_line_.empty()) return close();
+    on_complete_line(received_line_.size());
     timeout_.start(0, [this] { close(); });
   }
 
   AdminEndpoint& owner_;
   Stream stream_;
   Timer timeout_;
-  std::string line_;
-  std::size_t discarded_ = 0;
+  std::string received_line_;
+  std::size_t discarded_bytes_ = 0;
   bool answered_ = false;
   bool closed_ = false;
 };
@@ -114,8 +114,8 @@
                                          [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); });
 }
 
-AdminEndpoint::AdminEndpoint(Owned<GSocket> listening, std::string calls, Answer answer)
-    : answer_(std::move(answer)), calls_(std::move(calls)) {
+AdminEndpoint::AdminEndpoint(Owned<GSocket> listening, std::string call_names, Answer answer)
+    : answer_(std::move(answer)), call_names_(std::move(call_names)) {
   listener_ = std::make_unique<Listener>(std::move(listening), always_room,
                                          [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); });
 }
@@ -123,18 +123,19 @@
 AdminEndpoint::~AdminEndpoint() = default;
 
 void AdminEndpoint::on_accepted(Owned<GSocket> socket) {
-  make_room();
+  make_room_for_caller();
   callers_.push_back(std::make_unique<Caller>(*this, std::move(socket)));
 }
 
-// Closes a caller that has sent nothing, so that such callers cannot block the others.
-void AdminEndpoint::make_room() {
+// Closes a caller that has not sent its line if the limit is reached, so that callers without a line cannot
+// keep out callers that send one.
+void AdminEndpoint::make_room_for_caller() {
   if (callers_.size() < kMaxCallers) return;
-  const auto silent =
-      std::find_if(callers_.begin(), callers_.end(), [](const auto& caller) { return caller->silent(); });
-  if (silent == callers_.end()) return callers_.front()->close();
+  const auto without_line = std::find_if(callers_.begin(), callers_.end(),
+                                         [](const auto& caller) { return caller->awaits_line(); });
+  if (without_line == callers_.end()) return callers_.front()->close();
   ++counters_.timed_out;
-  (*silent)->close();
+  (*without_line)->close();
 }
 
 void AdminEndpoint::remove(Caller& caller) {
--- a/src/net/admin_endpoint.hpp
+++ b/src/net/admin_endpoint.hpp
@@ -1,5 +1,5 @@
-// The admin endpoint: each connection carries one line and its answer. It is independent of the listeners for
-// clients.
+// The admin endpoint: each connection carries one line with a call, and the answer to that call. The admin
+// endpoint does not depend on the listeners for clients.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,25 @@
 namespace thornwick::net {
 
 struct AdminCounters {
-  std::uint64_t calls = 0;          // answered
+  std::uint64_t calls = 0;          // calls that were answered
   std::uint64_t invalid_lines = 0;  // lines that are too long, more than one, or no known call
   std::uint64_t timed_out = 0;      // callers that sent no whole line in time, or were closed to make room
 };
 
 class AdminEndpoint {
  public:
-  // At the same time. Beyond that, a new caller replaces one that has sent no line yet.
+  // The number of callers that may be connected at the same time. One more caller replaces a caller that has
+  // not sent its line yet.
   static constexpr std::size_t kMaxCallers = 12;
 
-  // Called with each line, without its newline. Returns the answer; an empty one if the call is unknown.
+  // Is called with each line, without the newline. Returns the answer, or an empty text if the call is
+  // unknown.
   using Answer = std::function<std::string(std::string_view)>;
 
-  // Throws NetError if it cannot listen.
+  // Throws NetError if the endpoint cannot listen at `address`.
   AdminEndpoint(const std::string& address, Answer answer);
-  // Uses a socket that listens already. `calls`: the calls that the answer to an unknown call names.
-  AdminEndpoint(Owned<GSocket> listening, std::string calls, Answer answer);
+  // Uses a socket that listens already. The answer to an unknown call lists the text `call_names`.
+  AdminEndpoint(Owned<GSocket> listening, std::string call_names, Answer answer);
   AdminEndpoint(const AdminEndpoint&) = delete;
   AdminEndpoint& operator=(const AdminEndpoint&) = delete;
   ~AdminEndpoint();
@@ -42,11 +44,11 @@
   class Caller;
 
   void on_accepted(Owned<GSocket> socket);
-  void make_room();
+  void make_room_for_caller();
   void remove(Caller& caller);
 
   Answer answer_;
-  std::string calls_ = "HEALTH, DUMP, LEAVE and JOIN";
+  std::string call_names_ = "HEALTH, DUMP, LEAVE and JOIN";
   AdminCounters counters_;
   std::list<std::unique_ptr<Caller>> callers_;  // in the order in which they connected
   std::unique_ptr<Listener> listener_;
--- a/src/net/clock.cpp
+++ b/src/net/clock.cpp
@@ -12,9 +12,9 @@
 using std::chrono::steady_clock;
 using std::chrono::system_clock;
 
-// The one place at which a test makes this process's clocks wrong: the file that $THORNWICK_CLOCK names has
-// "MS RATE", how far the system's clock is ahead (read each time, so that it can step) and how fast every
-// clock runs (read once). Without the variable nothing is changed.
+// An error of the clocks that a test requests. The file that $THORNWICK_CLOCK names contains "MS RATE": by
+// how many milliseconds the system's clock is ahead, and how fast all clocks run. MS is read on each call, so
+// that the system's clock can step; RATE is read once. Without the variable the clocks are right.
 struct ClockSkew {
   Time ahead = 0;  // microseconds
   double rate = 1;
@@ -39,16 +39,16 @@
   return rate;
 }
 
-Time wall_us() {
+Time wall_clock_us() {
   return duration_cast<microseconds>(system_clock::now().time_since_epoch()).count() + read_skew().ahead;
 }
 
 Time now_us() {
-  static const Time wall_at_start = wall_us();
+  static const Time wall_at_start = wall_clock_us();
   static const auto start = steady_clock::now();
-  const auto passed = duration_cast<microseconds>(steady_clock::now() - start).count();
-  if (clock_rate() == 1) return wall_at_start + passed;
-  return wall_at_start + static_cast<Time>(static_cast<double>(passed) * clock_rate());
+  const auto elapsed = duration_cast<microseconds>(steady_clock::now() - start).count();
+  if (clock_rate() == 1) return wall_at_start + elapsed;
+  return wall_at_start + static_cast<Time>(static_cast<double>(elapsed) * clock_rate());
 }
 
 }  // namespace thornwick::net
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,18 +1,21 @@
-// The process's clocks. All other modules ask these, so that a test can make one process's clocks wrong.
+// The clocks of this process. All other modules read the time here, so that a test can make the clocks of one
+// process wrong.
 #pragma once
 
 #include "core/request_manager.hpp"
 
 namespace thornwick::net {
 
-// Microseconds since 1970: the system's time at the first call plus what the monotonic clock has advanced
-// since. Never steps back, and comparable with the `boot_ms` of a discovery list.
+// Microseconds since 1970: the system's time at the first call plus the time that the monotonic clock has
+// advanced since that call. The result never steps back and can be compared with `boot_ms` of a discovery
+// list.
 Time now_us();
 
-// The system's clock, which may step: what now_us() began from. Microseconds since 1970.
-Time wall_us();
+// The time of the system's clock, which may step, in microseconds since 1970. now_us() starts from this time.
+Time wall_clock_us();
 
-// How fast this process's clocks run; 1 unless a test has set it otherwise ($THORNWICK_CLOCK).
+// The speed of this process's clocks relative to real time; 1 unless a test sets another one
+// ($THORNWICK_CLOCK).
 double clock_rate();
 
 }  // namespace thornwick::net
--- a/src/net/datagrams.cpp
+++ b/src/net/datagrams.cpp
@@ -6,9 +6,9 @@
 namespace thornwick::net {
 namespace {
 
-constexpr int kReadsAtOnce =
-    256;  // bounds the time that a flood of datagrams takes from the loop's other work
-constexpr std::size_t kReadSize = 2048;
+// Bounds the time that a flood of datagrams takes from other work of the loop.
+constexpr int kMaxReadsPerRound = 256;
+constexpr std::size_t kReadBytes = 2048;
 
 Owned<GSocket> bind_socket(const std::string& address, AddressUse use) {
   const auto local = parse_address(address);
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-DatagramSocket::DatagramSocket(const std::string& address, Owned<GSocket> bound, Arrived arrived,
+DatagramSocket::DatagramSocket(const std::string& address, Owned<GSocket> bound, OnDatagram on_datagram,
                                AddressUse use)
-    : arrived_(std::move(arrived)), socket_(bound ? std::move(bound) : bind_socket(address, use)) {
+    : on_datagram_(std::move(on_datagram)), socket_(bound ? std::move(bound) : bind_socket(address, use)) {
   g_socket_set_blocking(socket_.get(), FALSE);
   resume_reading();
 }
@@ -44,14 +44,14 @@
 }
 
 void DatagramSocket::on_readable() {
-  std::array<std::uint8_t, kReadSize> bytes{};
-  for (int i = 0; i < kReadsAtOnce; ++i) {
+  std::array<std::uint8_t, kReadBytes> bytes{};
+  for (int i = 0; i < kMaxReadsPerRound; ++i) {
     GSocketAddress* sender = nullptr;
     const gssize received = g_socket_receive_from(
         socket_.get(), &sender, reinterpret_cast<char*>(bytes.data()), bytes.size(), nullptr, nullptr);
     const Owned<GSocketAddress> from(sender);
     if (received < 0) return;
-    arrived_(from.get(), std::span<const std::uint8_t>(bytes.data(), static_cast<std::size_t>(received)));
+    on_datagram_(from.get(), std::span<const std::uint8_t>(bytes.data(), static_cast<std::size_t>(received)));
   }
 }
 
--- a/src/net/datagrams.hpp
+++ b/src/net/datagrams.hpp
@@ -1,4 +1,4 @@
-// A UDP socket on the main loop. A datagram that cannot be sent is lost, like one that is lost on its way.
+// A UDP socket on the main loop. A datagram that cannot be sent is lost, as is one that the network drops.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,21 @@
 
 class DatagramSocket {
  public:
-  using Arrived = std::function<void(GSocketAddress* from, std::span<const std::uint8_t> bytes)>;
+  using OnDatagram = std::function<void(GSocketAddress* from, std::span<const std::uint8_t> bytes)>;
 
-  // Takes over the socket `bound`; if it is null, binds a new one to `address`. `use`: a shared address may
-  // be bound by another socket of this user too, and the kernel distributes the datagrams between them;
-  // binding an exclusive one twice is an error. Throws NetError.
-  DatagramSocket(const std::string& address, Owned<GSocket> bound, Arrived arrived,
+  // Takes over the socket `bound`, or binds a new socket to `address` if `bound` is null. If `use` is
+  // `shared`, another socket of this user may be bound to the same address, and the kernel distributes the
+  // datagrams between both sockets; an exclusive address can be bound only once. Throws NetError.
+  DatagramSocket(const std::string& address, Owned<GSocket> bound, OnDatagram on_datagram,
                  AddressUse use = AddressUse::exclusive);
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // Reads datagrams from now on, as it does once constructed.
+  // Reads datagrams from now on. A new object reads already.
   void resume_reading();
-  // Reads none from now on: they stay with the kernel, for this process or another one at the same address.
+  // Stops reading. Datagrams stay in the kernel's queue, for this process or another one at the same address.
   void pause_reading();
-  // Returns false if the datagram could not be sent; it is lost then.
+  // Returns false if the datagram could not be sent and is lost.
   bool send(GSocketAddress* to, const std::string& bytes);
   GSocket* socket() const { return socket_.get(); }
   std::string address() const { return local_address_text(socket_.get()); }
@@ -34,7 +34,7 @@
  private:
   void on_readable();
 
-  Arrived arrived_;
+  OnDatagram on_datagram_;
   Owned<GSocket> socket_;
   HeldDescriptor held_descriptor_;
   IoWatcher watcher_;
--- a/src/net/descriptors.hpp
+++ b/src/net/descriptors.hpp
@@ -1,4 +1,5 @@
-// The count of file descriptors that this module's sockets hold, and the limit that admission respects.
+// Counts the file descriptors that the sockets of this module hold. The admission of connections respects the
+// limit.
 #pragma once
 
 #include <cstddef>
@@ -6,14 +7,14 @@
 namespace thornwick::net {
 
 struct Descriptors {
-  std::size_t limit = 1024;  // that this process may hold
-  std::size_t held = 0;      // that its streams, listeners and datagram sockets hold now
+  std::size_t limit = 1024;  // descriptors that this process may hold
+  std::size_t held = 0;      // descriptors that streams, listeners and datagram sockets hold now
 };
 
-// The process's count.
+// The count and the limit of this process.
 Descriptors& descriptors();
 
-// Counts one descriptor as held while it exists.
+// Counts one descriptor as held as long as this object exists.
 class HeldDescriptor {
  public:
   HeldDescriptor() { ++descriptors().held; }
--- a/src/net/discovery_client.hpp
+++ b/src/net/discovery_client.hpp
@@ -1,6 +1,6 @@
-// The calls of discovery. core::DiscoverySchedule plans them so that a watch is always open or being opened.
-// A call without an answer stays out while the next one begins; the first whole answer ends all others. Each
-// new list is passed to a callback.
+// Calls discovery for endpoint lists. core::DiscoverySchedule plans the calls so that a watch is always open
+// or being opened. A call without an answer stays open while the next call begins; the first complete answer
+// ends all other calls. Each new list is passed to a callback.
 #pragma once
 
 #include <simdjson.h>
@@ -21,7 +21,7 @@
 
 namespace thornwick::net {
 
-// Events of discovery and its lists since the start.
+// Counts of calls, lists and entries since the start of the process.
 struct DiscoveryCounters {
   std::uint64_t calls = 0;
   std::uint64_t failures = 0;
@@ -34,35 +34,37 @@
  public:
   struct Options {
     std::string address;
-    core::DiscoverySchedule::Options schedule;  // when discovery is called
+    core::DiscoverySchedule::Options schedule;  // times at which discovery is called
     std::uint64_t seed = 0;                     // of the schedule's jitter
-    // A list that is older than the one in use is applied only after discovery has sent nothing newer for
+    // A list that is older than the list in use is applied only after discovery has sent only older lists for
     // this time.
     Time stale_list_delay = 0;
   };
   struct Callbacks {
-    std::function<void(simdjson::dom::element list)> list;  // an object, whose revision is noted already
-    std::function<void()> failed;  // a call has failed; only called if discovery does not push
+    // Gets each new list, a JSON object, after the client has noted the list's revision.
+    std::function<void(simdjson::dom::element list)> on_list;
+    // A call has failed. Is called only if discovery does not push.
+    std::function<void()> on_failure;
   };
 
-  // The schedule decides when the first call begins. The counters are not owned. Throws NetError if
+  // The schedule decides when the first call begins. `counters` is not owned. Throws NetError if
   // `options.address` is not an address.
   DiscoveryClient(Options options, Callbacks callbacks, DiscoveryCounters& counters);
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Requests the whole list now, unless a call is out.
+  // Requests the full list now, unless a call is open.
   void fetch();
-  // Calls another address from now on and requests its whole list first. Throws NetError if it is not an
-  // address, and then nothing has changed.
+  // Calls `address` from now on, and requests the full list first. Throws NetError, without any effect, if
+  // `address` is not an address.
   void switch_to(const std::string& address);
   // Notes the revision of a list that is applied; later calls request only newer changes.
   void note_revision(simdjson::dom::element list);
-  // The revision of the list in use, if it has one.
+  // The revision of the list in use; none if that list has no revision.
   std::optional<std::uint64_t> revision() const;
 
  private:
-  enum class Scope { whole_list, changes };
+  enum class Scope { full_list, changes };
 
   void call();
   void call_at(Time when);
@@ -70,14 +72,14 @@
   std::string request_text(Scope scope, Time wait) const;
   std::unique_ptr<DiscoveryConnection> take_connection();
   std::unique_ptr<DiscoveryConnection> connect();
-  void limit_calls_out(std::size_t max_calls);
+  void limit_open_calls(std::size_t max_calls);
   static void drop(std::unique_ptr<DiscoveryConnection> connection);
-  std::unique_ptr<DiscoveryConnection> take_out(const DiscoveryConnection& connection);
+  std::unique_ptr<DiscoveryConnection> take_open_call(const DiscoveryConnection& connection);
   void on_answer(DiscoveryConnection& connection, const std::string& body);
   void on_failure(DiscoveryConnection& connection, const CallFailure& failure);
   void fail(const DiscoveryCall& call, const CallFailure& failure);
   void schedule_after_list(const DiscoveryCall& call, std::uint64_t revision_before);
-  bool is_too_old(simdjson::dom::element list);
+  bool is_stale(simdjson::dom::element list);
   void log_answer(const DiscoveryCall& call, simdjson::dom::element list,
                   std::uint64_t revision_before) const;
   void describe_call(logging::Line& line, const DiscoveryCall& call) const;
@@ -88,14 +90,15 @@
   core::DiscoverySchedule schedule_;
   Owned<GSocketAddress> address_;
   logging::RateLimiter log_limiter_;
-  std::vector<std::unique_ptr<DiscoveryConnection>> calls_out_;  // the oldest call first
-  std::unique_ptr<DiscoveryConnection>
-      idle_;  // the connection that answered last, for the next call; may be null
+  std::vector<std::unique_ptr<DiscoveryConnection>> open_calls_;  // the oldest call first
+  // The connection that answered last, which the next call uses; may be null.
+  std::unique_ptr<DiscoveryConnection> idle_connection_;
   Timer next_call_;
   simdjson::dom::parser parser_;
-  std::uint64_t revision_ = 0;  // of the latest list, which may be of an earlier address
-  bool has_revision_ = false;   // calls may request changes after `revision_`
-  Time old_since_ = 0;  // when the first of a series of too old lists came; 0: the latest was not too old
+  std::uint64_t revision_ = 0;  // of the latest list, which may come from an earlier address
+  bool has_revision_ = false;   // calls may request the changes after `revision_`
+  // The time of the first of a series of lists older than the list in use; 0: the latest list was not older.
+  Time stale_since_ = 0;
 };
 
 }  // namespace thornwick::net
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -20,10 +20,10 @@
     case CallFailureKind::no_connection: return "no connection";
     case CallFailureKind::connection_broken: return "the connection broke";
     case CallFailureKind::timed_out: return "no answer in time";
-    case CallFailureKind::malformed_answer: return "a malformed answer";
-    case CallFailureKind::error_status: return "it answered with an error";
+    case CallFailureKind::malformed_answer: return "the answer is malformed";
+    case CallFailureKind::error_status: return "the answer has an error status";
     case CallFailureKind::list_too_long: return "the list is too long";
-    case CallFailureKind::no_json: return "no JSON";
+    case CallFailureKind::not_json: return "the answer is not a JSON object";
     case CallFailureKind::older_revision: break;
   }
   return "an older version than the one in use";
@@ -36,19 +36,19 @@
                .ended = [this] { on_ended(); }}),
       reader_(MessageReader::Kind::answer, kMaxListBytes) {}
 
-void DiscoveryConnection::begin(const DiscoveryCall& call, std::string request) {
+void DiscoveryConnection::send_call(const DiscoveryCall& call, std::string request) {
   call_ = call;
-  calling_ = true;
+  call_in_progress_ = true;
   reader_ = MessageReader(MessageReader::Kind::answer, kMaxListBytes);
   body_.clear();
-  // Without this timeout a call to a discovery that has vanished would never end.
+  // Without this timeout, a call would never end if discovery vanished without closing the connection.
   timeout_.start(call.plan.limit - now_us(), [this] { fail({.kind = CallFailureKind::timed_out}); });
   if (connected_) return stream_.write(std::move(request));
   request_ = std::move(request);
 }
 
 void DiscoveryConnection::close() {
-  calling_ = false;
+  call_in_progress_ = false;
   timeout_.stop();
   stream_.close();
 }
@@ -59,12 +59,12 @@
 }
 
 void DiscoveryConnection::on_ended() {
-  if (calling_) return fail({.kind = CallFailureKind::connection_broken});
+  if (call_in_progress_) return fail({.kind = CallFailureKind::connection_broken});
   close();
 }
 
 void DiscoveryConnection::on_bytes(std::string_view bytes) {
-  if (!calling_) return close();  // no call is out
+  if (!call_in_progress_) return close();  // no call is in progress
   reader_.feed(bytes);
   try {
     while (read_piece()) {
@@ -74,7 +74,8 @@
   }
 }
 
-// Returns false if no further piece has come yet, or the call has ended. Throws BadMessage.
+// Reads the next piece of the answer. Returns false if no further piece has come yet, or the call has ended.
+// Throws BadMessage.
 bool DiscoveryConnection::read_piece() {
   switch (reader_.next()) {
     case MessageReader::Piece::none: return false;
@@ -84,24 +85,24 @@
       if (body_.size() <= kMaxListBytes) return true;
       fail({.kind = CallFailureKind::list_too_long});
       return false;
-    case MessageReader::Piece::end: on_whole_answer(); return false;
+    case MessageReader::Piece::end: on_complete_answer(); return false;
   }
   return false;
 }
 
-void DiscoveryConnection::on_whole_answer() {
+void DiscoveryConnection::on_complete_answer() {
   if (reader_.head().status != kStatusOk) {
     return fail({.kind = CallFailureKind::error_status, .detail = std::to_string(reader_.head().status)});
   }
-  calling_ = false;
+  call_in_progress_ = false;
   timeout_.stop();
   if (!reader_.head().keeps_alive()) stream_.close();
-  callbacks_.answered(body_);
+  callbacks_.on_answer(body_);
 }
 
 void DiscoveryConnection::fail(const CallFailure& failure) {
   close();
-  callbacks_.failed(failure);
+  callbacks_.on_failure(failure);
 }
 
 }  // namespace thornwick::net
--- a/src/net/discovery_connection.hpp
+++ b/src/net/discovery_connection.hpp
@@ -1,5 +1,5 @@
-// One connection to discovery, which carries one call at a time: a request and its whole answer. It does not
-// interpret endpoint lists and does not schedule calls; net/discovery_client.hpp does.
+// One connection to discovery, which carries one call at a time: a request and its complete answer. Endpoint
+// lists are interpreted, and calls scheduled, by net/discovery_client.hpp.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +24,11 @@
   malformed_answer,
   error_status,
   list_too_long,
-  no_json,
+  not_json,
   older_revision,  // the list is older than the one in use
 };
 
-// The kind as log lines state it.
+// The text of the kind in log lines.
 std::string_view to_string(CallFailureKind kind);
 
 struct CallFailure {
@@ -36,32 +36,32 @@
   std::string detail = {};  // may be empty
 };
 
-// A call of discovery, for its plan and for the log.
+// A call of discovery: its number in the log, and its plan.
 struct DiscoveryCall {
   std::uint64_t number = 0;  // counted from the router's start
   core::DiscoverySchedule::Call plan;
 };
 
-// Its owner may destroy it in any callback, with deferred_delete().
+// A connection, which its owner may destroy in any callback with deferred_delete().
 class DiscoveryConnection : public DeferredDeletable {
  public:
   struct Callbacks {
     // An answer with status 200 has come. The connection can carry another call if it is still open.
-    std::function<void(const std::string& body)> answered;
+    std::function<void(const std::string& body)> on_answer;
     // The call has failed, and the connection is closed.
-    std::function<void(const CallFailure& failure)> failed;
+    std::function<void(const CallFailure& failure)> on_failure;
   };
 
   DiscoveryConnection();
 
-  // To be called before the first call.
+  // Must be called before the first call is sent.
   void set_callbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
 
-  // Returns false if it failed at once, or the process may hold no more descriptors.
+  // Returns false if connecting failed at once, or the process may hold no more descriptors.
   [[nodiscard]] bool connect(GSocketAddress* address) { return stream_.connect(address); }
-  // Sends a request, now or once the connection is up. Only one call at a time.
-  void begin(const DiscoveryCall& call, std::string request);
-  // Closes the connection. A call that is out ends without a callback.
+  // Sends a request, at once or when the connection is up. Must not be called while a call is in progress.
+  void send_call(const DiscoveryCall& call, std::string request);
+  // Closes the connection. A call in progress ends without a callback.
   void close();
 
   const DiscoveryCall& call() const { return call_; }
@@ -73,18 +73,18 @@
   void on_bytes(std::string_view bytes);
   bool read_piece();
   void on_ended();
-  void on_whole_answer();
+  void on_complete_answer();
   void fail(const CallFailure& failure);
 
   Callbacks callbacks_;
   Stream stream_;
   http::MessageReader reader_;
   DiscoveryCall call_;
-  std::string request_;  // waits until the connection is up
+  std::string request_;  // to be sent when the connection is up
   std::string body_;
   Timer timeout_;
   bool connected_ = false;
-  bool calling_ = false;
+  bool call_in_progress_ = false;
 };
 
 }  // namespace thornwick::net
--- a/src/net/downstream_answers.hpp
+++ b/src/net/downstream_answers.hpp
@@ -1,4 +1,5 @@
-// The answers that the router itself gives, in the client's dialect, and the heads of forwarded answers.
+// Writes the answers that the router itself gives, in the client's dialect, and the heads of forwarded
+// answers.
 #pragma once
 
 #include <string>
@@ -13,23 +14,24 @@
 // What happens to the client's connection after the answer.
 enum class AfterAnswer { keep_connection, close_connection };
 
-// The answer to a health check of a load balancer. `ready`: whether this router accepts requests now.
+// Returns the answer to a health check of a load balancer. `ready`: whether this router accepts requests now.
 fronts::ErrorAnswer health_answer(bool ready);
 
-// Rejects a request for overload.
+// Returns the answer to a request that is rejected because of overload.
 fronts::ErrorAnswer overload_answer(const fronts::Dialect& dialect);
 
-// Rejects a request for the reason that `allowance` states. `retry_after`: microseconds; 0: no advice.
+// Returns the answer to a request that is rejected for the reason in `allowance`. `retry_after`: microseconds
+// after which the client may retry; 0: no advice.
 fronts::ErrorAnswer rejection_answer(const fronts::Dialect& dialect, const Allowance& allowance,
                                      Time retry_after);
 
-// The request has failed or timed out; it may have run.
+// Returns the answer to a request that has failed or timed out, although a replica may have run it.
 fronts::ErrorAnswer failure_answer(const fronts::Dialect& dialect, core::Failure failure);
 
-// The request is malformed or cannot be used.
+// Returns the answer to a request that is malformed or cannot be used.
 fronts::ErrorAnswer bad_request_answer(const fronts::Dialect& dialect, const http::BadMessage& bad);
 
-// Returns a whole answer with a JSON body. `retry_after`: microseconds; 0: no advice.
+// Returns a complete answer with a JSON body. `retry_after`: microseconds; 0: no advice.
 std::string write_json_answer(const fronts::ErrorAnswer& answer, AfterAnswer after, Time retry_after,
                               const std::vector<http::Header>& extra_headers);
 
--- a/src/net/downstream_connection.cpp
+++ b/src/net/downstream_connection.cpp
@@ -22,9 +22,9 @@
       stream_({.connected = {},
                .arrived = [this](std::string_view bytes) { on_bytes(bytes); },
                .drained = [this] { on_drained(); },
-               .ended = [this] { close("the client ended it"); }}) {
+               .ended = [this] { close("closed by the client"); }}) {
   stream_.adopt(std::move(socket));
-  wait_in(&owner_.new_);
+  move_to_queue(&owner_.new_connections_);
 }
 
 bool DownstreamServer::Connection::nothing_to_read() const {
@@ -33,9 +33,9 @@
 
 void DownstreamServer::Connection::on_waiting_timed_out() {
   if (state_ == State::reading) return reject_bad_request(request_too_slow());
-  if (stream_.readable_now()) return wait_in(queue_);  // the loop reads it next
-  if (queue_ == &owner_.new_) ++owner_.counters_.timed_out;
-  close("nothing came on it for long");
+  if (stream_.readable_now()) return move_to_queue(queue_);  // the loop reads the request next
+  if (queue_ == &owner_.new_connections_) ++owner_.counters_.timed_out;
+  close("no request in time");
 }
 
 void DownstreamServer::Connection::close(std::string_view reason) {
@@ -48,62 +48,62 @@
   stream_.close();
   timeout_.stop();
   next_step_.stop();
-  wait_in(nullptr);
-  // Not in the destructor, which may run after that of the server.
+  move_to_queue(nullptr);
+  // The request ends here rather than in the destructor, which may run after the server's destructor.
   const bool busy = state_ == State::busy;
   end_request();
   if (busy) owner_.core_.client_gone(core_request_id_);
   owner_.remove(*this);
 }
 
-// ---------------------------------------------------------------- reading requests
-
 void DownstreamServer::Connection::on_bytes(std::string_view bytes) {
   if (closing_) {
-    discarded_ += bytes.size();
-    if (discarded_ > kMaxDiscarded) close("it goes on sending after its last answer");
+    discarded_bytes_ += bytes.size();
+    if (discarded_bytes_ > kMaxDiscardedBytes) close("the client keeps sending after its last answer");
     return;
   }
   reader_.feed(bytes);
   if (state_ == State::busy) {
-    if (reader_.held() > kMaxReadAhead) stream_.pause_reading();
+    if (reader_.held() > kMaxReadAheadBytes) stream_.pause_reading();
     return;
   }
   read_requests();
 }
 
 void DownstreamServer::Connection::read_requests() {
-  if (in_read_requests_) return;
-  in_read_requests_ = true;
+  if (reading_requests_) return;
+  reading_requests_ = true;
   try {
     while (!closed_ && !closing_ && state_ != State::busy && read_piece()) {
     }
   } catch (const BadMessage& bad) {
     reject_bad_request(bad);
   }
-  in_read_requests_ = false;
+  reading_requests_ = false;
 }
 
-// Returns false if no further piece has come yet, or the request was rejected. Throws BadMessage.
+// Reads the next piece of a request. Returns false if no further piece has come yet, or the request was
+// rejected. Throws BadMessage.
 bool DownstreamServer::Connection::read_piece() {
   if (state_ == State::idle && !reader_.between_messages()) on_first_byte();
   switch (reader_.next()) {
     case MessageReader::Piece::none: return false;
     case MessageReader::Piece::head: on_head(); return true;
     case MessageReader::Piece::body: return on_body();
-    case MessageReader::Piece::end: on_whole_request(); return true;
+    case MessageReader::Piece::end: on_complete_request(); return true;
   }
   return false;
 }
 
 void DownstreamServer::Connection::on_first_byte() {
   state_ = State::reading;
-  keep_ = false;  // until the whole request is read: bytes after a broken request cannot be trusted
-  request_begun_ = now_us();
-  // The timeout of the first request began when the connection was accepted.
-  if (queue_ == &owner_.new_) return;
-  wait_in(nullptr);
-  timeout_.start(kReadLimit, [this] { reject_bad_request(request_too_slow()); });
+  // Until the complete request is read, because bytes after a malformed request cannot be trusted.
+  keep_open_ = false;
+  request_started_at_ = now_us();
+  // The timeout of the first request has run since the connection was accepted.
+  if (queue_ == &owner_.new_connections_) return;
+  move_to_queue(nullptr);
+  timeout_.start(kRequestTimeout, [this] { reject_bad_request(request_too_slow()); });
 }
 
 void DownstreamServer::Connection::on_head() {
@@ -117,15 +117,15 @@
 bool DownstreamServer::Connection::on_body() {
   body_ += reader_.take_body();
   if (body_.size() > http::kMaxBody) throw BadMessage(kStatusTooLarge, "body too large");
-  account_body_bytes(body_.size());
-  if (owner_.shared_admission_.held_bytes <= owner_.options_.max_body_bytes) return true;
+  set_body_bytes(body_.size());
+  if (owner_.shared_admission_.body_bytes <= owner_.options_.max_body_bytes) return true;
   reject_for_overload();
   return false;
 }
 
-void DownstreamServer::Connection::on_whole_request() {
+void DownstreamServer::Connection::on_complete_request() {
   timeout_.stop();
-  wait_in(nullptr);
+  move_to_queue(nullptr);
   head_sent_ = false;
   congested_ = false;
   extra_headers_.clear();
@@ -142,7 +142,7 @@
 }
 
 void DownstreamServer::Connection::answer_health() {
-  keep_ = reader_.head().keeps_alive();
+  keep_open_ = reader_.head().keeps_alive();
   ++owner_.counters_.health_checks;
   answer(health_answer(owner_.router_lifecycle().ready(now_us())), 0);
   on_answered();
@@ -153,32 +153,30 @@
   call->dialect = &dialect();
   call->head = reader_.head();
   call->body = std::make_shared<const std::string>(std::exchange(body_, {}));
-  const Request request = fronts::read_request(*call, owner_.names_, request_begun_);
+  const Request request = fronts::read_request(*call, owner_.names_, request_started_at_);
   return {request, std::move(call)};
 }
 
 bool DownstreamServer::Connection::has_room_for_request() const {
-  return owner_.busy_ < owner_.options_.max_busy_connections &&
+  return owner_.busy_count_ < owner_.options_.max_busy_connections &&
          owner_.router_lifecycle().admits_requests(now_us());
 }
 
 void DownstreamServer::Connection::admit(core::Arrival arrival, const std::string& request_id) {
-  // A request with the id of one that is in flight must not run a second time, whoever sends it.
-  if (!owner_.shared_admission_.open_ids.insert(request_id).second) {
+  // A request with the id of a request in flight must not run a second time, even if another client sends it.
+  if (!owner_.shared_admission_.request_ids.insert(request_id).second) {
     throw BadMessage(kStatusConflict, "this id has a request in work");
   }
   request_id_ = request_id;
   arrival.external_id = request_id;
-  keep_ = reader_.head().keeps_alive();
+  keep_open_ = reader_.head().keeps_alive();
   state_ = State::busy;
-  ++owner_.busy_;
-  // The request manager may answer within this call, and then the connection is idle again.
+  ++owner_.busy_count_;
+  // The request manager may answer within this call; then the connection is idle afterwards.
   const RequestId core_request_id = owner_.core_.admit(std::move(arrival), *this);
   if (state_ == State::busy) core_request_id_ = core_request_id;
 }
 
-// ---------------------------------------------------------------- core::Reply
-
 void DownstreamServer::Connection::served_by(std::uint16_t model, const Allowance* allowance) {
   if (model != 0 && owner_.options_.model_name) {
     extra_headers_.push_back({"X-Served-Model", owner_.options_.model_name(model)});
@@ -188,18 +186,18 @@
 
 void DownstreamServer::Connection::event(const core::StreamEvent& event) {
   // An event from a replica of the client's own dialect is forwarded byte for byte.
-  const bool same = event.dialect == dialect().name();
-  if (!same && !writer_) writer_ = dialect().event_writer(request_id_);
-  const std::string bytes = same ? event.raw : writer_->write(event);
+  const bool same_dialect = event.dialect == dialect().name();
+  if (!same_dialect && !writer_) writer_ = dialect().event_writer(request_id_);
+  const std::string bytes = same_dialect ? event.raw : writer_->write(event);
   if (bytes.empty()) return;
-  drop_keep_while_draining();
+  close_after_answer_while_draining();
   std::string out;
   if (!std::exchange(head_sent_, true)) {
     out = write_stream_head(after_answer(), std::exchange(extra_headers_, {}));
   }
   out += http::write_chunk(bytes);
   stream_.write(std::move(out));
-  watch_congestion();
+  check_congestion();
 }
 
 void DownstreamServer::Connection::finish() {
@@ -219,7 +217,7 @@
 
 void DownstreamServer::Connection::reject_for(const Allowance& allowance, Time retry_after) {
   if (allowance.rejected == Allowance::Rejection::over) add_limit_headers(allowance);
-  // No Retry-After for a request that is too long: a retry would be too long as well.
+  // A request that is too long gets no Retry-After, because a retry would be too long as well.
   const bool too_long = allowance.rejected == Allowance::Rejection::too_long;
   answer(rejection_answer(dialect(), allowance, retry_after), too_long ? 0 : retry_after);
   on_answered();
@@ -232,31 +230,29 @@
 
 bool DownstreamServer::Connection::client_connected() {
   if (!stream_.ended_now()) return true;
-  next_step_.start(0, [this] { close("the client ended it"); });  // not within the request manager's call
+  next_step_.start(0, [this] { close("closed by the client"); });  // not within the request manager's call
   return false;
 }
 
-// ---------------------------------------------------------------- answers
-
 void DownstreamServer::Connection::add_limit_headers(const Allowance& allowance) {
   for (auto& header : dialect().limit_headers(allowance, now_us())) {
     extra_headers_.push_back(std::move(header));
   }
 }
 
-void DownstreamServer::Connection::drop_keep_while_draining() {
-  if (!owner_.router_lifecycle().keeps_connections()) keep_ = false;
+void DownstreamServer::Connection::close_after_answer_while_draining() {
+  if (!owner_.router_lifecycle().keeps_connections()) keep_open_ = false;
 }
 
 AfterAnswer DownstreamServer::Connection::after_answer() const {
-  return keep_ ? AfterAnswer::keep_connection : AfterAnswer::close_connection;
+  return keep_open_ ? AfterAnswer::keep_connection : AfterAnswer::close_connection;
 }
 
-// Bounds the memory for clients that read slowly: reading from their replica pauses.
-void DownstreamServer::Connection::watch_congestion() {
+// Pauses reading from the replica of a client that reads slowly, which bounds the memory for unsent bytes.
+void DownstreamServer::Connection::check_congestion() {
   if (stream_.unsent() <= owner_.options_.congestion_bytes || std::exchange(congested_, true)) return;
   owner_.core_.client_congested(core_request_id_);
-  timeout_.start(kWriteLimit, [this] { close("the client does not read"); });
+  timeout_.start(kWriteTimeout, [this] { close("the client does not read its answer"); });
 }
 
 // Rejects the request and closes its connection.
@@ -264,21 +260,21 @@
   ++owner_.counters_.overload_rejections;
   if (const auto* priority = reader_.head().find("X-Priority-Class"))
     owner_.options_.on_overload_rejection(*priority);
-  keep_ = false;
+  keep_open_ = false;
   reject(owner_.options_.overload_retry_after);
 }
 
 // Answers a request that cannot be read or used, and closes its connection.
 void DownstreamServer::Connection::reject_bad_request(const BadMessage& bad) {
   ++owner_.counters_.invalid_requests;
-  keep_ = false;
+  keep_open_ = false;
   logging::debug("downstream") << "bad request: " << logging::field("reason", bad.what());
   answer(bad_request_answer(dialect(), bad), 0);
   on_answered();
 }
 
 void DownstreamServer::Connection::answer(const fronts::ErrorAnswer& text, Time retry_after) {
-  drop_keep_while_draining();
+  close_after_answer_while_draining();
   stream_.write(write_json_answer(text, after_answer(), retry_after, std::exchange(extra_headers_, {})));
 }
 
@@ -286,26 +282,25 @@
   end_request();
   writer_.reset();
   body_ = {};
-  if (!keep_) return close_after_sending();
-  wait_in(&owner_.idle_);
+  if (!keep_open_) return close_after_sending();
+  move_to_queue(&owner_.idle_connections_);
   stream_.resume_reading();
   if (!reader_.between_messages()) next_step_.start(0, [this] { read_requests(); });
 }
 
-// ---------------------------------------------------------------- closing
-
 void DownstreamServer::Connection::close_after_sending() {
   closing_ = true;
-  wait_in(nullptr);
-  timeout_.start(kCloseLimit, [this] { close("the client does not end it"); });
+  move_to_queue(nullptr);
+  timeout_.start(kCloseTimeout, [this] { close("the client does not close the connection"); });
   if (stream_.unsent() == 0) on_last_byte_sent();
 }
 
-// Closing a connection with unread input would send a reset, and the client might lose the part of the answer
-// that it has not read yet. Therefore the sending side is closed first, and further input is discarded.
+// If the connection were closed with unread input, the kernel would send a reset, and the client could lose
+// bytes of the answer that it has not read yet. Therefore the sending side is closed first, and further input
+// is discarded.
 void DownstreamServer::Connection::on_last_byte_sent() {
   if (reader_.between_messages() && !stream_.readable_now()) {
-    next_step_.start(0, [this] { close("its last answer is out"); });
+    next_step_.start(0, [this] { close("the last answer was sent"); });
   } else if (!std::exchange(finished_sending_, true)) {
     stream_.finish_sending();
     stream_.resume_reading();
@@ -319,24 +314,22 @@
   if (state_ == State::busy) owner_.core_.client_caught_up(core_request_id_);
 }
 
-// ---------------------------------------------------------------- accounting
-
-void DownstreamServer::Connection::account_body_bytes(std::size_t size) {
-  owner_.shared_admission_.held_bytes += size - body_bytes_;
+void DownstreamServer::Connection::set_body_bytes(std::size_t size) {
+  owner_.shared_admission_.body_bytes += size - body_bytes_;
   body_bytes_ = size;
 }
 
 // Ends the request that is being read or in flight.
 void DownstreamServer::Connection::end_request() {
-  account_body_bytes(0);
+  set_body_bytes(0);
   if (std::exchange(state_, State::idle) != State::busy) return;
-  --owner_.busy_;
-  owner_.shared_admission_.open_ids.erase(request_id_);
+  --owner_.busy_count_;
+  owner_.shared_admission_.request_ids.erase(request_id_);
 }
 
-// Moves the connection to a queue of its server; null: out of its queue. A connection without a request in
-// flight waits in a queue, or has a timeout of its own.
-void DownstreamServer::Connection::wait_in(Waiting* queue) {
+// Moves the connection to a queue of its server, or out of its queue if `queue` is null. A connection without
+// a request in flight waits in a queue or has a timeout of its own.
+void DownstreamServer::Connection::move_to_queue(WaitingQueue* queue) {
   if (queue_ != nullptr) queue_->erase(queue_position_);
   queue_ = queue;
   if (queue == nullptr) return;
--- a/src/net/downstream_connection.hpp
+++ b/src/net/downstream_connection.hpp
@@ -16,22 +16,21 @@
 
 namespace thornwick::net {
 
-// Reads one request at a time, admits it to the request manager and writes its answer. A connection whose
-// client has gone or was rejected closes itself and removes itself from its server.
+// Reads one request at a time, admits the request to the request manager and writes its answer. A connection
+// whose client has disconnected or was rejected closes itself and removes itself from its server.
 class DownstreamServer::Connection : public DeferredDeletable, public core::Reply {
  public:
   Connection(DownstreamServer& owner, Owned<GSocket> socket);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Whether it is between two requests, or before the first one, and no byte of the next one has come.
+  // Whether no request is being read or in flight, and no byte of the next request has come.
   bool nothing_to_read() const;
-  // When it entered the queue of its server in which it waits.
+  // The time at which the connection entered the queue of its server in which it waits.
   Time waiting_since() const { return waiting_since_; }
-  // To be called when it has waited too long for its first request, or for the next one.
+  // Must be called when the connection has waited too long for its first or next request.
   void on_waiting_timed_out();
-  // Closes the connection at once and abandons its request in flight, if there is one. `reason` is for the
-  // log.
+  // Closes the connection at once and abandons its request in flight, if there is one. `reason` is logged.
   void close(std::string_view reason);
 
   // core::Reply
@@ -49,65 +48,65 @@
 
   const fronts::Dialect& dialect() const { return *owner_.options_.dialect; }
 
-  // Reading.
+  // Reading requests.
   void on_bytes(std::string_view bytes);
   void read_requests();
   bool read_piece();
   void on_first_byte();
   void on_head();
   bool on_body();
-  void on_whole_request();
+  void on_complete_request();
   void answer_health();
   core::Arrival read_arrival();
   bool has_room_for_request() const;
   void admit(core::Arrival arrival, const std::string& request_id);
 
-  // Answering.
+  // Writing answers.
   void add_limit_headers(const Allowance& allowance);
-  void drop_keep_while_draining();
+  void close_after_answer_while_draining();
   AfterAnswer after_answer() const;
-  void watch_congestion();
+  void check_congestion();
   void reject_for_overload();
   void reject_bad_request(const http::BadMessage& bad);
   void answer(const fronts::ErrorAnswer& text, Time retry_after);
   void on_answered();
 
-  // Closing.
+  // Closing the connection.
   void close_after_sending();
   void on_last_byte_sent();
   void on_drained();
 
-  // Accounting.
-  void account_body_bytes(std::size_t size);
+  // Accounting in the server and in the shared admission state.
+  void set_body_bytes(std::size_t size);
   void end_request();
-  void wait_in(Waiting* queue);
+  void move_to_queue(WaitingQueue* queue);
 
   DownstreamServer& owner_;
   Stream stream_;
   http::MessageReader reader_{http::MessageReader::Kind::request};
-  Timer timeout_;    // of the current state: reading, writing or closing
+  Timer timeout_;    // the limit of the current state: reading, writing or closing
   Timer next_step_;  // defers a step that must not run within the current call
 
   State state_ = State::idle;
   std::string body_;
   std::string request_id_;
-  std::vector<http::Header> extra_headers_;  // of the answer's head
+  std::vector<http::Header> extra_headers_;  // further headers of the answer's head
   std::unique_ptr<fronts::EventWriter> writer_;
   RequestId core_request_id_ = 0;
-  Waiting* queue_ = nullptr;  // of the server, in which it waits; null: in none
-  Waiting::iterator queue_position_;
-  Time request_begun_ = 0;
+  WaitingQueue* queue_ = nullptr;  // the server's queue in which the connection waits; null: in none
+  WaitingQueue::iterator queue_position_;
+  Time request_started_at_ = 0;
   Time waiting_since_ = 0;
-  std::size_t body_bytes_ = 0;  // as accounted in the shared admission state
-  std::size_t discarded_ = 0;   // bytes read and dropped while closing
+  std::size_t body_bytes_ = 0;       // as accounted in the shared admission state
+  std::size_t discarded_bytes_ = 0;  // read and dropped while closing
 
-  bool keep_ = true;  // the connection stays open after the current request
+  bool keep_open_ = true;  // the connection stays open after the current request
   bool head_sent_ = false;
   bool congested_ = false;  // the request manager was notified that the client reads slowly
-  bool closing_ = false;    // it closes once all bytes are sent
+  bool closing_ = false;    // the connection closes when all bytes are sent
   bool finished_sending_ = false;
   bool closed_ = false;
-  bool in_read_requests_ = false;
+  bool reading_requests_ = false;
 };
 
 }  // namespace thornwick::net
--- a/src/net/downstream_limits.hpp
+++ b/src/net/downstream_limits.hpp
@@ -1,4 +1,4 @@
-// How long and how much a client's connection may take. Times in microseconds.
+// Limits of time and bytes for a client's connection. Times are in microseconds.
 #pragma once
 
 #include <cstddef>
@@ -7,26 +7,27 @@
 
 namespace thornwick::net {
 
-// A client is owed an answer or a close within 3 s of connecting, and may keep a connection without a request
-// for 2 s; both leave room for the time between two checks.
+// A client must get an answer, or its connection be closed, within 3 s of connecting, and a connection may
+// stay open without a request for 2 s. Both limits below leave room for the time between two checks.
 
-// For a request: the first one from the start of the connection, others from their first byte.
-inline constexpr Time kReadLimit = milliseconds(2'400);
-// Between the requests of a connection.
-inline constexpr Time kIdleLimit = milliseconds(2'200);
-// How often connections without a request are checked against these limits.
+// For reading a request: the first request from the start of the connection, others from their first byte.
+inline constexpr Time kRequestTimeout = milliseconds(2'400);
+// For the pause between two requests of a connection.
+inline constexpr Time kIdleTimeout = milliseconds(2'200);
+// The time between two checks of connections without a request against these limits.
 inline constexpr Time kWaitingCheckInterval = milliseconds(200);
-// The first bytes of a new connection come sooner than this.
+// A new connection is not evicted before this time, because its first bytes normally come sooner.
 inline constexpr Time kNewConnectionGrace = milliseconds(500);
-// For a client to take what was written.
-inline constexpr Time kWriteLimit = seconds(10);
-// For the last bytes before a connection is closed.
-inline constexpr Time kCloseLimit = seconds(1);
-// While no connection is kept: how often those without a request are looked for.
-inline constexpr Time kSweepInterval = milliseconds(100);
-// Bytes read while an answer is still going out.
-inline constexpr std::size_t kMaxReadAhead = 64UL * 1024;
-// Bytes read and dropped, so that an answer survives.
-inline constexpr std::size_t kMaxDiscarded = 1024UL * 1024;
+// For a client to read the bytes that were written.
+inline constexpr Time kWriteTimeout = seconds(10);
+// For sending the last bytes before a connection is closed.
+inline constexpr Time kCloseTimeout = seconds(1);
+// While the router keeps no connections open: the time between two searches for connections without a
+// request.
+inline constexpr Time kCloseUnusedInterval = milliseconds(100);
+// Bytes that are read while an answer is still being sent.
+inline constexpr std::size_t kMaxReadAheadBytes = 64UL * 1024;
+// Bytes that are read and dropped before the connection is closed, so that no reset destroys the answer.
+inline constexpr std::size_t kMaxDiscardedBytes = 1024UL * 1024;
 
 }  // namespace thornwick::net
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -28,16 +28,14 @@
   return std::make_unique<Listener>(options_.address, room, accepted, options_.address_use);
 }
 
-// ---------------------------------------------------------------- room for connections
-
-// A new connection takes precedence over one without a request, which its client can open again. Beyond the
-// clients' share of the descriptors, a new connection replaces one that has had time to send a request, or
-// else one between two requests: this protects ordinary clients against crowds that connect and send nothing.
-// The descriptors for replicas are never used for clients.
-void DownstreamServer::make_room() {
-  if (connections_.size() > options_.max_busy_connections && !evict(new_, kNewConnectionGrace))
-    evict(idle_, 0);
-  if (connections_.size() >= options_.max_connections) evict(new_, 0);
+// A new connection takes precedence over a connection without a request, which its client can open again.
+// Beyond the clients' share of the descriptors, a new connection replaces a connection that has had time to
+// send a request, or else a connection between two requests. This protects ordinary clients against crowds of
+// clients that connect and send nothing. The descriptors for replicas are never used for clients.
+void DownstreamServer::make_room_for_connection() {
+  if (connections_.size() > options_.max_busy_connections && !evict(new_connections_, kNewConnectionGrace))
+    evict(idle_connections_, 0);
+  if (connections_.size() >= options_.max_connections) evict(new_connections_, 0);
 }
 
 bool DownstreamServer::has_room() const {
@@ -45,15 +43,15 @@
          descriptors().held + kSpareDescriptors < descriptors().limit;
 }
 
-// Closes the first connection of the queue that has waited for `min_waiting` and has no bytes left to read.
-// Returns false if there is none.
-bool DownstreamServer::evict(Waiting& queue, Time min_waiting) {
+// Closes the first connection of the queue that has waited for `min_waiting` (microseconds) and has no unread
+// bytes. Returns false if there is no such connection.
+bool DownstreamServer::evict(WaitingQueue& queue, Time min_waiting) {
   const Time now = now_us();
   for (Connection* connection : queue) {
     if (now - connection->waiting_since() < min_waiting) return false;
     if (!connection->nothing_to_read()) continue;
     ++counters_.evicted;
-    connection->close("its place is needed");
+    connection->close("evicted to make room for another connection");
     return true;
   }
   return false;
@@ -64,7 +62,7 @@
   auto connection = std::make_unique<Connection>(*this, std::move(socket));
   Connection* key = connection.get();
   connections_.emplace(key, std::move(connection));
-  make_room();
+  make_room_for_connection();
 }
 
 void DownstreamServer::remove(Connection& connection) {
@@ -75,27 +73,23 @@
   if (router_lifecycle().accepts_connections()) listener_->resume();
 }
 
-// ---------------------------------------------------------------- connections without a request
-
-// All waiting connections share one timer, so that a crowd of them is cheap.
+// All waiting connections share one timer, so that many waiting connections are cheap.
 void DownstreamServer::start_waiting_check() {
   waiting_check_timer_.start(kWaitingCheckInterval, [this] { check_waiting(); });
 }
 
 void DownstreamServer::check_waiting() {
-  close_timed_out(new_, kReadLimit);
-  close_timed_out(idle_, kIdleLimit);
-  if (!new_.empty() || !idle_.empty()) start_waiting_check();
+  close_timed_out(new_connections_, kRequestTimeout);
+  close_timed_out(idle_connections_, kIdleTimeout);
+  if (!new_connections_.empty() || !idle_connections_.empty()) start_waiting_check();
 }
 
-void DownstreamServer::close_timed_out(Waiting& queue, Time limit) {
+void DownstreamServer::close_timed_out(WaitingQueue& queue, Time limit) {
   const Time now = now_us();
   while (!queue.empty() && now - queue.front()->waiting_since() >= limit)
     queue.front()->on_waiting_timed_out();
 }
 
-// ---------------------------------------------------------------- the router's lifecycle
-
 void DownstreamServer::on_phase_changed() {
   if (router_lifecycle().accepts_connections()) {
     listener_->resume();
@@ -105,19 +99,20 @@
   close_unused();
 }
 
-// Closes connections without a request if the phase wants it, and repeats that while no connection is kept.
+// Closes connections without a request if the phase requires that, and repeats this as long as the phase
+// keeps no connections open.
 void DownstreamServer::close_unused() {
   const Time now = now_us();
   if (router_lifecycle().closes_idle_connections(now)) {
-    while (evict(idle_, 0)) {
+    while (evict(idle_connections_, 0)) {
     }
   }
   if (router_lifecycle().closes_unused_connections(now)) {
-    while (evict(new_, 0)) {
+    while (evict(new_connections_, 0)) {
     }
   }
   if (!router_lifecycle().keeps_connections()) {
-    sweep_timer_.start(kSweepInterval, [this] { close_unused(); });
+    close_unused_timer_.start(kCloseUnusedInterval, [this] { close_unused(); });
   }
 }
 
--- a/src/net/downstream_server.hpp
+++ b/src/net/downstream_server.hpp
@@ -17,9 +17,9 @@
 
 namespace thornwick::net {
 
-// Events of the connections of clients since the start.
+// Counts of events of clients' connections since the start of the process.
 struct DownstreamCounters {
-  std::uint64_t accepted = 0;          // connections
+  std::uint64_t accepted = 0;          // connections that were accepted
   std::uint64_t invalid_requests = 0;  // requests that cannot be read or used
   std::uint64_t health_checks = 0;     // answered, of load balancers
   // Requests rejected for overload before the request manager had them.
@@ -28,10 +28,10 @@
   std::uint64_t evicted = 0;    // connections without a request closed to make room
 };
 
-// State that all servers of a router share.
+// The state of admission that all servers of a router share.
 struct SharedAdmissionState {
-  std::unordered_set<std::string> open_ids;  // of the requests in flight
-  std::size_t held_bytes = 0;                // of request bodies, including those that are still being read
+  std::unordered_set<std::string> request_ids;  // of the requests in flight
+  std::size_t body_bytes = 0;  // bytes of request bodies, including bodies that are still being read
 };
 
 class DownstreamServer {
@@ -39,30 +39,31 @@
   struct Options {
     std::string address;
     const fronts::Dialect* dialect = nullptr;
-    std::size_t max_busy_connections = 400;  // with a request in flight; further requests are rejected
-    std::size_t max_connections = 450;       // with and without a request
+    // Connections with a request in flight; further requests are rejected.
+    std::size_t max_busy_connections = 400;
+    std::size_t max_connections = 450;  // connections with and without a request
     std::size_t max_body_bytes = 48UL * 1024 * 1024;
-    // Unsent bytes to one client, above which reading from its replica pauses.
+    // The number of unsent bytes to one client above which reading from its replica pauses.
     std::size_t congestion_bytes = 256UL * 1024;
     Time overload_retry_after = 0;                   // advised with a rejection for overload; 0: no advice
     Owned<GSocket> listening_socket = {};            // a listening socket; null: one is opened at the address
     AddressUse address_use = AddressUse::exclusive;  // shared: a successor may listen at the same address
     const lifecycle::Lifecycle* router_lifecycle = nullptr;  // not owned
-    // A request was rejected for overload before the request manager had it. The argument is its class, as
-    // the client names it.
+    // Is called when a request was rejected for overload before the request manager had it. The argument is
+    // the request's class, as the client names it.
     std::function<void(std::string_view)> on_overload_rejection = [](std::string_view) {};
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
   };
 
-  // Listens from then on. `names`, `core` and `shared_admission` are not owned and have to outlive the
+  // Listens from now on. `names`, `core` and `shared_admission` are not owned and have to outlive the
   // server. Throws NetError if it cannot listen.
   DownstreamServer(Options options, const fronts::RequestNames& names, core::RequestManager& core,
                    SharedAdmissionState& shared_admission);
   ~DownstreamServer();
 
-  // To be called after the router's lifecycle has entered another phase: accepts, keeps and closes
-  // connections as the phase wants.
+  // Must be called after the router's lifecycle has entered another phase. Accepts, keeps and closes
+  // connections as the phase requires.
   void on_phase_changed();
   std::string address() const { return listener_->address(); }
   GSocket* socket() const { return listener_->socket(); }
@@ -71,18 +72,18 @@
 
  private:
   class Connection;
-  using Waiting = std::list<Connection*>;  // the connection that has waited longest comes first
+  using WaitingQueue = std::list<Connection*>;  // the connection that has waited longest comes first
 
   const lifecycle::Lifecycle& router_lifecycle() const { return *options_.router_lifecycle; }
   std::unique_ptr<Listener> listen();
   bool has_room() const;
-  void make_room();
-  bool evict(Waiting& queue, Time min_waiting);
+  void make_room_for_connection();
+  bool evict(WaitingQueue& queue, Time min_waiting);
   void on_accepted(Owned<GSocket> socket);
   void remove(Connection& connection);
   void start_waiting_check();
   void check_waiting();
-  void close_timed_out(Waiting& queue, Time limit);
+  void close_timed_out(WaitingQueue& queue, Time limit);
   void close_unused();
 
   Options options_;
@@ -91,10 +92,10 @@
   DownstreamCounters counters_;
   SharedAdmissionState& shared_admission_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
-  Waiting new_;           // connections without a whole request so far
-  Waiting idle_;          // connections between two requests
-  std::size_t busy_ = 0;  // connections with a request in flight
-  Timer sweep_timer_;
+  WaitingQueue new_connections_;   // connections that have not sent a complete request yet
+  WaitingQueue idle_connections_;  // connections between two requests
+  std::size_t busy_count_ = 0;     // connections with a request in flight
+  Timer close_unused_timer_;
   Timer waiting_check_timer_;
   std::unique_ptr<Listener> listener_;
 };
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -11,10 +11,11 @@
 using fronts::json_text;
 using fronts::text_at;
 
-// FNV-1a, 32 bits.
-constexpr ReplicaId kHashStart = 0x811c9dc5u;
-constexpr ReplicaId kHashPrime = 0x01000193u;
+// Constants of FNV-1a with 32 bits.
+constexpr ReplicaId kFnvOffset = 0x811c9dc5u;
+constexpr ReplicaId kFnvPrime = 0x01000193u;
 
+// Returns 0 for a name that is not in the list.
 std::uint16_t index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? 0 : static_cast<std::uint16_t>(found - names.begin());
@@ -64,9 +65,9 @@
   return revision;
 }
 
-bool is_whole_list(simdjson::dom::element list) {
-  bool whole = false;
-  return list.at_key("all").get(whole) != simdjson::SUCCESS || whole;
+bool is_full_list(simdjson::dom::element list) {
+  bool full = false;
+  return list.at_key("all").get(full) != simdjson::SUCCESS || full;
 }
 
 std::string write_endpoint(const ListedEndpoint& endpoint, const EndpointNames& names) {
@@ -94,8 +95,8 @@
   ReplicaId id = 0;
   const auto [end, error] = std::from_chars(digits.data(), last, id, 16);
   if (!digits.empty() && error == std::errc{} && end == last) return id;
-  ReplicaId hash = kHashStart;
-  for (const char byte : uid) hash = (hash ^ static_cast<unsigned char>(byte)) * kHashPrime;
+  ReplicaId hash = kFnvOffset;
+  for (const char byte : uid) hash = (hash ^ static_cast<unsigned char>(byte)) * kFnvPrime;
   return hash;
 }
 
--- a/src/net/endpoint_list.hpp
+++ b/src/net/endpoint_list.hpp
@@ -18,8 +18,8 @@
 
 // One entry of a list.
 struct ListedEndpoint {
-  Endpoint listing;      // the part that the routing policy needs
-  std::string uid;       // empty: the entry has none and cannot be used
+  Endpoint listing;      // the fields that the routing policy needs
+  std::string uid;       // empty: the entry has no uid and cannot be used
   std::string endpoint;  // "127.0.0.1:9000"
   std::string model;     // as discovery names it
   std::int64_t group = 0;
@@ -36,20 +36,21 @@
 // it depends on the other entries.
 ListedEndpoint read_endpoint(simdjson::dom::element entry, const EndpointNames& names);
 
-// The list's revision, if it has one.
+// Returns the revision of the list; none if the list has no revision.
 std::optional<std::uint64_t> read_revision(simdjson::dom::element list);
 
-// Whether replicas that the list omits are gone. Any other list only changes the entries that it has.
-bool is_whole_list(simdjson::dom::element list);
+// Whether the list is full: replicas that a full list omits are removed. Any other list changes only the
+// entries that it contains.
+bool is_full_list(simdjson::dom::element list);
 
-// Writes an entry in discovery's format. Its state must not be `gone`.
+// Writes an entry in discovery's format. The state of the entry must not be `removed`.
 std::string write_endpoint(const ListedEndpoint& endpoint, const EndpointNames& names);
 
-// Writes a whole list. `entries`: results of write_endpoint(), separated by commas.
+// Writes a full list. `entries`: results of write_endpoint(), separated by commas.
 std::string write_endpoint_list(std::optional<std::uint64_t> revision, const std::string& entries);
 
-// Returns the hexadecimal number at the end of the uid, or else a hash of the uid. The routing policy sorts
-// replicas by it, and all routers must sort them in the same order.
+// Returns the hexadecimal number at the end of the uid, or a hash of the uid if it does not end in a number.
+// The routing policy sorts replicas by this id, and all routers must sort them in the same order.
 ReplicaId preferred_id(const std::string& uid);
 
 }  // namespace thornwick::net
--- a/src/net/endpoint_table.cpp
+++ b/src/net/endpoint_table.cpp
@@ -8,8 +8,8 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kMaxRemembered =
-    64;  // replicas that are gone, kept for the records of their last requests
+// Removed replicas that stay known, for the records of their last requests.
+constexpr std::size_t kMaxRemovedReplicas = 64;
 
 std::string_view to_string(EndpointState state) {
   switch (state) {
@@ -20,14 +20,14 @@
   return "gone";
 }
 
-// The fault as log lines state it.
+// The text of the fault in log lines.
 std::string_view to_string(EntryFault fault) {
   switch (fault) {
-    case EntryFault::no_uid: return "an entry has no uid";
-    case EntryFault::duplicate_uid: return "a list has it twice";
+    case EntryFault::no_uid: return "the entry has no uid";
+    case EntryFault::duplicate_uid: return "the list has this uid twice";
     case EntryFault::no_address: break;
   }
-  return "it has no good address";
+  return "the entry has no valid address";
 }
 
 }  // namespace
@@ -39,8 +39,8 @@
                .schedule = options.schedule,
                .seed = options.seed,
                .stale_list_delay = options.stale_list_delay},
-              {.list = [this](simdjson::dom::element list) { apply_list(list, Source::discovery); },
-               .failed = [this] { on_update_(EndpointUpdate::failed, {}); }},
+              {.on_list = [this](simdjson::dom::element list) { apply_list(list, Source::discovery); },
+               .on_failure = [this] { on_update_(EndpointUpdate::failed, {}); }},
               counters_) {}
 
 const EndpointEntry* EndpointTable::find(ReplicaId replica) const {
@@ -81,39 +81,40 @@
 }
 
 void EndpointTable::apply_list(simdjson::dom::element list, Source source) {
-  const bool whole = is_whole_list(list);
-  if (whole) {
+  const bool full = is_full_list(list);
+  if (full) {
     for (auto& [id, entry] : endpoints_) entry.listing.state = EndpointState::gone;
   }
   const std::vector<Endpoint> entries = apply_entries(list, source);
   log_state_changes(source);
-  forget_gone();
-  EndpointUpdate update = whole ? EndpointUpdate::full : EndpointUpdate::delta;
+  forget_removed();
+  EndpointUpdate update = full ? EndpointUpdate::full : EndpointUpdate::delta;
   if (source == Source::cache) update = EndpointUpdate::cached;
   on_update_(update, entries);
 }
 
 std::vector<Endpoint> EndpointTable::apply_entries(simdjson::dom::element list, Source source) {
   std::vector<Endpoint> applied;
-  std::set<std::string> seen;
+  std::set<std::string> uids;
   simdjson::dom::array entries;
   if (list.at_key("targets").get(entries) != simdjson::SUCCESS) return applied;
   for (const auto entry : entries) {
     ListedEndpoint listed = read_endpoint(entry, names_);
     listed.listing.id = assign_id(listed.uid);
-    if (!is_usable(listed, seen)) continue;
+    if (!is_usable(listed, uids)) continue;
     applied.push_back(apply_entry(std::move(listed)));
     if (source == Source::discovery) ++counters_.entries_applied;
   }
   return applied;
 }
 
-bool EndpointTable::is_usable(const ListedEndpoint& listed, std::set<std::string>& seen) {
+// `uids` are those of the list's entries so far; the entry's uid is added to them.
+bool EndpointTable::is_usable(const ListedEndpoint& listed, std::set<std::string>& uids) {
   if (listed.uid.empty()) {
     reject_entry(EntryFault::no_uid, listed.uid);
     return false;
   }
-  if (!seen.insert(listed.uid).second) {
+  if (!uids.insert(listed.uid).second) {
     reject_entry(EntryFault::duplicate_uid, listed.uid);
     return false;
   }
@@ -138,8 +139,8 @@
   return entry.listing;
 }
 
-// A replica that is gone gives up its number. Otherwise routers that never knew it would number the replicas
-// differently.
+// The id of a removed replica can be assigned again. Otherwise routers that never knew the removed replica
+// would assign other ids than this one.
 ReplicaId EndpointTable::assign_id(const std::string& uid) const {
   ReplicaId id = preferred_id(uid);
   for (const EndpointEntry* other = find(id);
@@ -158,8 +159,8 @@
   logging::warning("endpoints") << "invalid entry: " << logging::field("replica", uid) << ": " << reason;
 }
 
-// Logs one line for each replica whose state has changed since its latest line. States from the list at the
-// start are no changes and have level debug.
+// Logs one line for each replica whose state has changed since the replica's latest line. States in the list
+// that is known at the start are not changes, and are logged at level debug.
 void EndpointTable::log_state_changes(Source source) {
   const auto level = source == Source::cache ? logging::Level::debug : logging::Level::info;
   for (auto& [id, entry] : endpoints_) {
@@ -174,16 +175,16 @@
   }
 }
 
-// Bounds the memory where replicas are replaced all day.
-void EndpointTable::forget_gone() {
+// Bounds the memory that removed replicas use in a deployment that replaces replicas all day.
+void EndpointTable::forget_removed() {
   for (auto& [id, entry] : endpoints_) {
     const bool gone = entry.listing.state == EndpointState::gone;
-    if (gone && !entry.remembered) gone_.push_back(id);
-    entry.remembered = gone;
+    if (gone && !entry.queued_for_removal) removed_.push_back(id);
+    entry.queued_for_removal = gone;
   }
-  for (; gone_.size() > kMaxRemembered; gone_.pop_front()) {
-    const auto found = endpoints_.find(gone_.front());
-    if (found != endpoints_.end() && found->second.remembered) endpoints_.erase(found);
+  for (; removed_.size() > kMaxRemovedReplicas; removed_.pop_front()) {
+    const auto found = endpoints_.find(removed_.front());
+    if (found != endpoints_.end() && found->second.queued_for_removal) endpoints_.erase(found);
   }
 }
 
--- a/src/net/endpoint_table.hpp
+++ b/src/net/endpoint_table.hpp
@@ -1,6 +1,6 @@
-// The replicas that discovery lists: the address of each, whether it accepts new requests, and its number for
-// the routing policy. Lists come from a DiscoveryClient, and at the start from an earlier process or the
-// configuration.
+// The replicas that discovery lists: the address of each replica, whether the replica accepts new requests,
+// and the replica's id in the routing policy. Lists come from a DiscoveryClient, and at the start from a
+// predecessor or the configuration.
 #pragma once
 
 #include <simdjson.h>
@@ -32,7 +32,7 @@
 // A replica in the table.
 struct EndpointEntry : ListedEndpoint {
   Owned<GSocketAddress> address;              // null: the entry has no usable address
-  bool remembered = false;                    // it is gone and in the queue of entries to forget
+  bool queued_for_removal = false;            // removed, and in the queue of entries to forget
   std::optional<EndpointState> logged_state;  // the state in the latest log line; none: the entry is new
 };
 
@@ -42,46 +42,47 @@
     std::string address;
     std::vector<std::string> zones;  // as the settings name them
     std::vector<std::string> kinds;
-    // When discovery is called. The routing policy's own intervals have no effect here.
+    // Times at which discovery is called. The intervals of the routing policy have no effect here.
     core::DiscoverySchedule::Options schedule;
     std::uint64_t seed = 0;  // of the schedule's jitter
-    // A list that is older than the one in use is applied only after discovery has sent nothing newer for
+    // A list that is older than the list in use is applied only after discovery has sent only older lists for
     // this time.
     Time stale_list_delay = seconds(10);
   };
-  // Called after the table has changed, with the changed entries; and after a call has failed, without
-  // entries.
+  // Is called with the changed entries after the table has changed, and without entries after a call has
+  // failed.
   using OnUpdate = std::function<void(EndpointUpdate, std::span<const Endpoint>)>;
 
   // Throws NetError if `options.address` is not an address.
   EndpointTable(Options options, OnUpdate on_update);
 
-  // Sets the function that tells whether peers report a replica as draining or gone. Such a replica gets no
-  // new attempt even if the list has it as ready. The function is called until the table is destroyed.
+  // Sets the function that returns whether peers report a replica as draining or removed. Such a replica gets
+  // no new attempt even if the list has it as ready. The function is called until the table is destroyed.
   void set_peer_reports(std::function<bool(ReplicaId)> reported) { reported_by_peers_ = std::move(reported); }
 
   // Applies a list that is known at the start, before discovery has answered.
   void apply_known_list(simdjson::dom::element known);
-  // The current list in discovery's format, for a successor. Replicas that peers report are listed as
-  // draining; the list then has no revision, so that the successor requests the whole list. If such a report
-  // is wrong, no later change of the list would correct it.
+  // Returns the current list in discovery's format, for a successor. Replicas that peers report are listed as
+  // draining. The list then has no revision, so that the successor requests the full list: if such a report
+  // was wrong, no later change of the list would correct it.
   std::string list_json() const;
 
-  // Does nothing: the schedule keeps a watch open by itself.
+  // Does nothing, because the schedule always keeps a watch open.
   void watch() override {}
   void fetch() override { client_.fetch(); }
 
-  // Calls discovery at another address from now on. The table stays until the new address has sent its whole
-  // list. Throws NetError if it is not an address, and then nothing has changed.
+  // Calls discovery at `address` from now on. The table stays until the new address has sent its full list.
+  // Throws NetError, without any effect, if `address` is not an address.
   void switch_to(const std::string& address) { client_.switch_to(address); }
 
-  // Returns null if the replica is not known. Replicas that are gone stay known for a while. Valid until the
-  // next list is applied.
+  // Returns the replica's entry, valid until the next list is applied; null if the replica is not known.
+  // Removed replicas stay known for a while.
   const EndpointEntry* find(ReplicaId replica) const;
-  // Whether the replica may get new attempts: the list has it as ready, and no peer reports it.
+  // Whether the replica may get new attempts: the list has it as ready, and no peer reports it as draining or
+  // removed.
   bool may_send(ReplicaId replica) const;
   std::size_t size() const { return endpoints_.size(); }
-  // The number of replicas that are not gone.
+  // The number of replicas that are not removed.
   std::size_t listed_count() const;
   const DiscoveryCounters& counters() const { return counters_; }
 
@@ -91,18 +92,18 @@
   void apply_list(simdjson::dom::element list, Source source);
   std::vector<Endpoint> apply_entries(simdjson::dom::element list, Source source);
   bool is_reported(ReplicaId replica) const { return reported_by_peers_ && reported_by_peers_(replica); }
-  bool is_usable(const ListedEndpoint& listed, std::set<std::string>& seen);
+  bool is_usable(const ListedEndpoint& listed, std::set<std::string>& uids);
   Endpoint apply_entry(ListedEndpoint listed);
   void log_state_changes(Source source);
   ReplicaId assign_id(const std::string& uid) const;
   void reject_entry(EntryFault fault, const std::string& uid);
-  void forget_gone();
+  void forget_removed();
 
   EndpointNames names_;
   OnUpdate on_update_;
   std::function<bool(ReplicaId)> reported_by_peers_;  // empty: there are no peers
   std::map<ReplicaId, EndpointEntry> endpoints_;
-  std::deque<ReplicaId> gone_;  // in the order in which they went
+  std::deque<ReplicaId> removed_;  // the replica removed first comes first
   DiscoveryCounters counters_;
   logging::RateLimiter log_limiter_;
   DiscoveryClient client_;
--- a/src/net/flow_exporter.cpp
+++ b/src/net/flow_exporter.cpp
@@ -5,8 +5,9 @@
 namespace thornwick::net {
 namespace {
 
-constexpr Time kDelay = seconds(1);              // for which a record waits for others
-constexpr Time kTemplateInterval = seconds(30);  // over UDP a template may be lost (RFC 7011, section 8.1)
+constexpr Time kFlushDelay = seconds(1);  // for which a record waits for other records
+// The template is repeated because UDP may lose a template (RFC 7011, section 8.1).
+constexpr Time kTemplateInterval = seconds(30);
 
 Owned<GSocketAddress> collector_address(const std::string& text) {
   auto address = parse_address(text);
@@ -18,7 +19,7 @@
   GLibError error;
   Owned<GSocket> socket(g_socket_new(g_socket_address_get_family(collector), G_SOCKET_TYPE_DATAGRAM,
                                      G_SOCKET_PROTOCOL_UDP, error.out()));
-  if (!socket) throw NetError("flows: no socket: " + error.message());
+  if (!socket) throw NetError("flows: cannot create a socket: " + error.message());
   g_socket_set_blocking(socket.get(), FALSE);
   return socket;
 }
@@ -35,11 +36,11 @@
 void FlowExporter::add(const core::RequestSummary& summary, std::string_view replica) {
   writer_.add(summary, replica);
   if (writer_.full()) return flush();
-  if (!delay_.running()) delay_.start(kDelay, [this] { flush(); });
+  if (!flush_timer_.running()) flush_timer_.start(kFlushDelay, [this] { flush(); });
 }
 
 void FlowExporter::flush() {
-  delay_.stop();
+  flush_timer_.stop();
   const Time now = now_us();
   const bool with_template = template_sent_at_ == 0 || now - template_sent_at_ >= kTemplateInterval;
   if (with_template) template_sent_at_ = now;
--- a/src/net/flow_record.cpp
+++ b/src/net/flow_record.cpp
@@ -15,8 +15,9 @@
 constexpr std::size_t kMessageHeadBytes = 16;
 constexpr std::size_t kSetHeadBytes = 4;
 constexpr std::size_t kTemplateHeadBytes = 4;
-constexpr std::size_t kMaxRecordBytes = 1200;  // of records in a message, so that it is not fragmented
-constexpr std::size_t kMaxNameBytes = 200;     // of a replica's name; one byte holds its length
+// Maximal bytes of records in a message, so that IP does not fragment the message.
+constexpr std::size_t kMaxMessageRecordBytes = 1200;
+constexpr std::size_t kMaxNameBytes = 200;  // of a replica's name, whose length is stored in one byte
 constexpr std::uint64_t kMax32 = std::numeric_limits<std::uint32_t>::max();
 constexpr std::uint64_t kMax64 = std::numeric_limits<std::uint64_t>::max();
 
@@ -28,7 +29,8 @@
   Origin origin = Origin::iana;
 };
 
-// The elements of IANA, then those of the enterprise number, in the order of FlowWriter::add.
+// IANA's information elements, then those of the enterprise number, in the order in which FlowWriter::add()
+// writes them.
 constexpr Field kFields[] = {
     {152, 8},                                  // flowStartMilliseconds
     {153, 8},                                  // flowEndMilliseconds
@@ -45,7 +47,7 @@
     {9, kVariableLength, Origin::enterprise},  // the last replica
 };
 
-// Appends the lowest `bytes` bytes of the value in network order.
+// Appends the `bytes` least significant bytes of the value in network byte order.
 void append_number(std::string& out, std::uint64_t value, std::size_t bytes) {
   for (std::size_t i = bytes; i > 0; --i) out += static_cast<char>(value >> (8 * (i - 1)));
 }
@@ -66,8 +68,8 @@
   return set + fields;
 }
 
-std::uint64_t clamped(Time value, std::uint64_t most) {
-  return std::min<std::uint64_t>(static_cast<std::uint64_t>(std::max<Time>(0, value)), most);
+std::uint64_t clamped(Time value, std::uint64_t max) {
+  return std::min<std::uint64_t>(static_cast<std::uint64_t>(std::max<Time>(0, value)), max);
 }
 
 std::uint64_t to_milliseconds(Time value) { return clamped(value / milliseconds(1), kMax64); }
@@ -94,7 +96,7 @@
   ++record_count_;
 }
 
-bool FlowWriter::full() const { return records_.size() >= kMaxRecordBytes; }
+bool FlowWriter::full() const { return records_.size() >= kMaxMessageRecordBytes; }
 
 std::string FlowWriter::take(Time now, Template include) {
   std::string sets = include == Template::included ? template_set() : std::string();
--- a/src/net/gobject_handle.hpp
+++ b/src/net/gobject_handle.hpp
@@ -1,4 +1,4 @@
-// Ownership of what GLib hands out: references to GObjects, and GError.
+// Ownership of GLib's resources: references to GObjects, and GError.
 #pragma once
 
 #include <gio/gio.h>
@@ -12,11 +12,11 @@
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 
-// One reference to a GObject, given back when the handle goes.
+// One reference to a GObject, which is released when the handle is destroyed.
 template <typename T>
 using Owned = std::unique_ptr<T, ObjectUnref>;
 
-// Receives the error of one GLib call, and frees it. Empty until that call has failed.
+// Receives and owns the error of one GLib call. It is empty unless that call has failed.
 class GLibError {
  public:
   GLibError() = default;
@@ -24,17 +24,17 @@
   GLibError& operator=(const GLibError&) = delete;
   ~GLibError() { g_clear_error(&error_); }
 
-  // Where the call writes its error. Not to be used again once an error is there.
+  // The location to which the call writes its error. Must not be used again after a call has failed.
   GError** out() { return &error_; }
   explicit operator bool() const { return error_ != nullptr; }
   bool matches(GIOErrorEnum code) const {
     return g_error_matches(error_, G_IO_ERROR, static_cast<gint>(code)) != FALSE;
   }
-  // The call has to be repeated once the socket is ready.
+  // Whether the call must be repeated when the socket is ready.
   bool would_block() const { return matches(G_IO_ERROR_WOULD_BLOCK) || matches(G_IO_ERROR_PENDING); }
-  // The error's text, or `otherwise` if the call gave none.
-  std::string message(const char* otherwise = "") const {
-    return error_ == nullptr ? otherwise : error_->message;
+  // The text of the error, or `default_text` if there is no error.
+  std::string message(const char* default_text = "") const {
+    return error_ == nullptr ? default_text : error_->message;
   }
 
  private:
--- a/src/net/handover.hpp
+++ b/src/net/handover.hpp
@@ -1,6 +1,6 @@
-// Replacing the process: a successor at the same address gets the listening sockets and what was learned over
-// a Unix socket, and notifies when it serves (docs/lifecycle.md). The old process is the HandoverServer, the
-// new one inherits and is the HandoverClient.
+// The hand-over to a successor: a new process with the same address gets the listening sockets and the
+// learned state over a Unix socket, and notifies the old process when it serves (docs/lifecycle.md). The old
+// process uses HandoverServer; the new process uses receive_handover() and HandoverClient.
 #pragma once
 
 // IWYU pragma: begin_exports
--- a/src/net/handover_client.cpp
+++ b/src/net/handover_client.cpp
@@ -10,7 +10,7 @@
 namespace thornwick::net {
 namespace {
 
-constexpr guint kAnswerSeconds = 1;  // for each call to the old process
+constexpr guint kCallTimeoutSeconds = 1;  // limit of each call to the old process
 
 Owned<GSocket> new_unix_socket() {
   Owned<GSocket> socket(
@@ -19,16 +19,16 @@
   return socket;
 }
 
-// Returns null if no process listens there, because a killed process has left the file; that is not worth a
-// log line. Throws HandoverError if it cannot connect for another reason.
+// Returns null if no process listens at the path because a killed process has left the file, which is not
+// worth a log line. Throws HandoverError if connecting fails for another reason.
 Owned<GSocket> connect_to_old_process(const std::string& path) {
   auto socket = new_unix_socket();
-  g_socket_set_timeout(socket.get(), kAnswerSeconds);
+  g_socket_set_timeout(socket.get(), kCallTimeoutSeconds);
   const Owned<GSocketAddress> address(g_unix_socket_address_new(path.c_str()));
   GLibError error;
   if (g_socket_connect(socket.get(), address.get(), nullptr, error.out())) return socket;
   if (error.matches(G_IO_ERROR_CONNECTION_REFUSED)) return nullptr;
-  throw HandoverError(HandoverFault::ended, error.message("it ended"));
+  throw HandoverError(HandoverFault::ended, error.message("the connection ended"));
 }
 
 }  // namespace
@@ -62,8 +62,8 @@
 void HandoverClient::send_handed_over() { stream_.write(std::string(to_line(HandoverMessage::handed_over))); }
 
 void HandoverClient::on_bytes(std::string_view bytes) {
-  if (line_.size() < kMaxHandoverLine) line_ += bytes;
-  const auto message = parse_handover_line(line_);
+  if (received_line_.size() < kMaxHandoverLine) received_line_ += bytes;
+  const auto message = parse_handover_line(received_line_);
   if (message == HandoverMessage::yielded || message == HandoverMessage::yielded_drained) {
     callbacks_.predecessor_yielded(message == HandoverMessage::yielded_drained);
   }
--- a/src/net/handover_client.hpp
+++ b/src/net/handover_client.hpp
@@ -1,4 +1,4 @@
-// The new process's side of a handover.
+// The new process's side of a hand-over.
 #pragma once
 
 #include <functional>
@@ -12,25 +12,26 @@
 namespace thornwick::net {
 
 // Requests the state of the process that waits for a successor at this path. Returns none if there is no such
-// process, or if it sends no whole offer within a second; then the start is an ordinary one, and a log line
-// states why. Blocks, so it is to be called before the loop runs.
+// process, or if the process sends no complete offer within a second; the caller then starts without a
+// hand-over. A failure is logged. Blocks, and therefore must be called before the loop runs.
 std::optional<HandoverState> receive_handover(const std::string& path);
 
-// Notifies the old process that this one serves, and is notified when the old one has yielded or has ended.
+// Notifies the old process that this process serves, and is notified when the old process has yielded or
+// exited.
 class HandoverClient {
  public:
   struct Callbacks {
-    // The path is free, and the old process accepts nothing more. `drained`: by an operator.
+    // The path is free, and the old process accepts no more connections. `drained`: by an operator.
     std::function<void(bool drained)> predecessor_yielded;
     std::function<void()> predecessor_exited;
   };
 
-  // `connection`: the one to the old process, from the state that was inherited.
+  // `connection`: HandoverState::connection, from receive_handover().
   HandoverClient(Owned<GSocket> connection, Callbacks callbacks);
-  // Notifies the old process that this one serves.
+  // Notifies the old process that this process serves.
   void send_serving();
-  // Notifies the old process that this one has handed over to a successor of its own, so that its end is no
-  // failure.
+  // Notifies the old process that this process has handed over to a successor of its own. The old process
+  // then does not take the end of this process for a failure.
   void send_handed_over();
 
  private:
@@ -38,7 +39,7 @@
   void on_ended();
 
   Callbacks callbacks_;
-  std::string line_;
+  std::string received_line_;
   Stream stream_;
 };
 
--- a/src/net/handover_protocol.cpp
+++ b/src/net/handover_protocol.cpp
@@ -17,31 +17,31 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::uint32_t kMagic = 0x54574831;         // "TWH1"; another version has another number
-constexpr std::uint32_t kMaxOfferBytes = 4'000'000;  // without the head
+constexpr std::uint32_t kMagic = 0x54574831;         // "TWH1"; each version of the offer has its own
+constexpr std::uint32_t kMaxOfferBytes = 4'000'000;  // of an offer without its head
 constexpr std::size_t kMaxSockets = 16;
-constexpr Time kOfferTimeout = seconds(1);  // for everything after the head
+constexpr Time kOfferTimeout = seconds(1);  // for the bytes after the head
 
-// FNV-1a, 64 bits.
-constexpr std::uint64_t kHashStart = 0xcbf29ce484222325ull;
-constexpr std::uint64_t kHashPrime = 0x100000001b3ull;
+// Constants of FNV-1a with 64 bits.
+constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325ull;
+constexpr std::uint64_t kFnvPrime = 0x100000001b3ull;
 
 struct OfferHead {
   std::uint32_t magic = 0;
   std::uint32_t length = 0;  // number of bytes that follow
 };
 
-// Everything after the head, as a MessagePack array.
+// The bytes after the head: a MessagePack array with these values in this order.
 struct Offer {
-  std::vector<std::string> names;  // HandoverState's addresses of the sockets, in the descriptors' order
+  std::vector<std::string> addresses;  // keys of HandoverState::sockets, in the order of the descriptors
   bool drained = false;
-  std::uint64_t held = 0;
-  std::string list;
+  std::uint64_t reserved_descriptors = 0;
+  std::string endpoint_list;
   std::string learned_state;
-  MSGPACK_DEFINE(names, drained, held, list, learned_state)
+  MSGPACK_DEFINE(addresses, drained, reserved_descriptors, endpoint_list, learned_state)
 };
 
-// Owns the descriptors that came with a message, and closes those that are not taken.
+// Owns the descriptors that came with a message, and closes those that were not taken as sockets.
 class ReceivedDescriptors {
  public:
   ReceivedDescriptors() = default;
@@ -57,12 +57,12 @@
 
   void add_all(GUnixFDMessage* message) {
     int length = 0;
-    int* stolen = g_unix_fd_message_steal_fds(message, &length);
-    descriptors_.insert(descriptors_.end(), stolen, stolen + length);
-    g_free(stolen);
+    int* received = g_unix_fd_message_steal_fds(message, &length);
+    descriptors_.insert(descriptors_.end(), received, received + length);
+    g_free(received);
   }
 
-  // The descriptor as a socket that does not block. Throws HandoverError (not_a_socket).
+  // Returns a non-blocking socket for the descriptor. Throws HandoverError (not_a_socket).
   Owned<GSocket> take_socket(std::size_t index) {
     Owned<GSocket> socket(g_socket_new_from_fd(descriptors_.at(index), nullptr));
     if (!socket) throw HandoverError(HandoverFault::not_a_socket);
@@ -79,7 +79,7 @@
   return {HandoverFault::ended, error.message(std::string(to_string(HandoverFault::ended)).c_str())};
 }
 
-// Receives the head and the descriptors, which come together. Throws HandoverError (ended).
+// Receives the head and the descriptors, which the old process sends together. Throws HandoverError (ended).
 OfferHead receive_head(GSocket* socket, ReceivedDescriptors& descriptors) {
   OfferHead head;
   GInputVector vector{&head, sizeof(head)};
@@ -98,8 +98,8 @@
   return head;
 }
 
-// Receives the bytes after the head. Throws HandoverError (ended, offer_too_slow).
-std::string receive_rest(GSocket* socket, std::size_t size) {
+// Receives the `size` bytes after the head. Throws HandoverError (ended, offer_too_slow).
+std::string receive_bytes(GSocket* socket, std::size_t size) {
   std::string bytes(size, '\0');
   const Time deadline = now_us() + kOfferTimeout;
   for (std::size_t position = 0; position < size;) {
@@ -143,15 +143,15 @@
 
 std::string_view to_string(HandoverFault fault) {
   switch (fault) {
-    case HandoverFault::no_unix_sockets: return "there are no Unix sockets here";
-    case HandoverFault::ended: return "it ended";
-    case HandoverFault::other_user: return "it is another user's";
-    case HandoverFault::other_version: return "it speaks another version";
-    case HandoverFault::offer_too_long: return "its offer is too long";
-    case HandoverFault::offer_too_slow: return "its offer does not end";
-    case HandoverFault::offer_unreadable: return "its offer cannot be read";
-    case HandoverFault::not_a_socket: return "it sent what is no socket";
-    case HandoverFault::sockets_differ: return "its sockets are not those it names";
+    case HandoverFault::no_unix_sockets: return "the system does not provide Unix sockets";
+    case HandoverFault::ended: return "the connection ended";
+    case HandoverFault::other_user: return "the other process belongs to another user";
+    case HandoverFault::other_version: return "the offer is of another version";
+    case HandoverFault::offer_too_long: return "the offer is too long";
+    case HandoverFault::offer_too_slow: return "the offer did not arrive in time";
+    case HandoverFault::offer_unreadable: return "the offer is malformed";
+    case HandoverFault::not_a_socket: return "a descriptor of the offer is not a socket";
+    case HandoverFault::sockets_differ: return "the numbers of descriptors and of addresses differ";
   }
   return {};
 }
@@ -164,11 +164,11 @@
 
 std::string handover_path(const std::string& folder, const std::string& name, const std::string& listen) {
   if (folder.empty()) return {};
-  std::uint64_t hash = kHashStart;
+  std::uint64_t hash = kFnvOffset;
   std::string identity = name;
   identity += '\n';
   identity += listen;
-  for (const char byte : identity) hash = (hash ^ static_cast<unsigned char>(byte)) * kHashPrime;
+  for (const char byte : identity) hash = (hash ^ static_cast<unsigned char>(byte)) * kFnvPrime;
   std::array<char, 32> file{};
   std::snprintf(file.data(), file.size(), "/thornwick-%016llx", static_cast<unsigned long long>(hash));
   const std::string path = folder + file.data();
@@ -176,38 +176,38 @@
 }
 
 HandoverState receive_offer(Owned<GSocket> socket) {
-  // Another user's process could wait at the same path; sockets are only taken from one of the same user.
+  // A process of another user could wait at the same path. Sockets are accepted from the same user only.
   if (!same_user(socket.get())) throw HandoverError(HandoverFault::other_user);
   ReceivedDescriptors descriptors;
   const OfferHead head = receive_head(socket.get(), descriptors);
   if (head.magic != kMagic) throw HandoverError(HandoverFault::other_version);
   if (head.length > kMaxOfferBytes) throw HandoverError(HandoverFault::offer_too_long);
-  Offer offer = unpack_offer(receive_rest(socket.get(), head.length));
-  if (offer.names.size() != descriptors.size()) throw HandoverError(HandoverFault::sockets_differ);
+  Offer offer = unpack_offer(receive_bytes(socket.get(), head.length));
+  if (offer.addresses.size() != descriptors.size()) throw HandoverError(HandoverFault::sockets_differ);
   HandoverState handover_state;
-  for (std::size_t i = 0; i < offer.names.size(); ++i) {
-    handover_state.sockets[offer.names[i]] = descriptors.take_socket(i);
+  for (std::size_t i = 0; i < offer.addresses.size(); ++i) {
+    handover_state.sockets[offer.addresses[i]] = descriptors.take_socket(i);
   }
   handover_state.drained = offer.drained;
-  handover_state.reserved_descriptors = offer.held;
-  handover_state.endpoint_list = std::move(offer.list);
+  handover_state.reserved_descriptors = offer.reserved_descriptors;
+  handover_state.endpoint_list = std::move(offer.endpoint_list);
   handover_state.learned_state = std::move(offer.learned_state);
   handover_state.connection = std::move(socket);
   return handover_state;
 }
 
 SentOffer send_offer_head(GSocket* socket, const HandoverState& handover_state) {
-  Offer offer{.names = {},
+  Offer offer{.addresses = {},
               .drained = handover_state.drained,
-              .held = handover_state.reserved_descriptors,
-              .list = handover_state.endpoint_list,
+              .reserved_descriptors = handover_state.reserved_descriptors,
+              .endpoint_list = handover_state.endpoint_list,
               .learned_state = handover_state.learned_state};
   const Owned<GSocketControlMessage> descriptors(g_unix_fd_message_new());
   auto* descriptor_message = G_UNIX_FD_MESSAGE(descriptors.get());
-  for (const auto& [name, lent] : handover_state.sockets) {
-    if (offer.names.size() == kMaxSockets) break;
-    if (!g_unix_fd_message_append_fd(descriptor_message, g_socket_get_fd(lent.get()), nullptr)) continue;
-    offer.names.push_back(name);
+  for (const auto& [address, listening] : handover_state.sockets) {
+    if (offer.addresses.size() == kMaxSockets) break;
+    if (!g_unix_fd_message_append_fd(descriptor_message, g_socket_get_fd(listening.get()), nullptr)) continue;
+    offer.addresses.push_back(address);
   }
   msgpack::sbuffer packed;
   msgpack::pack(packed, offer);
@@ -216,8 +216,8 @@
   GSocketControlMessage* message = descriptors.get();
   const gssize sent = g_socket_send_message(socket, nullptr, &vector, 1, &message, 1, 0, nullptr, nullptr);
   return {.head_sent = sent == sizeof(head),
-          .rest = std::string(packed.data(), packed.size()),
-          .sockets = offer.names.size()};
+          .unsent_bytes = std::string(packed.data(), packed.size()),
+          .socket_count = offer.addresses.size()};
 }
 
 }  // namespace thornwick::net
--- a/src/net/handover_protocol.hpp
+++ b/src/net/handover_protocol.hpp
@@ -1,8 +1,8 @@
-// The messages between the old and the new process of a handover, on a Unix socket.
+// The messages between the old and the new process of a hand-over, on a Unix socket.
 //
-// The old process sends its offer: a head of two 32-bit words in host byte order (a magic number and the
-// length of what follows) together with the sockets' descriptors, then MessagePack. From then on both send
-// messages of one line each (HandoverMessage).
+// First the old process sends its offer: a head of two 32-bit words in host byte order (a magic number, and
+// the number of bytes that follow) together with the sockets' descriptors, then MessagePack. After the offer,
+// both processes send messages of one line each (HandoverMessage).
 #pragma once
 
 #include <cstddef>
@@ -17,71 +17,71 @@
 namespace thornwick::net {
 
 enum class HandoverMessage {
-  serving,         // from the new process: it serves
-  handed_over,     // from the new process: it has handed over to a successor of its own
-  yielded,         // from the old process, in answer to `serving`: it accepts no more
-  yielded_drained  // the same from a process that an operator has drained; the new one is to be drained too
+  serving,         // from the new process, when it serves
+  handed_over,     // from the new process, when it has handed over to a successor of its own
+  yielded,         // from the old process, in answer to `serving`: it accepts no more connections
+  yielded_drained  // like `yielded`, from a process that an operator has drained; the new process drains, too
 };
 
-// The largest length of a message's line, in bytes.
+// The maximal length of a message's line in bytes.
 inline constexpr std::size_t kMaxHandoverLine = 64;
 
-// The line of a message, with its newline.
+// Returns the line of a message, with its newline.
 std::string_view to_line(HandoverMessage message);
-// The message of a line; nothing if it is none. `line` is with its newline.
+// Returns the message of `line`, which includes the newline; none if the line is not a message.
 std::optional<HandoverMessage> parse_handover_line(std::string_view line);
 
-// The path at which the process that listens at `listen` under the name `name` waits for a successor. Empty
-// if `folder` is empty or the path would be too long for a Unix socket.
+// Returns the path in `folder` at which the process with the name `name` and the address `listen` waits for a
+// successor. Empty if `folder` is empty or the path would be too long for a Unix socket.
 std::string handover_path(const std::string& folder, const std::string& name, const std::string& listen);
 
-// What the old process offers to the new one.
+// The state that the old process offers to the new process.
 struct HandoverState {
   std::map<std::string, Owned<GSocket>> sockets;  // listening sockets, by their address in the configuration
-  bool drained = false;                           // by an operator
+  bool drained = false;                           // an operator has drained the old process
   // The largest number of descriptors that the old process holds while it finishes requests.
   std::size_t reserved_descriptors = 0;
   std::string endpoint_list;  // discovery's endpoint list with its version, as JSON
-  std::string learned_state;  // as persistence::encode_handover_state() gives it; not read here
+  std::string learned_state;  // from persistence::encode_handover_state(); not interpreted here
   Owned<GSocket> connection;  // the connection to the old process; not part of the offer
 };
 
-// Why a handover does not take place.
+// Why a hand-over does not take place.
 enum class HandoverFault {
-  no_unix_sockets,   // the system gives no Unix socket
+  no_unix_sockets,   // the system does not provide Unix sockets
   ended,             // the old process closed the connection, or the connection failed
-  other_user,        // the old process is another user's
-  other_version,     // the magic number of the offer is not this version's
-  offer_too_long,    // the head announces more than the largest offer
+  other_user,        // the old process belongs to another user
+  other_version,     // the offer has the magic number of another version
+  offer_too_long,    // the head announces more bytes than an offer may have
   offer_too_slow,    // the offer did not arrive in time
   offer_unreadable,  // the offer is not the expected MessagePack
-  not_a_socket,      // a descriptor of the offer is no socket
-  sockets_differ     // there are not as many descriptors as names
+  not_a_socket,      // a descriptor of the offer is not a socket
+  sockets_differ     // the number of descriptors differs from the number of addresses
 };
 
-// The text of a fault for the log.
+// The text of the fault in log lines.
 std::string_view to_string(HandoverFault fault);
 
 struct HandoverError : std::runtime_error {
   explicit HandoverError(HandoverFault handover_fault);
-  // With the text of the system's error.
+  // `text`: the text of the system's error.
   HandoverError(HandoverFault handover_fault, const std::string& text);
 
   HandoverFault fault;
 };
 
-// Reads the offer from a connected socket, and keeps the socket as `connection`. Blocks: for the head up to
-// the socket's own time-out, then for at most a second and one time-out. Throws HandoverError.
+// Reads the offer from a connected socket, and keeps the socket as `connection`. Blocks up to the socket's
+// timeout for the head, and then for at most one second and the socket's timeout. Throws HandoverError.
 HandoverState receive_offer(Owned<GSocket> socket);
 
-// An offer whose head was sent with the descriptors, in a single call.
+// An offer whose head and descriptors were sent in a single call.
 struct SentOffer {
-  bool head_sent = false;   // false: the connection failed
-  std::string rest;         // the bytes that the caller has to send next
-  std::size_t sockets = 0;  // number of descriptors sent
+  bool head_sent = false;        // false: the connection failed
+  std::string unsent_bytes;      // the MessagePack, which the caller must send next
+  std::size_t socket_count = 0;  // number of descriptors that were sent
 };
 
-// Sends the head of an offer. `connection` is not used, and the sockets stay open in this process.
+// Sends the head of an offer. HandoverState::connection is not used. The sockets stay open in this process.
 [[nodiscard]] SentOffer send_offer_head(GSocket* socket, const HandoverState& handover_state);
 
 }  // namespace thornwick::net
--- a/src/net/handover_server.cpp
+++ b/src/net/handover_server.cpp
@@ -20,7 +20,7 @@
   open();
 }
 
-// Removes the file only if it is still this process's own.
+// Removes the file only if the file still belongs to this process.
 HandoverServer::~HandoverServer() {
   if (listener_) unlink(path_.c_str());
 }
@@ -38,15 +38,15 @@
 }
 
 void HandoverServer::on_accepted(Owned<GSocket> socket) {
-  if (successor_) return;  // one at a time; the other process starts without a handover
+  if (successor_) return;  // one at a time; the other process starts without a hand-over
   if (same_user(socket.get())) start_offer(std::move(socket));
 }
 
 void HandoverServer::start_offer(Owned<GSocket> socket) {
   SentOffer offer = send_offer_head(socket.get(), callbacks_.offer());
   received_.clear();
-  served_ = false;
-  passed_on_ = false;
+  successor_served_ = false;
+  handed_over_ = false;
   successor_ = std::make_unique<Stream>(
       Stream::Callbacks{.connected = {},
                         .arrived = [this](std::string_view bytes) { on_bytes(bytes); },
@@ -54,10 +54,10 @@
                         .ended = [this] { on_lost(); }});
   successor_->adopt(std::move(socket));
   if (!offer.head_sent) return on_lost();
-  const std::size_t bytes = offer.rest.size();
-  successor_->write(std::move(offer.rest));
+  const std::size_t bytes = offer.unsent_bytes.size();
+  successor_->write(std::move(offer.unsent_bytes));
   serving_timeout_.start(kServingTimeout, [this] { on_lost(); });
-  logging::info("handover") << "successor connected: handing over " << offer.sockets << " sockets and "
+  logging::info("handover") << "successor connected: handing over " << offer.socket_count << " sockets and "
                             << bytes << " bytes";
 }
 
@@ -66,10 +66,10 @@
   for (auto end = received_.find('\n'); end != std::string::npos; end = received_.find('\n')) {
     const auto message = parse_handover_line(std::string_view(received_).substr(0, end + 1));
     received_.erase(0, end + 1);
-    if (message == HandoverMessage::serving && !served_) {
+    if (message == HandoverMessage::serving && !successor_served_) {
       on_serving();
-    } else if (message == HandoverMessage::handed_over && served_) {
-      passed_on_ = true;
+    } else if (message == HandoverMessage::handed_over && successor_served_) {
+      handed_over_ = true;
     } else {
       return on_lost();
     }
@@ -79,8 +79,8 @@
 
 void HandoverServer::on_serving() {
   serving_timeout_.stop();
-  served_ = true;
-  listener_.reset();  // the path is the successor's from the answer on
+  successor_served_ = true;
+  listener_.reset();  // the path belongs to the successor from the answer on
   const bool drained = callbacks_.successor_serving();
   successor_->write(
       std::string(to_line(drained ? HandoverMessage::yielded_drained : HandoverMessage::yielded)));
@@ -90,8 +90,8 @@
   serving_timeout_.stop();
   successor_->close();
   deferred_delete(std::exchange(successor_, nullptr));
-  if (passed_on_) return;
-  logging::warning("handover") << "the successor disconnected " << (served_ ? "after" : "before")
+  if (handed_over_) return;
+  logging::warning("handover") << "the successor disconnected " << (successor_served_ ? "after" : "before")
                                << " it was serving";
   callbacks_.successor_lost();
   if (!listener_) reopen();
--- a/src/net/handover_server.hpp
+++ b/src/net/handover_server.hpp
@@ -1,4 +1,4 @@
-// The old process's side of a handover.
+// The old process's side of a hand-over.
 #pragma once
 
 #include <functional>
@@ -13,20 +13,22 @@
 
 namespace thornwick::net {
 
-// Waits for a successor at a Unix socket, one at a time. Offers it this process's state and yields once it
-// serves. If the successor is lost, it waits for another one.
+// Waits at a Unix socket for a successor, one at a time. Offers the successor this process's state, and
+// yields when the successor serves. If the successor is lost, waits for another one.
 class HandoverServer {
  public:
   struct Callbacks {
-    // Returns the state for the successor, without `connection`. The sockets stay open here.
+    // Returns the state for the successor, without HandoverState::connection. The sockets stay open in this
+    // process.
     std::function<HandoverState()> offer;
     // The successor serves. Returns whether this router is drained.
     std::function<bool()> successor_serving;
-    // The successor has ended, before or after it served.
+    // The successor has exited, before or after it served.
     std::function<void()> successor_lost;
   };
 
-  // Removes a file that an earlier process left at the path. Throws NetError if it cannot listen there.
+  // Removes a file that an earlier process left at `path`. Throws NetError if the server cannot listen at
+  // `path`.
   HandoverServer(std::string path, Callbacks callbacks);
   HandoverServer(const HandoverServer&) = delete;
   HandoverServer& operator=(const HandoverServer&) = delete;
@@ -43,12 +45,12 @@
 
   std::string path_;
   Callbacks callbacks_;
-  std::unique_ptr<Listener> listener_;  // null once the successor serves
-  std::unique_ptr<Stream> successor_;   // at most one
+  std::unique_ptr<Listener> listener_;  // null when the successor serves
+  std::unique_ptr<Stream> successor_;   // null if no successor is connected
   std::string received_;
   Timer serving_timeout_;
-  bool served_ = false;
-  bool passed_on_ = false;
+  bool successor_served_ = false;
+  bool handed_over_ = false;
 };
 
 }  // namespace thornwick::net
--- a/src/net/http_status.hpp
+++ b/src/net/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP statuses that this module sends or looks for.
+// The HTTP statuses that this module sends or checks for.
 #pragma once
 
 namespace thornwick::net {
--- a/src/net/io_watcher.cpp
+++ b/src/net/io_watcher.cpp
@@ -17,14 +17,14 @@
 namespace thornwick::net {
 namespace {
 
-constexpr std::size_t kEventsAtOnce = 64;
+constexpr std::size_t kMaxEventsPerRound = 64;
 constexpr int kGenerationShift = 32;
 constexpr std::uint64_t kDescriptorMask = 0xffffffff;
 
 }  // namespace
 
-// One source for all watchers, for the same reason as with timers: the kernel keeps the set of sockets, and
-// the main loop polls one descriptor.
+// The one source of the main loop for all watchers. The kernel keeps the set of sockets (epoll), so that the
+// main loop polls one descriptor instead of one for each connection.
 class Poller {
  public:
   static Poller& instance() {
@@ -35,7 +35,7 @@
   Poller(const Poller&) = delete;
   Poller& operator=(const Poller&) = delete;
 
-  // Sets the watcher of a descriptor for one condition; nullptr removes it.
+  // Sets the watcher of a descriptor for one condition; nullptr removes the watcher.
   void set(int descriptor, GIOCondition condition, IoWatcher* watcher) {
     const auto index = static_cast<std::size_t>(descriptor);
     if (index >= slots_.size()) slots_.resize(index + 1);
@@ -46,8 +46,8 @@
   }
 
  private:
-  // `generation` distinguishes the watched socket from an earlier one with the same descriptor, whose event
-  // may still be in the current batch.
+  // The watchers of one descriptor. `generation` distinguishes the watched socket from an earlier socket with
+  // the same descriptor, whose event may still be in the current batch.
   struct Slot {
     IoWatcher* reader = nullptr;
     IoWatcher* writer = nullptr;
@@ -60,7 +60,7 @@
     if (epoll_ < 0) throw NetError(std::string("cannot watch sockets: ") + g_strerror(errno));
     source_ = g_unix_fd_source_new(epoll_, G_IO_IN);
     const GUnixFDSourceFunc callback = &Poller::dispatch;
-    // By way of a function type that converts to any other: GLib casts it back before the call.
+    // The cast goes through void (*)(), which converts to any function type. GLib casts back before the call.
     g_source_set_callback(source_, reinterpret_cast<GSourceFunc>(reinterpret_cast<void (*)()>(callback)),
                           nullptr, nullptr);
     g_source_attach(source_, nullptr);
@@ -93,19 +93,19 @@
   }
 
   void run_ready() {
-    std::array<epoll_event, kEventsAtOnce> events{};
+    std::array<epoll_event, kMaxEventsPerRound> events{};
     const int count = epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), 0);
     for (int i = 0; i < count; ++i) {
       const auto& event = events[static_cast<std::size_t>(i)];
       const auto index = static_cast<std::size_t>(event.data.u64 & kDescriptorMask);
       const auto generation = static_cast<std::uint32_t>(event.data.u64 >> kGenerationShift);
-      const bool over = (event.events & (EPOLLHUP | EPOLLERR)) != 0;
-      if (over || (event.events & EPOLLIN) != 0) run(index, generation, &Slot::reader);
-      if (over || (event.events & EPOLLOUT) != 0) run(index, generation, &Slot::writer);
+      const bool ended = (event.events & (EPOLLHUP | EPOLLERR)) != 0;
+      if (ended || (event.events & EPOLLIN) != 0) run(index, generation, &Slot::reader);
+      if (ended || (event.events & EPOLLOUT) != 0) run(index, generation, &Slot::writer);
     }
   }
 
-  // The callbacks before this one may have stopped the watcher, or closed its socket.
+  // Calls a watcher, unless an earlier callback of this batch has stopped the watcher or closed its socket.
   void run(std::size_t index, std::uint32_t generation, IoWatcher* Slot::*direction) {
     IoWatcher* watcher = slots_[index].*direction;
     if (watcher == nullptr || slots_[index].generation != generation) return;
--- a/src/net/io_watcher.hpp
+++ b/src/net/io_watcher.hpp
@@ -1,4 +1,4 @@
-// Readiness of sockets, as callbacks of the main loop.
+// Callbacks of the main loop when sockets are ready.
 #pragma once
 
 #include <gio/gio.h>
@@ -8,9 +8,9 @@
 
 namespace thornwick::net {
 
-// Watches a socket for one condition, G_IO_IN or G_IO_OUT; the end of a connection counts as either. Stops
-// when destroyed, and has to stop before its socket closes. The callback may start or destroy its own
-// watcher. All watchers share one source of the main loop.
+// Watches a socket for one condition, G_IO_IN or G_IO_OUT; the end of a connection counts as both conditions.
+// A watcher stops when it is destroyed, and must stop before its socket is closed. The callback may start or
+// destroy its own watcher. All watchers share one source of the main loop.
 class IoWatcher {
  public:
   IoWatcher() = default;
@@ -18,7 +18,7 @@
   IoWatcher& operator=(const IoWatcher&) = delete;
   ~IoWatcher() { stop(); }
 
-  // Throws NetError if the kernel has no descriptor for the first watcher of the process.
+  // Throws NetError if the kernel has no descriptor left for epoll, which the first watcher creates.
   void start(GSocket* socket, GIOCondition condition, std::function<void()> callback);
   void stop();
   bool running() const { return descriptor_ >= 0; }
@@ -28,7 +28,7 @@
 
   int descriptor_ = -1;
   GIOCondition condition_ = G_IO_IN;
-  std::shared_ptr<const std::function<void()>> callback_;  // shared with a call that runs
+  std::shared_ptr<const std::function<void()>> callback_;  // shared with a call that is running
 };
 
 }  // namespace thornwick::net
--- a/src/net/link.cpp
+++ b/src/net/link.cpp
@@ -7,9 +7,9 @@
 namespace thornwick::net {
 namespace {
 
-// Timeouts as counts of heartbeat intervals.
-constexpr int kSilenceHeartbeats = 4;   // without a byte, then the link ends
-constexpr int kGreetingHeartbeats = 2;  // for the other side's greeting
+// Timeouts, in heartbeat intervals.
+constexpr int kMaxSilentHeartbeats = 4;    // without a byte, after which the link ends
+constexpr int kMaxGreetingHeartbeats = 2;  // for the other side's greeting
 
 }  // namespace
 
@@ -23,13 +23,13 @@
                .ended = [this] { owner_.on_ended(*this); }}) {}
 
 bool PeerLinks::Link::dial(GSocketAddress* address) {
-  expect_bytes_within(kGreetingHeartbeats);
+  expect_bytes_within(kMaxGreetingHeartbeats);
   return stream_.connect(address);
 }
 
 void PeerLinks::Link::adopt(Owned<GSocket> socket) {
   stream_.adopt(std::move(socket));
-  expect_bytes_within(kGreetingHeartbeats);
+  expect_bytes_within(kMaxGreetingHeartbeats);
 }
 
 void PeerLinks::Link::greet() {
@@ -52,21 +52,19 @@
 void PeerLinks::Link::close() {
   stream_.close();
   heartbeat_.stop();
-  silence_.stop();
+  silence_timer_.stop();
 }
 
-// ---------------------------------------------------------------- heartbeats
-
 void PeerLinks::Link::expect_bytes_within(int heartbeats) {
-  silence_.start(heartbeats * owner_.options_.heartbeat, [this] { on_silence(); });
+  silence_timer_.start(heartbeats * owner_.options_.heartbeat, [this] { on_silence_timeout(); });
 }
 
-void PeerLinks::Link::on_silence() {
+void PeerLinks::Link::on_silence_timeout() {
   ++owner_.counters_.timed_out;
   owner_.on_ended(*this);
 }
 
-// Heartbeats detect a connection whose other end has vanished without closing it.
+// Sends heartbeats, which detect a connection whose other end has vanished without closing it.
 void PeerLinks::Link::start_heartbeat() {
   heartbeat_.start(owner_.options_.heartbeat, [this] { on_heartbeat(); });
 }
@@ -77,18 +75,16 @@
   start_heartbeat();
 }
 
-// ---------------------------------------------------------------- frames
-
 void PeerLinks::Link::on_bytes(std::string_view bytes) {
   owner_.counters_.bytes_in += bytes.size();
-  if (up_) expect_bytes_within(kSilenceHeartbeats);
+  if (up_) expect_bytes_within(kMaxSilentHeartbeats);
   reader_.feed(bytes);
   while (stream_.open() && read_frame()) {
   }
   reader_.discard_consumed();
 }
 
-// Returns false if no further whole frame has come yet, or the link has ended.
+// Returns false if no further complete frame has come yet, or the link has ended.
 bool PeerLinks::Link::read_frame() {
   try {
     const auto frame = reader_.next();
@@ -96,7 +92,7 @@
   } catch (const FrameError& error) {
     fail(error.fault());
   } catch (const std::exception&) {
-    // The frame is whole, but the greeting or the message of another module in it is malformed.
+    // The frame is complete, but the greeting, or another module's message, in the frame is malformed.
     fail(FrameFault::unreadable);
   }
   return false;
@@ -131,8 +127,8 @@
   ++owner_.counters_.rejected;
   const bool same_group = greeting.group == owner_.options_.group;
   logging::warning("peer_link") << "greeting rejected: version " << greeting.version
-                            << (same_group ? "" : ", another group") << ", from member " << greeting.from
-                            << " to member " << greeting.to;
+                                << (same_group ? "" : ", another group") << ", from member " << greeting.from
+                                << " to member " << greeting.to;
   owner_.on_ended(*this);
   return false;
 }
--- a/src/net/link.hpp
+++ b/src/net/link.hpp
@@ -12,24 +12,24 @@
 namespace thornwick::net {
 
 // Reads and writes frames over one connection: first the greetings, then heartbeats and the frames of other
-// channels. A link that ends calls PeerLinks::on_ended(), which may happen within any of its functions; it
-// stays allocated until the loop's next round.
+// channels. A link that ends calls PeerLinks::on_ended(), possibly within any of its own functions. The
+// object is destroyed in the next round of the loop.
 class PeerLinks::Link : public DeferredDeletable {
  public:
   enum class Origin { dialed, accepted };
 
-  // `member`: the other end; for an accepted link the group's size, which is no member's number, until its
-  // greeting has come.
+  // `member`: the number of the other router. For an accepted link this is the size of the group, which is
+  // not the number of any member, until the other router's greeting has come.
   Link(PeerLinks& owner, std::size_t member, Origin origin);
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  // Connects. Returns false if that failed at once.
+  // Connects. Returns false if connecting failed at once.
   [[nodiscard]] bool dial(GSocketAddress* address);
   // Takes over an accepted connection.
   void adopt(Owned<GSocket> socket);
   void greet();
-  // Call this once both sides have greeted: heartbeats are sent from then on.
+  // Must be called when both sides have greeted. Heartbeats are sent from then on.
   void mark_up();
   void write(std::string frame);
   // Bytes that the kernel has not taken yet.
@@ -45,7 +45,7 @@
 
  private:
   void expect_bytes_within(int heartbeats);
-  void on_silence();
+  void on_silence_timeout();
   void start_heartbeat();
   void on_heartbeat();
   void on_bytes(std::string_view bytes);
@@ -63,7 +63,7 @@
   Time up_since_ = 0;
   Stream stream_;
   Timer heartbeat_;
-  Timer silence_;
+  Timer silence_timer_;
   FrameReader reader_;
 };
 
--- a/src/net/link_frame.cpp
+++ b/src/net/link_frame.cpp
@@ -9,7 +9,7 @@
 constexpr std::size_t kNumberBytes = 4;
 constexpr std::size_t kBitsPerByte = 8;
 constexpr XXH32_hash_t kChecksumSeed = 0;
-constexpr std::uint32_t kFrameParts = 2;  // channel and bytes
+constexpr std::uint32_t kFrameFields = 2;  // channel and bytes
 
 std::uint32_t read_number(std::string_view bytes) {
   std::uint32_t value = 0;
@@ -29,13 +29,13 @@
   try {
     LinkFrame frame;
     frame.storage = msgpack::unpack(content.data(), content.size());
-    const auto& parts = frame.storage.get().via.array;
-    if (frame.storage.get().type != msgpack::type::ARRAY || parts.size != kFrameParts ||
-        parts.ptr[1].type != msgpack::type::BIN) {
+    const auto& fields = frame.storage.get().via.array;
+    if (frame.storage.get().type != msgpack::type::ARRAY || fields.size != kFrameFields ||
+        fields.ptr[1].type != msgpack::type::BIN) {
       throw msgpack::type_error();
     }
-    frame.channel = parts.ptr[0].as<std::uint8_t>();
-    frame.bytes = {parts.ptr[1].via.bin.ptr, parts.ptr[1].via.bin.size};
+    frame.channel = fields.ptr[0].as<std::uint8_t>();
+    frame.bytes = {fields.ptr[1].via.bin.ptr, fields.ptr[1].via.bin.size};
     return frame;
   } catch (const std::exception&) {
     throw FrameError(FrameFault::unreadable);
@@ -46,9 +46,9 @@
 
 std::string_view to_string(FrameFault fault) {
   switch (fault) {
-    case FrameFault::unreadable: return "a frame that cannot be read";
+    case FrameFault::unreadable: return "a malformed frame or message";
     case FrameFault::too_long: return "a frame that is too long";
-    case FrameFault::wrong_checksum: return "a frame whose sum does not fit";
+    case FrameFault::wrong_checksum: return "a frame with a wrong checksum";
     case FrameFault::before_greeting: break;
   }
   return "a frame before the greeting";
@@ -58,7 +58,7 @@
   const auto size = static_cast<std::uint32_t>(bytes.size());
   msgpack::sbuffer packed;
   msgpack::packer<msgpack::sbuffer> packer(packed);
-  packer.pack_array(kFrameParts);
+  packer.pack_array(kFrameFields);
   packer.pack(channel);
   packer.pack_bin(size);
   packer.pack_bin_body(bytes.data(), size);
--- a/src/net/links.cpp
+++ b/src/net/links.cpp
@@ -12,8 +12,9 @@
 constexpr std::size_t kMaxUngreeted = 16;  // accepted links without a greeting
 constexpr Time kMinRetryPause = milliseconds(100);
 constexpr Time kMaxRetryPause = seconds(30);
-constexpr double kMinJitter = 0.5;     // part of the pause; the jitter is below kMinJitter + 1
-constexpr int kLastingHeartbeats = 5;  // a link that was up for longer resets the backoff
+// The pause is multiplied by a random factor of at least kMinJitter and less than kMinJitter + 1.
+constexpr double kMinJitter = 0.5;
+constexpr int kStableHeartbeats = 5;  // a link that was up for longer than this resets the backoff
 constexpr std::uint64_t kRandomStep = 0x9e3779b97f4a7c15ull;  // of SplitMix64
 
 }  // namespace
@@ -22,13 +23,13 @@
     : options_(std::move(options)), callbacks_(std::move(callbacks)), peers_(options_.addresses.size()) {
   if (options_.listen.empty()) return;
   listener_ = std::make_unique<Listener>(
-      options_.listen, [this] { return has_room(); },
+      options_.listen, [this] { return has_room_for_connection(); },
       [this](Owned<GSocket> socket) { on_accepted(std::move(socket)); });
 }
 
 PeerLinks::~PeerLinks() = default;
 
-bool PeerLinks::has_room() const {
+bool PeerLinks::has_room_for_connection() const {
   return ungreeted_.size() < kMaxUngreeted && descriptors().held < descriptors().limit;
 }
 
@@ -37,18 +38,16 @@
   return mix(options_.seed);
 }
 
-// ---------------------------------------------------------------- kept links
-
 void PeerLinks::maintain_link(std::size_t member) {
   Peer& peer = peers_.at(member);
-  if (member == options_.self || std::exchange(peer.kept, true)) return;
+  if (member == options_.self || std::exchange(peer.maintained, true)) return;
   peer.retry_pause = kMinRetryPause;
   if (!peer.link) dial(member);
 }
 
 void PeerLinks::dial(std::size_t member) {
   Peer& peer = peers_[member];
-  if (!peer.kept || peer.link) return;
+  if (!peer.maintained || peer.link) return;
   const auto address = parse_address(options_.addresses[member]);
   ++counters_.dialed;
   peer.link = std::make_unique<Link>(*this, member, Link::Origin::dialed);
@@ -56,19 +55,17 @@
   on_ended(*peer.link);
 }
 
-// Exponential backoff with jitter, so that routers that lost their links at the same time do not retry at the
-// same time.
+// Retries with exponential backoff and jitter, so that routers that lost their links at the same time do not
+// retry at the same time.
 void PeerLinks::schedule_retry(std::size_t member) {
   Peer& peer = peers_[member];
-  if (!peer.kept) return;
+  if (!peer.maintained) return;
   const double jitter = kMinJitter + unit(next_random());
   peer.retry.start(static_cast<Time>(jitter * static_cast<double>(peer.retry_pause)),
                    [this, member] { dial(member); });
   peer.retry_pause = std::min(kMaxRetryPause, 2 * std::max(kMinRetryPause, peer.retry_pause));
 }
 
-// ---------------------------------------------------------------- connections
-
 void PeerLinks::on_accepted(Owned<GSocket> socket) {
   ++counters_.accepted;
   ungreeted_.push_back(std::make_unique<Link>(*this, peers_.size(), Link::Origin::accepted));
@@ -105,8 +102,8 @@
   return peer.link.get() == &link;
 }
 
-// An accepted link replaces an earlier one with the same member: the member would not have dialed again
-// unless it knew that the earlier one is dead.
+// Replaces an earlier link with the same member by the accepted link: the member dials again only if it knows
+// that the earlier link is dead.
 void PeerLinks::replace_link(Link& accepted, std::size_t member) {
   Peer& peer = peers_[member];
   auto replacement = remove_ungreeted(find_ungreeted(accepted));
@@ -135,7 +132,7 @@
   Peer& peer = peers_[member];
   const bool was_up = link.up();
   // A link that ends soon after it came up does not reset the backoff.
-  if (was_up && now_us() - link.up_since() > kLastingHeartbeats * options_.heartbeat)
+  if (was_up && now_us() - link.up_since() > kStableHeartbeats * options_.heartbeat)
     peer.retry_pause = kMinRetryPause;
   deferred_delete(std::move(peer.link));
   if (was_up) on_lost(member);
@@ -147,8 +144,6 @@
   callbacks_.changed(member, LinkState::lost);
 }
 
-// ---------------------------------------------------------------- frames
-
 bool PeerLinks::up(std::size_t member) const { return peers_.at(member).link && peers_[member].link->up(); }
 
 std::size_t PeerLinks::queued_bytes(std::size_t member) const {
@@ -158,7 +153,7 @@
 bool PeerLinks::send(std::size_t member, std::uint8_t channel, std::string_view bytes) {
   if (!up(member) || channel == kControlChannel) return false;
   Peer& peer = peers_[member];
-  // An upper bound: the head, and as much again for the MessagePack around the bytes.
+  // An upper bound of the frame's size: the head, and as many bytes again for the MessagePack around `bytes`.
   const std::size_t size = bytes.size() + 2 * kFrameHeadBytes;
   if (size > kMaxFrameBytes || peer.link->queued_bytes() + size > options_.max_queued_bytes) {
     ++counters_.queue_full;
--- a/src/net/links.hpp
+++ b/src/net/links.hpp
@@ -1,6 +1,7 @@
-// Links between the routers of a group: one persistent TCP connection for each pair of routers that needs
-// one. It carries frames (link_frame.hpp). There is no authentication, only a greeting with the protocol's
-// version, the group and the members' numbers, so the addresses must be reachable for the group alone.
+// Links between the routers of a group: one persistent TCP connection for each pair of routers that needs a
+// link. A link carries frames (link_frame.hpp). There is no authentication, only a greeting with the
+// protocol's version, the group and the members' numbers. Therefore the addresses must be reachable from
+// within the group only.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,14 @@
 
 namespace thornwick::net {
 
-// Events of all links since the start.
+// Counts of events of all links since the start of the process.
 struct LinkCounters {
   std::uint64_t dialed = 0;
   std::uint64_t accepted = 0;  // connections from other routers
   std::uint64_t up = 0;
   std::uint64_t lost = 0;       // links that were up and ended
-  std::uint64_t rejected = 0;   // greetings of another version, group or number
-  std::uint64_t malformed = 0;  // links that ended for a frame that cannot be read
+  std::uint64_t rejected = 0;   // greetings with a wrong version, group or number
+  std::uint64_t malformed = 0;  // links that ended because of a malformed frame
   std::uint64_t timed_out = 0;  // links that ended because no byte came in time
   std::uint64_t frames_out = 0;
   std::uint64_t frames_in = 0;
@@ -32,46 +33,46 @@
   std::uint64_t queue_full = 0;  // frames that send() rejected because the queue was full
 };
 
-// A link as its users see it.
+// The state of a link for its users.
 enum class LinkState { up, lost };
 
-// All links of this router. Each link sends heartbeats while it carries nothing else; a lost one is dialed
-// again with backoff. Everything runs on the loop's thread, and the callbacks are called from the loop.
+// All links of this router. A link sends heartbeats while it carries no other frames. A lost link is dialed
+// again with backoff. Everything runs on the loop's thread, and the loop calls the callbacks.
 class PeerLinks {
  public:
   struct Options {
-    std::string listen;                  // empty: no connection is accepted
-    std::uint32_t group = 0;             // greetings of another group are rejected
-    std::size_t self = 0;                // this router's number; all routers number the members alike
-    std::vector<std::string> addresses;  // by member
-    Time heartbeat = seconds(2);         // interval; four of them without a byte end a link
-    std::size_t max_queued_bytes = 256UL * 1024;  // to one member
+    std::string listen;                           // empty: no connection is accepted
+    std::uint32_t group = 0;                      // greetings of another group are rejected
+    std::size_t self = 0;                         // this router's number; all routers use the same numbers
+    std::vector<std::string> addresses;           // by member number
+    Time heartbeat = seconds(2);                  // interval; a link ends after four intervals without a byte
+    std::size_t max_queued_bytes = 256UL * 1024;  // queued bytes for one member
     std::uint64_t seed = 1;                       // of the backoff's jitter
   };
   struct Callbacks {
     std::function<void(std::size_t member, std::uint8_t channel, std::string_view bytes)> received;
     std::function<void(std::size_t member, LinkState state)> changed = [](auto, auto) {};
-    // send() has rejected a frame because the queue was full, and the queue is empty now.
+    // The queue is empty again after send() has rejected a frame because the queue was full.
     std::function<void(std::size_t member)> writable = [](auto) {};
   };
 
-  // Throws NetError if it cannot listen.
+  // Throws NetError if it cannot listen at `options.listen`.
   PeerLinks(Options options, Callbacks callbacks);
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
   ~PeerLinks();
 
-  // Dials this member, now and whenever the link is lost. The member may keep a link with this router whether
-  // or not this is called.
+  // Dials this member, now and whenever the link is lost. The member itself may dial this router even if this
+  // function is not called.
   void maintain_link(std::size_t member);
   bool up(std::size_t member) const;
-  // Sends a frame on a channel from 1 to 255. Returns false, and sends nothing, if there is no link, its
-  // queue is full, or the frame is too long.
+  // Sends a frame on a channel from 1 to 255. Returns false without sending if there is no link, its queue is
+  // full, or the frame is too long.
   bool send(std::size_t member, std::uint8_t channel, std::string_view bytes);
-  // Bytes to this member that the kernel has not taken yet.
+  // Bytes for this member that the kernel has not accepted yet.
   std::size_t queued_bytes(std::size_t member) const;
   const LinkCounters& counters() const { return counters_; }
-  // The address at which it listens; empty if it accepts no connections.
+  // The address at which this router listens for links; empty if it accepts no connections.
   std::string address() const { return listener_ ? listener_->address() : std::string(); }
 
  private:
@@ -79,14 +80,14 @@
   using LinkList = std::list<std::unique_ptr<Link>>;
 
   struct Peer {
-    bool kept = false;           // a lost link is dialed again
-    bool send_rejected = false;  // notify `writable` once the queue is empty
+    bool maintained = false;     // a lost link is dialed again
+    bool send_rejected = false;  // `writable` is to be called when the queue is empty
     std::unique_ptr<Link> link;  // up or being opened; may be null
     Time retry_pause = 0;
     Timer retry;
   };
 
-  bool has_room() const;
+  bool has_room_for_connection() const;
   void dial(std::size_t member);
   void schedule_retry(std::size_t member);
   void on_accepted(Owned<GSocket> socket);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -12,7 +12,7 @@
 
 constexpr Time kAcceptPause = milliseconds(50);
 constexpr int kBacklog = 512;
-constexpr int kAcceptsAtOnce = 64;  // bounds the time that a crowd takes from the loop's other work
+constexpr int kMaxAcceptsPerRound = 64;  // bounds the time that accepting takes from other work of the loop
 
 Owned<GSocket> listen_at(const std::string& address, AddressUse use) {
   const auto parsed = parse_address(address);
@@ -61,13 +61,14 @@
 }
 
 void Listener::accept() {
-  for (int i = 0; i < kAcceptsAtOnce; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerRound; ++i) {
     if (!has_room_()) return pause();
     GLibError error;
     Owned<GSocket> socket(g_socket_accept(socket_.get(), nullptr, error.out()));
     if (!socket) {
       if (error.would_block()) return;
-      // For instance EMFILE. Without a pause the loop would spin, as the listener stays readable.
+      // The error is EMFILE, for instance. Without a pause the loop would spin, because the listener stays
+      // readable.
       logging::warning("socket") << "accepting connections paused: " << error.message();
       return pause();
     }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -12,13 +12,14 @@
 
 namespace thornwick::net {
 
-// Accepts connections. Pauses and tries again while the process has no room or no descriptor for another one.
+// Accepts connections. While there is no room or no descriptor for another connection, pauses and tries
+// again.
 class Listener {
  public:
   using Accepted = std::function<void(Owned<GSocket>)>;
 
   // Listens at `address`. `has_room` returns whether another connection can be accepted now. Throws NetError
-  // if it cannot listen.
+  // if listening fails.
   Listener(const std::string& address, std::function<bool()> has_room, Accepted accepted,
            AddressUse use = AddressUse::exclusive);
   // Uses a socket that listens already.
@@ -26,9 +27,10 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // Accepts again at once, for instance because a connection was closed.
+  // Ends a pause or a stop. Is called, for instance, when a connection was closed and left room for another
+  // one.
   void resume();
-  // Accepts nothing until resume(). New connections wait in the kernel.
+  // Accepts no connections until resume(). New connections wait in the kernel's queue.
   void stop();
   std::string address() const { return local_address_text(socket_.get()); }
   GSocket* socket() const { return socket_.get(); }
--- a/src/net/load_report.cpp
+++ b/src/net/load_report.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-std::vector<float> read_report(std::string_view text, const std::vector<std::string>& names) {
+std::vector<float> read_load_report(std::string_view text, const std::vector<std::string>& names) {
   std::vector<float> values(names.size());
   std::vector<bool> seen(names.size());
   while (!text.empty()) {
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,6 +1,6 @@
-// The main loop's objects at once, for other modules: clock, timers, streams, listeners and addresses.
-// Sources of this module include what they use. One thread runs the loop; nothing here may be used from
-// another one.
+// Includes all objects of the main loop for other modules: clock, timers, streams, listeners and addresses.
+// Sources of this module include only the headers that they use. One thread runs the loop, and only that
+// thread may use these objects.
 #pragma once
 
 // IWYU pragma: begin_exports
--- a/src/net/message_fragmenter.cpp
+++ b/src/net/message_fragmenter.cpp
@@ -58,8 +58,8 @@
     return;
   }
   if (more_follows) return;
-  const std::string whole = std::exchange(partial, {});
-  on_message(whole);
+  const std::string message = std::exchange(partial, {});
+  on_message(message);
 }
 
 }  // namespace thornwick::net
--- a/src/net/net_error.hpp
+++ b/src/net/net_error.hpp
@@ -1,4 +1,4 @@
-// The exception of this module: an address, a socket or a listener that cannot be used.
+// The exception of this module, thrown for an address, a socket or a listener that cannot be used.
 #pragma once
 
 #include <stdexcept>
--- a/src/net/peer_socket.cpp
+++ b/src/net/peer_socket.cpp
@@ -35,10 +35,10 @@
     logging::warning("gossip") << "message of " << message.size() << " bytes not sent";
     return;
   }
-  socket_->send(to, message);  // best effort: no answer is awaited
+  socket_->send(to, message);  // a lost message is not sent again
 }
 
-// A message from an address that is no peer's is dropped.
+// Drops a message from an address that does not belong to a peer.
 void PeerSocket::on_datagram(GSocketAddress* from, std::span<const std::uint8_t> bytes) {
   const auto sender = std::find(names_.begin(), names_.end(), address_text(from));
   if (sender == names_.end()) return;
--- a/src/net/peer_socket.hpp
+++ b/src/net/peer_socket.hpp
@@ -1,4 +1,5 @@
-// Messages to and from the other routers of the tier (the peers), as datagrams. A message may be lost.
+// Sends messages to the peers, the other routers of the tier, and receives theirs, as datagrams. A message
+// may be lost.
 #pragma once
 
 #include <cstdint>
@@ -13,26 +14,26 @@
 
 namespace thornwick::net {
 
-// Bytes; longer messages are not sent.
+// In bytes; a longer message is not sent.
 inline constexpr std::size_t kMaxDatagram = 256;
 
 class PeerSocket : public core::PeerTransport {
  public:
   struct Options {
-    std::string listen;                // address; empty: there are no peers
-    std::string broadcast;             // address for a message to all peers
-    std::vector<std::string> peers;    // by rank, this router's own included
-    Owned<GSocket> bound_socket = {};  // a socket that is bound already; null: a new one is bound
+    std::string listen;                // own address; empty: there are no peers
+    std::string broadcast;             // address to which a message to all peers is sent
+    std::vector<std::string> peers;    // addresses by rank, including this router's
+    Owned<GSocket> bound_socket = {};  // a bound socket to take over; null: a new one is bound
   };
   using OnMessage = std::function<void(std::uint32_t rank, std::span<const std::uint8_t>)>;
 
-  // Throws NetError if it cannot listen.
+  // Throws NetError if it cannot listen at `options.listen`.
   PeerSocket(Options options, OnMessage on_message);
-  // Sends to the peer of this rank, or to all peers if no peer has it.
+  // Sends a message to the peer of this rank, or to all peers if no peer has this rank.
   void send(std::uint32_t rank, const std::string& message) override;
-  // Receives messages from now on, as it does once constructed.
+  // Receives messages from now on. A new object receives already.
   void resume_reading();
-  // Receives none from now on: they are another process's.
+  // Stops receiving. The messages are left to another process.
   void pause_reading();
   // Null if there are no peers.
   GSocket* socket() const { return socket_ ? socket_->socket() : nullptr; }
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -11,10 +11,10 @@
 namespace thornwick::net {
 namespace {
 
-constexpr int kReadsAtOnce = 4;  // bounds the time that one busy stream takes from the others
-constexpr std::size_t kReadSize = 32768;
+constexpr int kMaxReadsPerRound = 4;  // bounds the time that one busy stream takes from other streams
+constexpr std::size_t kReadBytes = 32768;
 
-// Each write goes out at once: events are small, and clients wait for them.
+// Disables Nagle's algorithm (TCP_NODELAY): events are small, and clients wait for each of them.
 void set_stream_options(GSocket* socket) {
   g_socket_set_blocking(socket, FALSE);
   g_socket_set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1, nullptr);
@@ -32,17 +32,18 @@
 
 bool Stream::connect(GSocketAddress* address) {
   if (descriptors().held >= descriptors().limit) return false;
-  GLibError no_socket;
+  GLibError socket_error;
   socket_.reset(g_socket_new(g_socket_address_get_family(address), G_SOCKET_TYPE_STREAM,
-                             G_SOCKET_PROTOCOL_TCP, no_socket.out()));
+                             G_SOCKET_PROTOCOL_TCP, socket_error.out()));
   if (!socket_) {
-    logging::warning("socket") << "cannot create a socket: " << no_socket.message();
+    logging::warning("socket") << "cannot create a socket: " << socket_error.message();
     return false;
   }
   held_descriptor_.emplace();
   set_stream_options(socket_.get());
-  GLibError refusal;
-  if (!g_socket_connect(socket_.get(), address, nullptr, refusal.out()) && !refusal.would_block()) {
+  GLibError connect_error;
+  if (!g_socket_connect(socket_.get(), address, nullptr, connect_error.out()) &&
+      !connect_error.would_block()) {
     close();
     return false;
   }
@@ -86,8 +87,8 @@
 }
 
 void Stream::on_readable() {
-  std::array<char, kReadSize> bytes;  // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
-  for (int i = 0; i < kReadsAtOnce && open() && !reading_paused_; ++i) {
+  std::array<char, kReadBytes> bytes;  // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
+  for (int i = 0; i < kMaxReadsPerRound && open() && !reading_paused_; ++i) {
     GLibError error;
     const gssize received = g_socket_receive(socket_.get(), bytes.data(), bytes.size(), nullptr, error.out());
     if (received < 0 && error.would_block()) return;
@@ -133,7 +134,7 @@
   front_sent_ = 0;
 }
 
-// The owner is notified from the loop, never from within its own call of write().
+// Notifies the owner from the loop, never within the owner's call of write().
 void Stream::on_broken() {
   reading_.stop();
   writing_.stop();
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -17,13 +17,13 @@
 
 namespace thornwick::net {
 
-// One connection. Its owner may close it in any callback, and destroys it with deferred_delete().
+// One connection. The owner may close the stream in any callback, and must destroy it with deferred_delete().
 class Stream : public DeferredDeletable {
  public:
   struct Callbacks {
-    std::function<void()> connected;                // only for connect()
+    std::function<void()> connected;                // connect() has succeeded
     std::function<void(std::string_view)> arrived;  // bytes were received
-    std::function<void()> drained;                  // the kernel has taken all that was written
+    std::function<void()> drained;                  // the kernel has accepted all written bytes
     std::function<void()> ended;  // the other side ended its sending, or the connection broke
   };
 
@@ -34,30 +34,30 @@
 
   // Takes over a connected socket.
   void adopt(Owned<GSocket> socket);
-  // Returns false if it failed at once, or the process may hold no more descriptors. Otherwise `connected` or
-  // `ended` is called later.
+  // Returns false if connecting failed at once, or the process may hold no more descriptors. Otherwise
+  // `connected` or `ended` is called later.
   bool connect(GSocketAddress* address);
-  // Queues the bytes, which are sent in order as the kernel takes them and once the connection is up. Ignored
-  // after close().
+  // Queues the bytes, which are sent in order when the connection is up and the kernel accepts them. Has no
+  // effect after close().
   void write(std::shared_ptr<const std::string> bytes);
   void write(std::string bytes) { write(std::make_shared<const std::string>(std::move(bytes))); }
-  // Bytes that the kernel has not taken yet.
+  // Bytes that the kernel has not accepted yet.
   std::size_t unsent() const { return unsent_; }
-  // Stops reading until resume_reading(). The kernel's buffer fills, so that the other side has to wait.
+  // Stops reading until resume_reading(). The kernel's buffer fills up, and the other side must wait.
   void pause_reading();
   // Has no effect unless reading is paused.
   void resume_reading();
-  // Half-close: the other side reads the end, and may still send.
+  // Closes the sending side. The other side reads the end of the stream, and may still send.
   void finish_sending();
-  // Closes the connection at once; no callback follows.
+  // Closes the connection at once. No callback follows.
   void close();
   bool open() const { return socket_ != nullptr; }
-  // Whether the other side has ended its sending or the connection broke; `ended` was or will be called.
+  // Whether a read or a write has found the end of the connection; `ended` was or will be called.
   bool broken() const { return ended_; }
-  // Whether there are bytes, or the end of the stream, to read.
+  // Whether bytes, or the end of the stream, can be read now.
   bool readable_now() const;
-  // Whether the other side has ended its sending or the connection is broken, even if bytes before that are
-  // still unread.
+  // Whether the other side has ended its sending or the connection is broken, even if earlier bytes are still
+  // unread.
   bool ended_now() const;
 
  private:
@@ -75,7 +75,7 @@
   IoWatcher writing_;
   Timer end_notification_;
   std::deque<std::shared_ptr<const std::string>> queue_;
-  std::size_t front_sent_ = 0;  // bytes of the queue's first entry that the kernel has
+  std::size_t front_sent_ = 0;  // bytes of the queue's first entry that the kernel has accepted
   std::size_t unsent_ = 0;
   bool connected_ = false;
   bool reading_paused_ = false;
--- a/src/net/timer.cpp
+++ b/src/net/timer.cpp
@@ -5,8 +5,8 @@
 
 namespace thornwick::net {
 
-// One source for all timers. Guards against a loop that looks at each of some hundred sources, one for each
-// connection, whenever a byte comes.
+// The one source of the main loop for all timers. With a source for each timer, the loop would check some
+// hundred sources, one for each connection, whenever a byte arrives.
 class TimerQueue {
  public:
   static TimerQueue& instance() {
@@ -17,13 +17,13 @@
   TimerQueue(const TimerQueue&) = delete;
   TimerQueue& operator=(const TimerQueue&) = delete;
 
-  Timer::Queue::iterator add(gint64 due, Timer* timer) {
-    const auto position = queue_.emplace(due, timer);
-    if (wake_up_ < 0 || due < wake_up_) wake_up_at(due);
+  Timer::Queue::iterator add(gint64 due_at, Timer* timer) {
+    const auto position = queue_.emplace(due_at, timer);
+    if (wake_up_at_ < 0 || due_at < wake_up_at_) set_wake_up(due_at);
     return position;
   }
 
-  // The source is not set anew: at worst it wakes once for nothing.
+  // The source's time is not changed; at worst, the source wakes once without a due timer.
   void remove(Timer::Queue::iterator position) { queue_.erase(position); }
 
  private:
@@ -44,24 +44,24 @@
 
   void run_due() {
     const gint64 now = g_get_monotonic_time();
-    wake_up_ = -1;
+    wake_up_at_ = -1;
     while (!queue_.empty() && queue_.begin()->first <= now) {
       Timer* timer = queue_.begin()->second;
-      const auto callback = std::move(timer->callback_);  // it may start or destroy this timer
+      const auto callback = std::move(timer->callback_);  // the callback may start or destroy the timer
       timer->stop();
       callback();
     }
-    wake_up_at(queue_.empty() ? -1 : queue_.begin()->first);
+    set_wake_up(queue_.empty() ? -1 : queue_.begin()->first);
   }
 
-  void wake_up_at(gint64 due) {
-    wake_up_ = due;
-    g_source_set_ready_time(source_, due);
+  void set_wake_up(gint64 due_at) {
+    wake_up_at_ = due_at;
+    g_source_set_ready_time(source_, due_at);
   }
 
   GSource* source_ = nullptr;
   Timer::Queue queue_;
-  gint64 wake_up_ = -1;  // when the source is due; -1: not set
+  gint64 wake_up_at_ = -1;  // monotonic time at which the source is due, in microseconds; -1: not set
 };
 
 void Timer::start(Time delay, std::function<void()> callback) {
--- a/src/net/timer.hpp
+++ b/src/net/timer.hpp
@@ -11,8 +11,8 @@
 
 namespace thornwick::net {
 
-// Calls back once after a delay; stops when destroyed. The callback may start or destroy its own timer. All
-// timers share one source of the main loop.
+// Calls a callback once after a delay. A timer stops when it is destroyed. The callback may start or destroy
+// its own timer. All timers share one source of the main loop.
 class Timer {
  public:
   Timer() = default;
@@ -20,15 +20,16 @@
   Timer& operator=(const Timer&) = delete;
   ~Timer() { stop(); }
 
-  // Microseconds from now; at once, but from the main loop, if the delay is not positive. A timer that runs
-  // is started anew.
+  // Calls `callback` from the main loop after `delay` microseconds, or as soon as possible if `delay` is not
+  // positive. A running timer is restarted.
   void start(Time delay, std::function<void()> callback);
   void stop();
   bool running() const { return position_.has_value(); }
 
  private:
   friend class TimerQueue;
-  using Queue = std::multimap<gint64, Timer*>;  // by the monotonic clock's time at which they are due
+  // By the monotonic time (microseconds) at which the timer is due.
+  using Queue = std::multimap<gint64, Timer*>;
 
   std::optional<Queue::iterator> position_;
   std::function<void()> callback_;
--- a/src/net/unix_socket.cpp
+++ b/src/net/unix_socket.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr std::size_t kMaxAnswerBytes = 16UL * 1024 * 1024;
-constexpr std::size_t kReadSize = 16384;
-constexpr const char* kUnknownError = "it ended";
+constexpr std::size_t kReadBytes = 16384;
+constexpr const char* kUnknownError = "the connection ended";
 
 Owned<GSocket> new_unix_socket(GLibError& error) {
   return Owned<GSocket>(
@@ -44,7 +44,7 @@
 }
 
 Owned<GSocket> listen_unix(const std::string& path) {
-  if (!fits_unix_socket(path)) throw NetError("the path of a local socket is too long: " + path);
+  if (!fits_unix_socket(path)) throw NetError("the path of a Unix socket is empty or too long: " + path);
   unlink(path.c_str());
   const Owned<GSocketAddress> address(g_unix_socket_address_new(path.c_str()));
   GLibError error;
@@ -63,10 +63,10 @@
 }
 
 std::string call_unix_socket(const std::string& path, const std::string& line, Time timeout) {
-  if (!fits_unix_socket(path)) throw NetError("no path of a local socket: " + path);
+  if (!fits_unix_socket(path)) throw NetError("the path of a Unix socket is empty or too long: " + path);
   const Owned<GSocket> socket = send_line(path, line, timeout);
   std::string answer;
-  std::array<char, kReadSize> piece{};
+  std::array<char, kReadBytes> piece{};
   const Time deadline = now_us() + timeout;
   while (now_us() < deadline && answer.size() < kMaxAnswerBytes) {
     GLibError error;
--- a/src/net/upstream_connection.cpp
+++ b/src/net/upstream_connection.cpp
@@ -12,10 +12,11 @@
 using http::Head;
 using http::MessageReader;
 
-constexpr double kIdleFraction = 0.7;  // of the keep-alive time, after which an idle connection is closed
+// The fraction of the keep-alive time after which an idle connection is closed.
+constexpr double kIdleFraction = 0.7;
 constexpr Time kProbeTimeout = milliseconds(250);
-constexpr Time kHeadTimeout = milliseconds(250);      // for the rest of a head, once its first byte has come
-constexpr std::size_t kMaxAnswerBytes = 64UL * 1024;  // of an answer that is no stream
+constexpr Time kHeadTimeout = milliseconds(250);      // from the first byte of a head to its end
+constexpr std::size_t kMaxAnswerBytes = 64UL * 1024;  // of an answer that is not an event stream
 constexpr std::string_view kReportHeader = "X-Server-Load";
 constexpr std::string_view kReportComment = "X-Server-Load:";
 
@@ -60,8 +61,6 @@
   if (streaming_) watch_silence();
 }
 
-// ---------------------------------------------------------------- the request
-
 void UpstreamPool::Connection::carry_attempt(core::AttemptId attempt,
                                              std::shared_ptr<const core::Payload> payload, Time deadline,
                                              std::uint16_t model) {
@@ -70,22 +69,22 @@
   payload_ = std::move(payload);
   deadline_ = deadline;
   model_ = model;
-  begin();
+  start_job();
 }
 
 void UpstreamPool::Connection::carry_probe() {
   job_ = Job::probe;
   deadline_ = now_us() + kProbeTimeout;
-  begin();
+  start_job();
 }
 
-void UpstreamPool::Connection::begin() {
+void UpstreamPool::Connection::start_job() {
   timeout_.stop();  // the idle timeout would close the connection during the attempt
   reader_ = MessageReader(MessageReader::Kind::answer);
   frames_ = {};
   events_ = owner_.core_ == nullptr ? nullptr : dialect_.event_reader();
   body_.clear();
-  report_.clear();
+  load_report_.clear();
   written_ = false;
   sent_ = false;
   head_received_ = false;
@@ -93,7 +92,7 @@
   reading_paused_ = false;
   if (!new_connection_) return write_request();
   timeout_.start(owner_.options_.connect_timeout,
-                 [this] { finish(Outcome::connect_failed, Reuse::close, "it did not come up in time"); });
+                 [this] { finish(Outcome::connect_failed, Reuse::close, "no connection in time"); });
 }
 
 void UpstreamPool::Connection::on_connected() {
@@ -111,20 +110,21 @@
 
 void UpstreamPool::Connection::write_probe() {
   timeout_.start(deadline_ - now_us(),
-                 [this] { finish(Outcome::timed_out, Reuse::close, "a probe without an answer"); });
+                 [this] { finish(Outcome::timed_out, Reuse::close, "the probe got no answer in time"); });
   stream_.write("GET /stats HTTP/1.1\r\nHost: backend.local\r\n\r\n");
 }
 
 void UpstreamPool::Connection::write_attempt() {
   if (!owner_.core_->still_wanted(attempt_)) return;
-  // The connection may come up in the loop's round in which the attempt's deadline passes. The connection
-  // itself can be reused.
+  // The connection may come up in the round of the loop in which the attempt's deadline passes. The
+  // connection itself can be reused.
   if (now_us() >= deadline_)
-    return finish(Outcome::not_sent, Reuse::keep, "its time was over when the connection came up");
-  // A draining replica gets no new attempt: the endpoint list may have changed while the connection came up.
+    return finish(Outcome::not_sent, Reuse::keep, "the deadline had passed when the connection came up");
+  // The endpoint list may have changed while the connection came up. A draining replica gets no new attempt.
   if (!owner_.endpoints_.may_send(replica_)) {
     ++owner_.counters_.replica_draining;
-    return finish(Outcome::not_sent, Reuse::keep, "the replica drains since the connection was begun");
+    return finish(Outcome::not_sent, Reuse::keep,
+                  "the replica has been draining since the connection was started");
   }
   const auto& call = static_cast<const fronts::ClientRequest&>(*payload_);
   try {
@@ -138,7 +138,8 @@
   } catch (const BadMessage& bad) {
     describe_attempt(logging::info("upstream"))
         << "request cannot be translated to the replica's dialect: " << logging::field("reason", bad.what());
-    return finish(Outcome::not_sent, Reuse::keep, "the target's dialect cannot say it");
+    return finish(Outcome::not_sent, Reuse::keep,
+                  "the request cannot be translated to the replica's dialect");
   }
   payload_.reset();
 }
@@ -148,10 +149,8 @@
   if (!std::exchange(sent_, true)) owner_.options_.on_attempt_sent();
 }
 
-// ---------------------------------------------------------------- the answer
-
 void UpstreamPool::Connection::on_bytes(std::string_view bytes) {
-  if (job_ == Job::none) return close("bytes that nobody asked for");
+  if (job_ == Job::none) return close("unexpected bytes from the replica");
   reader_.feed(bytes);
   try {
     while (job_ != Job::none && !closed_ && read_piece()) {
@@ -162,13 +161,13 @@
   if (job_ == Job::attempt && !head_received_) watch_head();
 }
 
-// Returns false if no further piece has come yet. Throws BadMessage.
+// Reads the next piece of the answer. Returns false if no further piece has come yet. Throws BadMessage.
 bool UpstreamPool::Connection::read_piece() {
   switch (reader_.next()) {
     case MessageReader::Piece::none: return false;
     case MessageReader::Piece::head: on_head(); return true;
     case MessageReader::Piece::body: on_body(reader_.take_body()); return true;
-    case MessageReader::Piece::end: on_whole_answer(); return true;
+    case MessageReader::Piece::end: on_complete_answer(); return true;
   }
   return false;
 }
@@ -176,7 +175,7 @@
 void UpstreamPool::Connection::on_head() {
   const Head& head = reader_.head();
   if (const auto* load = head.find(kReportHeader)) {
-    report_ = read_report(*load, owner_.options_.report_names);
+    load_report_ = read_load_report(*load, owner_.options_.report_names);
   }
   if (job_ != Job::attempt) return;
   head_received_ = true;
@@ -196,58 +195,58 @@
   while (job_ == Job::attempt) {
     auto frame = frames_.next();
     if (!frame) break;
-    // Only what carries an event is a sign of life: blank lines can go on for ever.
+    // Only a frame with an event or a comment restarts the timeout, because blank lines can go on for ever.
     watch_silence();
-    pass_event(std::move(*frame));
+    forward_event(std::move(*frame));
   }
   if (frames_.held() > owner_.options_.max_event_bytes) throw BadMessage(kStatusBadGateway, "event too long");
 }
 
-void UpstreamPool::Connection::pass_event(std::string frame) {
+void UpstreamPool::Connection::forward_event(std::string frame) {
   core::StreamEvent event = events_->read(std::move(frame));
   event.dialect = dialect_.name();
   if (event.kind == core::EventKind::comment && event.text.starts_with(kReportComment)) {
     std::string_view report = event.text;
     report.remove_prefix(kReportComment.size());
-    report_ = read_report(report, owner_.options_.report_names);
+    load_report_ = read_load_report(report, owner_.options_.report_names);
   }
   owner_.core_->attempt_event(attempt_, event);
 }
 
-void UpstreamPool::Connection::on_whole_answer() {
+void UpstreamPool::Connection::on_complete_answer() {
   const Head& head = reader_.head();
   const Reuse reuse = head.keeps_alive() && reader_.between_messages() ? Reuse::keep : Reuse::close;
   if (streaming_) {
-    if (std::string rest = frames_.rest(); !rest.empty()) pass_event(std::move(rest));
+    if (std::string last_frame = frames_.rest(); !last_frame.empty()) forward_event(std::move(last_frame));
     if (job_ == Job::attempt) finish(Outcome::served, reuse, "served");
   } else if (job_ == Job::probe) {
     const bool served = head.status == kStatusOk;
-    if (served && report_.empty()) report_ = read_report(body_, owner_.options_.report_names);
+    if (served && load_report_.empty()) load_report_ = read_load_report(body_, owner_.options_.report_names);
     finish(served ? Outcome::served : Outcome::error, reuse, "probed");
   } else {
     const bool full = dialect_.proves_not_started(head);
     finish(full ? Outcome::full : Outcome::error, reuse,
-           full ? "the replica is full" : "an error of the replica");
+           full ? "the replica is full" : "the replica answered with an error");
   }
 }
 
 void UpstreamPool::Connection::on_ended() {
-  if (job_ == Job::none) return close("the replica ended it while it was idle");
+  if (job_ == Job::none) return close("the replica closed the idle connection");
   if (!streaming_ || !reader_.complete_at_end_of_connection()) {
     if (!sent_)
       return finish(Outcome::connect_failed, Reuse::close,
-                    "no connection, or it broke before the request was out");
-    return finish(Outcome::reset, Reuse::close, "it broke or ended before the answer was whole");
+                    "no connection, or the connection broke before the request was sent");
+    return finish(Outcome::reset, Reuse::close, "the connection ended before the answer was complete");
   }
   try {
-    on_whole_answer();
+    on_complete_answer();
   } catch (const BadMessage& bad) {
     on_broken_answer(bad.what());
   }
 }
 
-// The answer violates the protocol, but the replica may have run the request: the attempt has failed as if
-// its connection had broken. The connection cannot be reused.
+// The answer violates the protocol, but the replica may have run the request. Therefore the attempt fails as
+// if its connection had broken. The connection cannot be reused.
 void UpstreamPool::Connection::on_broken_answer(std::string_view reason) {
   ++owner_.counters_.malformed_answers;
   describe_attempt(logging::warning("upstream"))
@@ -255,29 +254,25 @@
   finish(Outcome::reset, Reuse::close, reason);
 }
 
-// ---------------------------------------------------------------- limits
-
 // Limits the time from the first byte of a head to its end. The time between an interim answer and the final
-// one is not limited.
+// answer is not limited.
 void UpstreamPool::Connection::watch_head() {
   if (reader_.between_messages()) return timeout_.stop();
   if (timeout_.running()) return;
-  timeout_.start(kHeadTimeout, [this] { on_broken_answer("its head does not end"); });
+  timeout_.start(kHeadTimeout, [this] { on_broken_answer("the head did not end in time"); });
 }
 
-// Detects a replica that has vanished in mid-stream; without this timeout the client would wait for ever.
+// Detects a replica that has vanished in mid-stream. Without this timeout, the client would wait for ever.
 void UpstreamPool::Connection::watch_silence() {
   if (reading_paused_) return timeout_.stop();  // the client is slow, not the replica
   timeout_.start(owner_.options_.silence_timeout, [this] {
     ++owner_.counters_.stalled_streams;
-    finish(Outcome::reset, Reuse::close, "the answer fell silent");
+    finish(Outcome::reset, Reuse::close, "no event in time");
   });
 }
 
-// ---------------------------------------------------------------- the end
-
-// The connection becomes idle, or is closed, before the request manager is notified of the end, because that
-// may launch the next attempt at once.
+// Ends the job. The connection becomes idle or is closed before the request manager is notified of the end,
+// because the request manager may launch the next attempt at once.
 void UpstreamPool::Connection::finish(Outcome outcome, Reuse reuse, std::string_view reason) {
   const Job job = std::exchange(job_, Job::none);
   if (job == Job::none) return;
@@ -287,8 +282,8 @@
   timeout_.stop();
   payload_.reset();
   owner_.attempts_.erase(attempt_);
-  const std::vector<float> report = std::exchange(report_, {});
-  if (reuse == Reuse::keep && stream_.open() && owner_.leads_to_listed(*this)) {
+  const std::vector<float> report = std::exchange(load_report_, {});
+  if (reuse == Reuse::keep && stream_.open() && owner_.leads_to_listed_endpoint(*this)) {
     become_idle();
   } else {
     close(reason);
@@ -297,8 +292,8 @@
   owner_.core_->attempt_ended(attempt_, outcome, report);
 }
 
-// Idle connections are closed well before the replica would close them: a request that is written to a closed
-// connection counts as reset, and is not sent again silently.
+// Idle connections are closed well before the replica would close them, because a request that is written to
+// a closed connection counts as reset and is not sent again silently.
 void UpstreamPool::Connection::become_idle() {
   new_connection_ = false;
   idle_since_ = now_us();
@@ -306,10 +301,11 @@
   stream_.resume_reading();
   owner_.add_to_idle(*this);
   const double idle_time = kIdleFraction * static_cast<double>(owner_.options_.keepalive);
-  timeout_.start(static_cast<Time>(idle_time), [this] { close("idle for long"); });
+  timeout_.start(static_cast<Time>(idle_time), [this] { close("the idle timeout has passed"); });
 }
 
-// Adds the fields that name the attempt and its replica; the line's text is the same for all attempts.
+// Adds the fields that identify the attempt and its replica to a log line, whose text is the same for all
+// attempts.
 logging::Line& UpstreamPool::Connection::describe_attempt(logging::Line&& line) const {
   const EndpointEntry* entry = owner_.endpoints_.find(replica_);
   return line.with("request_number", attempt_.request_id)
--- a/src/net/upstream_connection.hpp
+++ b/src/net/upstream_connection.hpp
@@ -15,35 +15,36 @@
 
 namespace thornwick::net {
 
-// Sends one attempt or probe at a time, reads its answer, and notifies the request manager of events and of
-// the end. A connection that cannot be reused closes itself and removes itself from its pool.
+// Sends one attempt or probe at a time, reads the answer, and notifies the request manager of the answer's
+// events and end. A connection that cannot be reused closes itself and removes itself from its pool.
 class UpstreamPool::Connection : public DeferredDeletable {
  public:
   Connection(UpstreamPool& owner, const EndpointEntry& entry);
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Returns false if that failed at once.
+  // Returns false if connecting failed at once.
   [[nodiscard]] bool connect(GSocketAddress* address);
 
   ReplicaId replica() const { return replica_; }
   const std::string& endpoint() const { return endpoint_; }
   Time idle_since() const { return idle_since_; }
-  // Whether the kernel has taken the whole request.
+  // Whether the kernel has accepted the complete request.
   bool sent() const { return sent_; }
   // Whether no unexpected bytes have come. If a replica sends bytes after an answer, the next attempt must
-  // not take them for its own answer.
-  bool clean() const { return !stream_.readable_now(); }
+  // not take those bytes for its own answer.
+  bool has_no_unread_bytes() const { return !stream_.readable_now(); }
 
-  // `deadline`: of the attempt. `model`: its number in the catalogue; 0: the model that the client named.
+  // `deadline`: the time at which the attempt times out. `model`: the model's number in the catalogue; 0: the
+  // model that the client named.
   void carry_attempt(core::AttemptId attempt, std::shared_ptr<const core::Payload> payload, Time deadline,
                      std::uint16_t model);
   void carry_probe();
 
-  // Closes the connection at once, so that the replica does not go on with an attempt that the router has
-  // given up. `reason` is for the log.
+  // Closes the connection at once, so that the replica stops working on an attempt that the router has
+  // abandoned. `reason` is logged.
   void close(std::string_view reason);
-  // Stops reading the answer until resume_reading(); meanwhile its silence is not held against the replica.
+  // Stops reading the answer until resume_reading(). The silence timeout does not run meanwhile.
   void pause_reading();
   void resume_reading();
 
@@ -51,7 +52,7 @@
   enum class Job { none, attempt, probe };
   enum class Reuse { keep, close };
 
-  void begin();
+  void start_job();
   void on_connected();
   void write_request();
   void write_probe();
@@ -63,8 +64,8 @@
   void on_head();
   void on_body(const std::string& bytes);
   void on_stream_bytes(const std::string& bytes);
-  void pass_event(std::string frame);
-  void on_whole_answer();
+  void forward_event(std::string frame);
+  void on_complete_answer();
   void on_ended();
   void on_broken_answer(std::string_view reason);
 
@@ -83,7 +84,7 @@
   http::MessageReader reader_{http::MessageReader::Kind::answer};
   fronts::FrameSplitter frames_;
   std::unique_ptr<fronts::EventReader> events_;
-  Timer timeout_;  // of the current state: connecting, head, silence or idle time
+  Timer timeout_;  // the limit of the current state: connecting, head, silence or idle time
 
   Job job_ = Job::none;
   core::AttemptId attempt_;
@@ -91,15 +92,15 @@
   Time deadline_ = 0;
   Time idle_since_ = 0;
   std::uint16_t model_ = 0;
-  std::string body_;           // of an answer that is not an event stream
-  std::vector<float> report_;  // the latest one of the answer; empty: none
+  std::string body_;                // of an answer that is not an event stream
+  std::vector<float> load_report_;  // the answer's latest load report; empty: none
 
-  bool new_connection_ = false;  // nothing was sent over it yet
-  bool written_ = false;         // the whole request was given to the stream
+  bool new_connection_ = false;  // no job has ended on the connection yet
+  bool written_ = false;         // the complete request was passed to the stream
   bool sent_ = false;
   bool head_received_ = false;
   bool streaming_ = false;       // the answer is an event stream
-  bool reading_paused_ = false;  // the client is slow
+  bool reading_paused_ = false;  // because the client reads slowly
   bool closed_ = false;
 };
 
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -15,15 +15,13 @@
   return found == options_.dialects_by_uid.end() ? *options_.dialect : *found->second;
 }
 
-// ---------------------------------------------------------------- attempts
-
 void UpstreamPool::launch(core::AttemptId attempt, ReplicaId replica,
                           std::shared_ptr<const core::Payload> payload, Time until, std::uint16_t model) {
   const EndpointEntry* entry = endpoints_.find(replica);
   if (entry == nullptr || !entry->address || !endpoints_.may_send(replica)) {
     return core_->attempt_ended(attempt, Outcome::not_sent);
   }
-  const Acquired acquired = acquire(*entry);
+  const Acquisition acquired = acquire(*entry);
   if (acquired.connection == nullptr) return core_->attempt_ended(attempt, acquired.failure);
   attempts_[attempt] = acquired.connection;
   acquired.connection->carry_attempt(attempt, std::move(payload), until, model);
@@ -35,7 +33,7 @@
   Connection* connection = found->second;
   attempts_.erase(found);
   const bool sent = connection->sent();
-  connection->close("the attempt was given up");
+  connection->close("the attempt was abandoned");
   return sent;
 }
 
@@ -49,20 +47,18 @@
 
 void UpstreamPool::probe(ReplicaId replica) {
   const EndpointEntry* entry = endpoints_.find(replica);
-  Acquired acquired;
+  Acquisition acquired;
   if (entry != nullptr && entry->address) acquired = acquire(*entry);
   if (acquired.connection == nullptr) return core_->probed(replica, false, {});
   ++counters_.probes;
   acquired.connection->carry_probe();
 }
 
-// ---------------------------------------------------------------- connections
-
-UpstreamPool::Acquired UpstreamPool::acquire(const EndpointEntry& entry) {
+UpstreamPool::Acquisition UpstreamPool::acquire(const EndpointEntry& entry) {
   if (Connection* idle = reuse_idle(entry.listing.id)) return {.connection = idle};
-  if (!make_room()) {
+  if (!make_room_for_connection()) {
     ++counters_.no_descriptor;
-    // It is the router that has no descriptor left: the replica must not be ejected for that.
+    // The replica must not be ejected because this router has no descriptor left.
     return {.failure = Outcome::not_sent};
   }
   auto connection = std::make_unique<Connection>(*this, entry);
@@ -76,13 +72,13 @@
 UpstreamPool::Connection* UpstreamPool::reuse_idle(ReplicaId replica) {
   for (auto idle = idle_.find(replica); idle != idle_.end(); idle = idle_.find(replica)) {
     Connection* connection = idle->second.back();
-    if (connection->clean()) {
+    if (connection->has_no_unread_bytes()) {
       remove_from_idle(*connection);
       ++counters_.reused;
       return connection;
     }
     ++counters_.unexpected_bytes;
-    connection->close("bytes that nobody asked for");
+    connection->close("unexpected bytes from the replica");
   }
   return nullptr;
 }
@@ -101,17 +97,18 @@
   return connections_.size() >= options_.max_connections || descriptors().held + 1 >= descriptors().limit;
 }
 
-// Closes the connection that has been idle for longest if there is no room for a new one. Returns false if
-// there is no room even so.
-bool UpstreamPool::make_room() {
+// Makes room for a new connection by closing the connection that has been idle for longest, if there is no
+// room. Returns false if there is still no room.
+bool UpstreamPool::make_room_for_connection() {
   if (!is_full()) return true;
-  if (Connection* oldest = oldest_idle()) oldest->close("its descriptor is needed");
+  if (Connection* oldest = oldest_idle()) oldest->close("evicted to make room for another connection");
   return !is_full();
 }
 
 void UpstreamPool::add_to_idle(Connection& connection) { idle_[connection.replica()].push_back(&connection); }
 
-// Replicas without an idle connection have no entry, as replicas are replaced all day.
+// A replica without an idle connection has no entry. Otherwise entries would pile up as replicas are
+// replaced.
 void UpstreamPool::remove_from_idle(Connection& connection) {
   const auto idle = idle_.find(connection.replica());
   if (idle == idle_.end()) return;
@@ -119,9 +116,9 @@
   if (idle->second.empty()) idle_.erase(idle);
 }
 
-// Whether the connection's replica is still listed, at the connection's address. If it has gone or moved,
-// another replica may answer at that address by now.
-bool UpstreamPool::leads_to_listed(const Connection& connection) const {
+// Whether the connection's replica may get attempts and is listed at the connection's address. If the replica
+// was removed or has moved, another replica may now answer at that address.
+bool UpstreamPool::leads_to_listed_endpoint(const Connection& connection) const {
   const EndpointEntry* entry = endpoints_.find(connection.replica());
   return entry != nullptr && endpoints_.may_send(connection.replica()) &&
          entry->endpoint == connection.endpoint();
@@ -131,10 +128,11 @@
   std::vector<Connection*> outdated;
   for (const auto& [replica, connections] : idle_) {
     for (Connection* connection : connections) {
-      if (!leads_to_listed(*connection)) outdated.push_back(connection);
+      if (!leads_to_listed_endpoint(*connection)) outdated.push_back(connection);
     }
   }
-  for (Connection* connection : outdated) connection->close("the replica takes nothing new there");
+  for (Connection* connection : outdated)
+    connection->close("the replica accepts no new attempts at this address");
 }
 
 void UpstreamPool::remove(Connection& connection) {
--- a/src/net/upstream_pool.hpp
+++ b/src/net/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// The connections to replicas: one pool for each replica, and the attempts and probes that are sent over
-// them.
+// The connections to replicas, pooled by replica, and the attempts and probes that are sent over the
+// connections.
 #pragma once
 
 #include <cstdint>
@@ -16,45 +16,45 @@
 
 namespace thornwick::net {
 
-// Events of the connections to replicas since the start.
+// Counts of events of the connections to replicas since the start of the process.
 struct UpstreamCounters {
   std::uint64_t opened = 0;
   std::uint64_t reused = 0;
-  std::uint64_t replica_draining = 0;  // attempts not sent because the replica was draining once connected
+  std::uint64_t replica_draining = 0;  // attempts not sent because the replica drained meanwhile
   std::uint64_t no_descriptor = 0;     // connections not opened because no descriptor was left
-  std::uint64_t stalled_streams = 0;   // answers that stopped in mid-stream
+  std::uint64_t stalled_streams = 0;   // event streams that stopped without an end
   std::uint64_t probes = 0;
   std::uint64_t malformed_answers = 0;  // answers that violate the protocol
   std::uint64_t unexpected_bytes = 0;   // idle connections closed because of unexpected bytes
 };
 
-// A connection carries one attempt at a time. Between attempts it is kept for reuse while its replica is
-// listed as ready at the same address.
+// A connection carries one attempt at a time. Between attempts, the connection is kept for reuse while its
+// replica is listed as ready at the same address.
 class UpstreamPool : public core::UpstreamTransport {
  public:
   struct Options {
-    Time keepalive = seconds(5);  // the replicas close a connection that was idle for this time
+    Time keepalive = seconds(5);  // replicas close a connection that has been idle for this time
     Time connect_timeout = milliseconds(120);
-    Time silence_timeout = seconds(3);      // between two pieces of an event stream
-    std::vector<std::string> report_names;  // the fields of a load report, in the order the policy wants
+    Time silence_timeout = seconds(3);      // between two frames of an event stream
+    std::vector<std::string> report_names;  // fields of a load report, in the order that the policy uses
     std::size_t max_connections = 400;
     std::size_t max_event_bytes = 256UL * 1024;
     const fronts::Dialect* dialect = nullptr;  // of replicas that `dialects_by_uid` does not name
     std::map<std::string, const fronts::Dialect*> dialects_by_uid;
     // Returns the name of a model by its number in the catalogue. Empty if there is no catalogue.
     std::function<std::string(std::uint16_t)> model_name = {};
-    std::function<void()> on_attempt_sent = [] {};  // the last byte of an attempt was written
+    std::function<void()> on_attempt_sent = [] {};  // the kernel has accepted an attempt's last byte
   };
 
-  // The table is not owned.
+  // `endpoints` is not owned and must outlive the pool.
   UpstreamPool(Options options, const EndpointTable& endpoints);
   ~UpstreamPool() override;
-  // Sets the request manager that is notified of ends and events of attempts. It is not owned. Call this
-  // before anything is launched.
+  // Sets the request manager that is notified of the events and the ends of attempts. `core` is not owned.
+  // Must be called before the first attempt or probe.
   void attach(core::RequestManager& core) { core_ = &core; }
 
-  // To be called after each change of the endpoint list: closes idle connections to replicas that are no
-  // longer ready, or listen at another address.
+  // Must be called after each change of the endpoint list. Closes idle connections to replicas that are no
+  // longer ready or have another address.
   void on_endpoints_changed();
 
   void launch(core::AttemptId attempt, ReplicaId replica, std::shared_ptr<const core::Payload> payload,
@@ -70,18 +70,18 @@
  private:
   class Connection;
 
-  // A connection, or why there is none.
-  struct Acquired {
+  // A connection, or the reason why there is none.
+  struct Acquisition {
     Connection* connection = nullptr;
     Outcome failure = Outcome::connect_failed;
   };
 
-  Acquired acquire(const EndpointEntry& entry);
+  Acquisition acquire(const EndpointEntry& entry);
   Connection* reuse_idle(ReplicaId replica);
   Connection* oldest_idle() const;
   bool is_full() const;
-  bool make_room();
-  bool leads_to_listed(const Connection& connection) const;
+  bool make_room_for_connection();
+  bool leads_to_listed_endpoint(const Connection& connection) const;
   void add_to_idle(Connection& connection);
   void remove_from_idle(Connection& connection);
   void remove(Connection& connection);
@@ -92,7 +92,8 @@
   core::RequestManager* core_ = nullptr;
   UpstreamCounters counters_;
   std::map<Connection*, std::unique_ptr<Connection>> connections_;
-  std::map<ReplicaId, std::vector<Connection*>> idle_;  // the one used last is at the end, and is used next
+  std::map<ReplicaId, std::vector<Connection*>>
+      idle_;  // the connection used last is at the end, and is used next
   std::map<core::AttemptId, Connection*> attempts_;
 };
 
--- a/tests/net/replica_answers.cpp
+++ b/tests/net/replica_answers.cpp
@@ -1,4 +1,4 @@
-// Answers of replicas that break, are malformed, come too early, or come twice; and their load reports.
+// Answers of replicas that break off, are malformed, come too early or come twice, and load reports.
 #include <catch2/catch.hpp>
 
 #include "net/load_report.hpp"
@@ -32,8 +32,8 @@
   )");
 }
 
-TEST_CASE("a stream that goes silent is closed, so that its client can request the rest") {
-  ScenarioRunner runner({.silence_limit = 100'000});
+TEST_CASE("a stream without further events is closed, so that its client can request the remaining events") {
+  ScenarioRunner runner({.silence_timeout = 100'000});
   runner.run(R"(
     client1 send $ask(r1)
     attempt1 send $stream$delta(one)
@@ -48,12 +48,12 @@
 TEST_CASE(
     "an answer that is malformed before its first event fails the attempt, closes its connection, and leads "
     "to another attempt") {
-  const std::string spoilt =
+  const std::string malformed =
       GENERATE(as<std::string>(), R"(noise\n)", R"(HTTP/1.1 101 Switching Protocols\r\n\r\n)",
                R"(HTTP/1.1 200 OK\r\nX: y)", R"($stream()zz\r\n)", R"($stream()b2d05e00\r\n\n\n\n)",
                R"($stream()3\r\ndata: {}\n\n)", R"($stream$chunk(noise\n\n))");
   ScenarioRunner runner({.replicas = 2});
-  runner.run("client1 send $ask(r1)\nattempt1 expect X-Request-ID: r1\\r\\n\nattempt1 send " + spoilt + R"(
+  runner.run("client1 send $ask(r1)\nattempt1 expect X-Request-ID: r1\\r\\n\nattempt1 send " + malformed + R"(
     attempt2 expect X-Request-ID: r1\r\n
     attempt1 expect "content":"hi"}]}
     attempt1 expect close
@@ -69,14 +69,14 @@
 TEST_CASE(
     "an answer that is malformed after its first event closes the client's connection without the last "
     "chunk") {
-  const std::string spoilt =
+  const std::string malformed =
       GENERATE(as<std::string>(), R"(zz\r\n)", R"(b2d05e00\r\n\n\n\n)", R"(3\r\ndata: {}\n\n)",
-               // A size that is too large by one chunk: its "event" would hold what frames the next one.
+               // A chunk size that includes the next chunk: the event would contain that chunk's size line.
                R"(22\r\ndata: {}\n\n\r\n10\r\ndata: {"a":"b"}\n\n\r\n)");
   ScenarioRunner runner({.replicas = 2});
   runner.run(
       "client1 send $ask(r1)\nattempt1 send $stream$delta(one)\nclient1 expect $delta(one)\nattempt1 send " +
-      spoilt + R"(
+      malformed + R"(
     router expect spoilt=1
     router expect broken=1
     router expect attempts=1
@@ -101,10 +101,10 @@
 }
 
 TEST_CASE("a second answer after the first never answers the next request") {
-  const std::string later =
+  const std::string separator =
       GENERATE(as<std::string>(), "", "\nclient1 expect \\r\\n0\\r\\n\\r\\n\nattempt1 send ");
   ScenarioRunner runner;
-  runner.run("client1 send $ask(r1)\nattempt1 send $stream$delta(one)$done" + later +
+  runner.run("client1 send $ask(r1)\nattempt1 send $stream$delta(one)$done" + separator +
              R"($stream$delta(other)$done
     router expect lines=0
     client2 send $ask(r2)
@@ -118,13 +118,13 @@
 }
 
 TEST_CASE("a malformed load report is ignored") {
-  using thornwick::net::read_report;
+  using thornwick::net::read_load_report;
   const std::vector<std::string> names = {"errors_per_s", "backlog"};
-  CHECK(read_report("queue=3, eps=0.5, other=x", names) == std::vector<float>{0.5f, 3.0f});
-  for (const auto* bad : {"", "eps=1", "eps=nan,queue=1", "eps=inf,queue=1", "eps=-1,queue=1",
-                          "eps=1,queue=2x", "eps=1,queue=1,queue=2", "eps=,queue=1"}) {
-    INFO(bad);
-    CHECK(read_report(bad, names).empty());
+  CHECK(read_load_report("queue=3, eps=0.5, other=x", names) == std::vector<float>{0.5f, 3.0f});
+  for (const auto* report : {"", "eps=1", "eps=nan,queue=1", "eps=inf,queue=1", "eps=-1,queue=1",
+                             "eps=1,queue=2x", "eps=1,queue=1,queue=2", "eps=,queue=1"}) {
+    INFO(report);
+    CHECK(read_load_report(report, names).empty());
   }
 }
 
