--- a/tests/net/admin_endpoint.cpp
+++ b/tests/net/admin_endpoint.cpp
@@ -1,4 +1,4 @@
-// Scenarios of the admin endpoint: its calls, its metrics, callers that misbehave, and a drain.
+// Scenarios of the admin endpoint: calls, metrics, callers that break the protocol, and a drain.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -11,7 +11,7 @@
 }
 
 TEST_CASE(
-    "the admin endpoint answers its calls, also a line in pieces and one with CRLF, and rejects unknown "
+    "the admin endpoint answers its calls, also a line in pieces and a line with CRLF, and rejects unknown "
     "calls") {
   ScenarioRunner runner(kWithAdminEndpoint);
   runner.run(R"(
@@ -43,7 +43,7 @@
   )");
 }
 
-TEST_CASE("a crowd of silent callers never blocks one that sends a call") {
+TEST_CASE("callers that send no complete line never block a caller that sends a call") {
   ScenarioRunner runner(kWithAdminEndpoint);
   for (int i = 100; i < 130; ++i) runner.send("call" + std::to_string(i), i % 2 == 0 ? "HEAL" : "");
   runner.run(R"(
--- a/tests/net/attempt_races.cpp
+++ b/tests/net/attempt_races.cpp
@@ -1,6 +1,7 @@
-// Two events that meet in one round of the main loop before, between or during attempts. Each scenario
-// produces the bad order every time: what is sent between two waits of the loop, and what becomes due while
-// it stands still, is processed in one round. docs/standing.md has the table of these crossings.
+// Two events in one round of the main loop before, between or during attempts. Each scenario produces the
+// problematic order every time, because the loop processes in one round all bytes that were sent between two
+// of its runs and all timers that became due while it was stopped. docs/standing.md has the table of these
+// races.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -13,7 +14,7 @@
 
 }  // namespace
 
-// What lies unread before it hides the end of a connection from whoever reads in order.
+// Guards against a router that misses the end of a connection because unread bytes precede that end.
 TEST_CASE("a client that closed its connection after unread bytes gets no attempt") {
   ScenarioRunner runner({.known_state = "DRAINING"});
   runner.run(R"(
@@ -35,7 +36,7 @@
 }
 
 TEST_CASE("a client that closes in the loop's round in which its request could be sent gets no attempt") {
-  const std::string leave = GENERATE(as<std::string>(), "client2 close", "client2 end", "client2 reset");
+  const std::string disconnect = GENERATE(as<std::string>(), "client2 close", "client2 end", "client2 reset");
   const bool list_first = GENERATE(true, false);
   const std::string list =
       "list send $json({\"rev\":2,\"all\":false,\"targets\":[{\"uid\":\"s-01\",\"state\":\"SERVING\"}]})";
@@ -47,7 +48,7 @@
     client2 send $ask(r1)
     client3 send $ask(r2)
     router expect taken=2
-  )" + (list_first ? list + "\n" + leave : leave + "\n" + list) +
+  )" + (list_first ? list + "\n" + disconnect : disconnect + "\n" + list) +
              R"(
     attempt1 expect X-Request-ID: r2\r\n
     router expect gone=1
@@ -56,13 +57,13 @@
 }
 
 TEST_CASE("a client that closes in the loop's round in which its attempt fails gets no other attempt") {
-  const std::string leave = GENERATE(as<std::string>(), "client1 close", "client1 end", "client1 reset");
-  const std::string fails =
+  const std::string disconnect = GENERATE(as<std::string>(), "client1 close", "client1 end", "client1 reset");
+  const std::string failure =
       GENERATE(as<std::string>(), "attempt1 send $full", "attempt1 send $error", "attempt1 reset");
-  const bool fails_first = GENERATE(true, false);
+  const bool failure_first = GENERATE(true, false);
   ScenarioRunner runner({.replicas = 2});
   runner.run("client1 send $ask(r1)\nattempt1 expect X-Request-ID: r1\n" +
-             (fails_first ? fails + "\n" + leave : leave + "\n" + fails) + R"(
+             (failure_first ? failure + "\n" + disconnect : disconnect + "\n" + failure) + R"(
     router expect gone=1
     router expect open=0
     router expect attempts=1
@@ -110,15 +111,15 @@
   )");
 }
 
-// A connection that came up in the round of the deadline once carried its request, with a millisecond to
-// answer it; and what was never sent on was answered as failed where it must not run twice.
+// Guards against two faults. A connection that came up in the round of the deadline carried its request, with
+// a millisecond left for the answer. A request of an unsafe class that was never sent was answered as failed.
 TEST_CASE(
     "a connection that comes up after the deadline, or after its client has closed, carries no attempt") {
-  const bool gone = GENERATE(true, false);
+  const bool disconnected = GENERATE(true, false);
   ScenarioRunner runner({.settings = kUnsafe});
   runner.run("client1 send $ask(r1,600)\nrouter expect attempts=1\n" +
-             std::string(gone ? "client1 close" : "stall 700"));
-  if (gone) {
+             std::string(disconnected ? "client1 close" : "stall 700"));
+  if (disconnected) {
     return runner.run(
         "router expect gone=1\nrouter expect attempt_not_sent=1\nclient2 send $ask(r2)\nattempt1 expect "
         "X-Request-ID: r2\\r\\n");
@@ -152,12 +153,12 @@
 }
 
 TEST_CASE("an event in the loop's round in which its client closes is dropped") {
-  const std::string leave = GENERATE(as<std::string>(), "client1 close", "client1 end", "client1 reset");
+  const std::string disconnect = GENERATE(as<std::string>(), "client1 close", "client1 end", "client1 reset");
   const bool event_first = GENERATE(true, false);
   const std::string event = "attempt1 send $delta(two)$done";
   ScenarioRunner runner;
   runner.run("client1 send $ask(r1)\nattempt1 send $stream$delta(one)\nclient1 expect one\n" +
-             (event_first ? event + "\n" + leave : leave + "\n" + event) +
+             (event_first ? event + "\n" + disconnect : disconnect + "\n" + event) +
              "\nrouter expect open=0\nrouter expect clients=0");
   runner.run(
       "client2 send $ask(r2)\nattempt2 send $stream$delta(three)$done\nclient2 expect three\nclient2 expect "
--- a/tests/net/client_connections.cpp
+++ b/tests/net/client_connections.cpp
@@ -48,7 +48,8 @@
              "open=0\n");
 }
 
-// Silent connections once stayed for a minute and took the places of those that had something to ask.
+// Guards against connections without requests that stay open for a minute and take up the room of clients
+// with requests.
 TEST_CASE("a connection without a request, with half a request, or idle after one is closed within seconds") {
   ScenarioRunner runner;
   runner.run(R"(
@@ -114,7 +115,7 @@
 }
 
 TEST_CASE(
-    "bodies that are still being read count, and requests beyond their part of the memory are rejected") {
+    "bodies that are still being read count, and requests beyond their share of the memory are rejected") {
   ScenarioRunner runner({.memory_mb = 1});
   runner.run(R"(
     client1 send POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 200000\r\n\r\n$fill(199999)
@@ -144,7 +145,8 @@
   )");
 }
 
-// With few descriptors the router once closed connections whose first request it had not read yet.
+// Guards against a router with few descriptors that closes connections whose first request it has not read
+// yet.
 TEST_CASE(
     "beyond the clients' share idle connections are closed and new requests are rejected, but none is lost") {
   ScenarioRunner runner({.max_clients = 1});
--- a/tests/net/config.cpp
+++ b/tests/net/config.cpp
@@ -1,4 +1,4 @@
-// The configuration: flattened settings, and one plain line for what makes no sense.
+// The configuration: flattened settings, and errors that are reported in one line each.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("nested settings become the path=value lines of the wire") {
+TEST_CASE("nested settings are flattened to path=value lines") {
   simdjson::dom::parser parser;
   auto json = parser.parse(std::string(
       R"({"a":{"b":1,"c":true},"zones":["x y","z,w"],"none":[],"list":[{"n":1.5},{"n":2}],"null":null})"));
@@ -36,7 +36,7 @@
         "a.b=1\na.c=true\nzones=x_y,z_w\nnone=\nlist.0.n=1.5\nlist.1.n=2\nlist.count=2\n");
 }
 
-TEST_CASE("a configuration gives the module its settings and the fronts their names") {
+TEST_CASE("a configuration contains the settings of the routing policy and the names for the fronts") {
   const TempFile file(with_settings(
       R"({"grades":[{"name":"chat","objective":1200000,"deadline":5000000,"streamed":true}],"groupSize":4,"rank":1,)"
       R"("tenants":[{"name":"acme","share":1.0}],"policyLimits":{"keepalive":4000000},)"
@@ -51,7 +51,7 @@
   CHECK(config.timeouts.keepalive == 4'000'000);
 }
 
-TEST_CASE("a file that is read again says where discovery is, not the environment of the start") {
+TEST_CASE("when a file is read again, discovery's address is that of the file and not of the environment") {
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
   setenv("GW_DISCOVERY", "127.0.0.1:2", 1);
   const config::Config old = config::read_config(file.path, "");
@@ -59,13 +59,13 @@
   config::Config fresh = config::read_config(file.path, "", config::Reading::again);
   unsetenv("GW_DISCOVERY");
   CHECK(fresh.discovery.address == "127.0.0.1:1");
-  CHECK(config::needs_restart(old, fresh).empty());  // discovery needs none
+  CHECK(config::needs_restart(old, fresh).empty());  // a new address of discovery needs no restart
   fresh.listeners.requests = "127.0.0.1:3";
   fresh.settings_text += "rank=2\n";
   CHECK(config::needs_restart(old, fresh) == "listen, settings");
 }
 
-TEST_CASE("a configuration that reads well is still checked as a whole") {
+TEST_CASE("a configuration that can be read is still checked as a whole") {
   const TempFile file(with_settings(R"({"grades":[{"name":"chat","objective":1,"deadline":2}]})"));
   config::Config config = config::read_config(file.path, "");
   CHECK_NOTHROW(node::check_config(config));
@@ -76,8 +76,8 @@
   CHECK_THROWS(node::check_config(config));
 }
 
-TEST_CASE("a bad configuration is refused with one line that says why") {
-  const auto& [text, why] = GENERATE(table<std::string, std::string>({
+TEST_CASE("an invalid configuration is rejected with one line that states the error") {
+  const auto& [text, expected_text] = GENERATE(table<std::string, std::string>({
       {"{", ""},
       {"[]", "not an object"},
       {R"({"listen":"x"})", "no discovery"},
@@ -88,11 +88,11 @@
   const TempFile file(text);
   try {
     static_cast<void>(config::read_config(file.path, ""));
-    FAIL("it was taken: " << text);
+    FAIL("accepted: " << text);
   } catch (const config::BadConfig& problem) {
-    const std::string said = problem.what();
-    CHECK(said.find(why) != std::string::npos);
-    CHECK(said.find('\n') == std::string::npos);
+    const std::string message = problem.what();
+    CHECK(message.find(expected_text) != std::string::npos);
+    CHECK(message.find('\n') == std::string::npos);
   }
 }
 
@@ -100,15 +100,16 @@
   const TempFile file(
       "[messages]\nlisten = '127.0.0.1:9100'\n[targets.named]\n's-01' = 'messages'\n[flows]\ncollector = "
       "'c'\n");
-  const config::OperatorFile added = config::read_operator_file(file.path);
-  CHECK(added.messages_listen == "127.0.0.1:9100");
-  CHECK(added.target_dialect == "platform");
-  CHECK(added.targets.at("s-01") == "messages");
-  CHECK(added.flow_collector == "c");
+  const config::OperatorFile operator_file = config::read_operator_file(file.path);
+  CHECK(operator_file.messages_listen == "127.0.0.1:9100");
+  CHECK(operator_file.target_dialect == "platform");
+  CHECK(operator_file.targets.at("s-01") == "messages");
+  CHECK(operator_file.flow_collector == "c");
   CHECK(config::read_operator_file("").messages_listen.empty());
 }
 
-TEST_CASE("the operator's file is checked whole: a line for each error, with file, line and key") {
+TEST_CASE(
+    "the operator's file is checked completely, with one line for each error that has file, line and key") {
   const TempFile file(
       "[affinity]\n"
       "enabled = 'yes'\n"
@@ -125,25 +126,25 @@
       "x = 1\n");
   try {
     config::read_operator_file(file.path);
-    FAIL("it was taken");
+    FAIL("accepted");
   } catch (const config::BadConfig& problem) {
-    const std::string at = file.path + ":";
-    CHECK(problem.what() == at + "2: affinity.enabled: neither true nor false\n" + at +
-                                "3: affinity.entries: outside 16..100000000\n" + at +
-                                "4: affinity.eviction: 'clock' is none of: lru, segmented, tinylfu\n" + at +
-                                "6: affinity.colour: no such key\n" + at +
-                                "8: store.sync_s: outside 0.01..3600\n" + at +
-                                "9: store.changes: not a whole number\n" + at +
-                                "11: targets.named.s-01: not a text\n" + at + "12: purse: no such table");
+    const std::string prefix = file.path + ":";
+    CHECK(problem.what() == prefix + "2: affinity.enabled: neither true nor false\n" + prefix +
+                                "3: affinity.entries: outside 16..100000000\n" + prefix +
+                                "4: affinity.eviction: 'clock' is none of: lru, segmented, tinylfu\n" +
+                                prefix + "6: affinity.colour: no such key\n" + prefix +
+                                "8: store.sync_s: outside 0.01..3600\n" + prefix +
+                                "9: store.changes: not a whole number\n" + prefix +
+                                "11: targets.named.s-01: not a text\n" + prefix + "12: purse: no such table");
   }
 }
 
-TEST_CASE("an operator's file that is no TOML is refused with its line") {
+TEST_CASE("an operator's file that is not TOML is rejected with the line of the error") {
   const TempFile file("[affinity]\nenabled = \n");
   CHECK_THROWS_WITH(config::read_operator_file(file.path), Catch::StartsWith(file.path + ":2: "));
 }
 
-TEST_CASE("the affinity table's bound follows the memory limit unless the operator says") {
+TEST_CASE("the affinity table's bound follows the memory limit unless the operator's file sets the bound") {
   const TempFile file("[affinity]\nenabled = true\n");
   config::Config config;
   config.operator_file = config::read_operator_file(file.path);
@@ -155,7 +156,6 @@
   CHECK(node::affinity_options(config).table.bytes == 100'000);
 }
 
-// The files that come with the program are good ones.
 TEST_CASE("each operator's file under deploy/ is read without an error") {
   for (const char* name : {"affinity.toml", "group.toml", "messages.toml", "models.toml", "platform.toml"}) {
     CHECK_NOTHROW(config::read_operator_file(std::string(THORNWICK_DEPLOY) + "/" + name));
--- a/tests/net/deployments.cpp
+++ b/tests/net/deployments.cpp
@@ -1,4 +1,4 @@
-// What differs from one deployment to the next, by its settings alone.
+// Behaviour that differs between deployments because of their settings.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -15,7 +15,7 @@
     list expect GET /registry/instances?after=2&wait_ms=1000 HTTP/1.1\r\n
     client1 send $ask(r1)
     attempt1 expect r1
-    # In pieces, of an older version, broken, silent: the last list stays in use.
+    # An answer in pieces with an older revision, an error, and no answer: the last list stays in use.
     list send HTTP/1.1 200 OK\r\nContent-Le
     list send ngth: 37\r\n\r\n{"rev":1,"all":true,
     list send "targets":[    ]}
--- a/tests/net/dialects.cpp
+++ b/tests/net/dialects.cpp
@@ -21,7 +21,7 @@
   return text.str();
 }
 
-// What a client learns from a stream, read without the router's code.
+// The contents of a stream for a client, read without the router's code.
 struct StreamSummary {
   std::string text;
   std::string reason;
@@ -88,8 +88,8 @@
 TEST_CASE("recorded streams of both dialects give clients of both dialects the same text and token counts") {
   const std::string client = GENERATE("client", "writer");
   const std::string replica = GENERATE("platform", "messages");
-  const std::size_t piece = GENERATE(7, 100'000);  // split frames, and the whole stream at once
-  CAPTURE(client, replica, piece);
+  const std::size_t piece_bytes = GENERATE(7, 100'000);  // split frames, and the complete stream at once
+  CAPTURE(client, replica, piece_bytes);
   ScenarioRunner runner({.replica_dialect = replica});
   const bool platform_client = client == "client";
   runner.run(client + " send " + (platform_client ? "$ask(r1)" : "$say(r1)"));
@@ -98,10 +98,10 @@
   runner.run(
       "attempt1 expect X-Request-ID: r1\\r\\n\nattempt1 expect \"max_tokens\":50\nattempt1 send $stream");
   const std::string stream = recorded_stream(replica);
-  for (std::size_t at = 0; at < stream.size(); at += piece) {
+  for (std::size_t position = 0; position < stream.size(); position += piece_bytes) {
     std::ostringstream chunk;
-    const std::string part = stream.substr(at, piece);
-    chunk << std::hex << part.size() << "\r\n" << part << "\r\n";
+    const std::string data = stream.substr(position, piece_bytes);
+    chunk << std::hex << data.size() << "\r\n" << data << "\r\n";
     runner.send("attempt1", chunk.str());
   }
   runner.run("attempt1 send 0\\r\\n\\r\\n\n" + client +
@@ -153,7 +153,8 @@
 }
 
 TEST_CASE(
-    "an error event after partial output is passed on, and the stream is broken without another attempt") {
+    "an error event after partial output is forwarded, and the stream is broken off without another "
+    "attempt") {
   const std::string client = GENERATE("client", "writer");
   ScenarioRunner runner({.replicas = 2, .replica_dialect = "messages"});
   runner.run(client + " send " + (client == "client" ? "$ask(r1)" : "$say(r1)") + R"(
--- a/tests/net/endpoint_lists.cpp
+++ b/tests/net/endpoint_lists.cpp
@@ -1,5 +1,5 @@
-// Endpoint lists of discovery: watches, failed calls, bad entries, new addresses and replicas that are
-// replaced.
+// Endpoint lists of discovery: watches, failed calls, invalid entries, new addresses of discovery, and
+// replaced replicas.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -15,7 +15,7 @@
          R"(","capacity_hint":1.0,"boot_ms":0})";
 }
 
-// Discovery answers the open call with changes, and gets the next call.
+// Makes discovery answer the open call with changes, and waits for the next call.
 void answer_list(ScenarioRunner& runner, const std::string& revision, const std::string& entries) {
   const std::string body = R"({"rev":)" + revision + R"(,"all":false,"targets":[)" + entries + "]}";
   runner.send("list",
@@ -54,9 +54,9 @@
   )");
 }
 
-// One deadline for all calls: none of these keeps the next one from coming, and each has its limit.
+// Each call has a time limit of its own, so that no call can keep the next call from being made.
 TEST_CASE(
-    "whatever discovery does with a call, the next one is made, and the first good answer opens a watch") {
+    "whatever discovery does with a call, the next call is made, and the first valid answer opens a watch") {
   ScenarioRunner runner({.replicas = 2});
   runner.run(R"(
     list expect GET /registry/instances?after=1&wait_ms=0 
@@ -64,14 +64,14 @@
     list2 expect GET /registry/instances?after=1&wait_ms=0 
     list2 close
     list3 expect GET /registry/instances?after=1&wait_ms=0 
-    # It says nothing.
+    # list3 gets no answer.
     list4 expect GET /registry/instances?after=1&wait_ms=0 
     list4 send HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{"rev":2,"all":false,
-    # It stalls in the middle of the body.
+    # The answer on list4 stalls in the middle of the body.
     list5 expect GET /registry/instances?after=1&wait_ms=0 
     list5 send $json({"rev":2,"all":false,"targets":[{"uid":"s-01","state":"DRAINING"}]})
     list5 expect GET /registry/instances?after=2&wait_ms=2500 
-    # A watch that falls silent is followed by a call that does not wait.
+    # A watch without an answer in time is followed by a call that does not wait.
     list6 expect GET /registry/instances?after=2&wait_ms=0 
     list6 send $json({"rev":2,"all":false,"targets":[]})
     list6 expect GET /registry/instances?after=2&wait_ms=2500 
@@ -92,10 +92,8 @@
   )");
 }
 
-// Two targets at one address, one after the other: the second once would have got the first one's
-// connections.
-TEST_CASE(
-    "a replica at a reused address gets connections of its own, and those of its predecessor are closed") {
+// Guards against a router that uses connections to a removed replica for another replica at the same address.
+TEST_CASE("a replica at a reused address gets new connections, and those to the earlier replica are closed") {
   ScenarioRunner runner;
   runner.run(R"(
     client1 send $ask(r1)
@@ -116,7 +114,7 @@
     attempt2 send $stream$delta(two)
     client1 expect $delta(two)
   )");
-  // One that goes with a request in work may finish it, and then its connection is closed too.
+  // A replica that drains with a request in flight may complete it; then its connection is closed as well.
   answer_list(runner, "3", entry("s-02", runner.replica(0), "DRAINING"));
   runner.run(R"(
     attempt2 send $done
@@ -126,18 +124,19 @@
   )");
 }
 
-TEST_CASE("replicas that are gone are forgotten, and their numbers with them") {
+TEST_CASE("removed replicas are forgotten, and their ids can be assigned again") {
   ScenarioRunner runner;
   runner.run("list expect GET /registry/instances");
   for (int i = 2; i < 300; ++i) {
-    const std::string uid = "s-" + std::to_string(1000 + i);
-    const std::string last = i == 2 ? "s-01" : "s-" + std::to_string(999 + i);
-    answer_list(runner, std::to_string(i),
-                entry(last, runner.replica(0), "DELETED") + "," + entry(uid, runner.replica(0), "SERVING"));
+    const std::string added = "s-" + std::to_string(1000 + i);
+    const std::string removed = i == 2 ? "s-01" : "s-" + std::to_string(999 + i);
+    answer_list(
+        runner, std::to_string(i),
+        entry(removed, runner.replica(0), "DELETED") + "," + entry(added, runner.replica(0), "SERVING"));
   }
   CHECK(runner.replica_count() <= 80);
-  // Another uid with the number of one that has gone just now: it gets that number, as at a router that never
-  // knew the first.
+  // A new uid whose preferred id belonged to a replica that was removed just now gets that id, as it does at
+  // a router that never knew the removed replica.
   answer_list(
       runner, "300",
       entry("s-1299", runner.replica(0), "DELETED") + "," + entry("t-1299", runner.replica(0), "SERVING"));
@@ -146,7 +145,7 @@
 }
 
 TEST_CASE(
-    "a new address of discovery is called for its whole list at once, and answers of the old one are "
+    "a new address of discovery is called for its full list at once, and answers of the old address are "
     "ignored") {
   ScenarioRunner runner;
   runner.run(R"(
@@ -158,7 +157,7 @@
     list expect Host: 
     list expect \r\n\r\n
     list expect close
-    # The targets stay until the new list tells, also while the router winds down.
+    # The replicas stay until the new list comes, also while the router shuts down.
     client1 served r1 by attempt1
     router close
     newlist send $json({"rev":2,"all":true,"targets":[]})
@@ -171,7 +170,7 @@
   )");
 }
 
-TEST_CASE("a new address of discovery during an answer of the old one starts a new call") {
+TEST_CASE("a new address of discovery during an answer of the old address starts a new call") {
   ScenarioRunner runner;
   runner.run(R"(
     list expect GET /registry/instances
@@ -194,9 +193,9 @@
 }
 
 TEST_CASE("an indented endpoint list that arrives in pieces takes effect with its last byte and not before") {
-  const std::string uid =
+  const std::string targets =
       GENERATE(as<std::string>(), R"([])", R"([ { "uid" : "s-01" ,\n    "state" : "DRAINING" } ])");
-  const std::string body = "{\\n  \"rev\" : 2,\\n  \"all\" : true,\\n  \"targets\" : " + uid + "\\n";
+  const std::string body = "{\\n  \"rev\" : 2,\\n  \"all\" : true,\\n  \"targets\" : " + targets + "\\n";
   ScenarioRunner runner;
   runner.run(R"(
     list expect GET /registry/instances?after=1&wait_ms=0 
@@ -215,15 +214,15 @@
 
 TEST_CASE(
     "a failure just after an answer of discovery, or bytes after it, cost one call and lose no change") {
-  const std::string then = GENERATE(as<std::string>(), "list reset", "list close",
-                                    "list send $json({\"rev\":9,\"all\":true,\"targets\":[]})");
+  const std::string failure = GENERATE(as<std::string>(), "list reset", "list close",
+                                       "list send $json({\"rev\":9,\"all\":true,\"targets\":[]})");
   ScenarioRunner runner;
   runner.run(R"(
     list expect GET /registry/instances?after=1&wait_ms=0 
     list send $json({"rev":2,"all":false,"targets":[]})
     list expect GET /registry/instances?after=2&wait_ms=2500 
     list send $json({"rev":3,"all":false,"targets":[]})
-  )" + then +
+  )" + failure +
              R"(
     router expect list_calls=4
     client1 send $ask(r1)
--- a/tests/net/event_streaming.cpp
+++ b/tests/net/event_streaming.cpp
@@ -1,4 +1,4 @@
-// Events are forwarded as they come, also to clients that read slowly.
+// Events are forwarded as they arrive, also to clients that read slowly.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -34,8 +34,8 @@
   CHECK(sent_timeout("attempt2") > 0);
 }
 
-// Of 36 MB the router holds its bound, and the kernels up to 20: the rest stays at the replica, and none is
-// lost.
+// Of the 36 MB of events, the router buffers as much as its bound allows, and the kernel up to 20 MB. The
+// remaining bytes stay at the replica, and no byte is lost.
 TEST_CASE("a client that reads slowly makes its replica wait, and gets every event") {
   constexpr int kEvents = 3000;
   const std::string text(12'000, 'y');
@@ -44,7 +44,7 @@
   for (int i = 0; i < kEvents; ++i) runner.run("attempt1 send $delta(" + text + std::to_string(i) + "end)");
   runner.run("attempt1 send $done\nwait 1300");
   CHECK(runner.unsent("attempt1") > 4'000'000);
-  // Its silence was the client's doing: the stream goes on.
+  // The silence timeout has not ended the stream, because the client caused the silence.
   runner.run("client1 read");
   for (int i = 0; i < kEvents; ++i) runner.run("client1 expect y" + std::to_string(i) + "end\"");
   runner.run("client1 expect \\r\\n0\\r\\n\\r\\n\nrouter expect served=1\nrouter expect silent=0");
--- a/tests/net/flows.cpp
+++ b/tests/net/flows.cpp
@@ -1,4 +1,4 @@
-// Flow records against a stand-in collector, which reads them with the template that came along.
+// Flow records, read by a stand-in collector that decodes them with the received template.
 #include <array>
 #include <catch2/catch.hpp>
 
@@ -23,15 +23,16 @@
     return net::address_text(local.get());
   }
 
-  // The records of the next message, each with its values by element (enterprise ones from 1000).
+  // Returns the records of the next message: for each, its values by information element. The enterprise's
+  // elements have 1000 added to their numbers.
   std::vector<std::map<unsigned, std::string>> read() {
     std::array<char, 4096> bytes;
-    gssize got = -1;
-    while (got < 0) {
+    gssize received = -1;
+    while (received < 0) {
       g_main_context_iteration(nullptr, FALSE);
-      got = g_socket_receive(socket_.get(), bytes.data(), bytes.size(), nullptr, nullptr);
+      received = g_socket_receive(socket_.get(), bytes.data(), bytes.size(), nullptr, nullptr);
     }
-    return parse({bytes.data(), static_cast<std::size_t>(got)});
+    return parse({bytes.data(), static_cast<std::size_t>(received)});
   }
 
   std::vector<std::map<unsigned, std::string>> parse(std::string message) {
@@ -39,13 +40,13 @@
     REQUIRE(number(message.substr(2, 2)) == message.size());
     sequence = number(message.substr(8, 4));
     std::vector<std::map<unsigned, std::string>> records;
-    for (std::size_t at = 16; at < message.size();) {
-      const auto set = number(message.substr(at, 2)), length = number(message.substr(at + 2, 2));
-      REQUIRE(at + length <= message.size());
-      const std::string body = message.substr(at + 4, length - 4);
-      if (set == 2) learn(body);
+    for (std::size_t position = 16; position < message.size();) {
+      const auto set = number(message.substr(position, 2)), length = number(message.substr(position + 2, 2));
+      REQUIRE(position + length <= message.size());
+      const std::string body = message.substr(position + 4, length - 4);
+      if (set == 2) read_template(body);
       if (set == net::kFlowTemplate) read_records(body, records);
-      at += length;
+      position += length;
     }
     return records;
   }
@@ -59,32 +60,32 @@
   std::uint64_t sequence = 0;
 
  private:
-  void learn(const std::string& body) {
+  void read_template(const std::string& body) {
     fields_.clear();
-    std::size_t at = 4;
-    for (auto left = number(body.substr(2, 2)); left > 0; --left, at += 4) {
-      auto id = static_cast<unsigned>(number(body.substr(at, 2)));
-      const auto length = number(body.substr(at + 2, 2));
+    std::size_t position = 4;
+    for (auto remaining = number(body.substr(2, 2)); remaining > 0; --remaining, position += 4) {
+      auto id = static_cast<unsigned>(number(body.substr(position, 2)));
+      const auto length = number(body.substr(position + 2, 2));
       if (id & 0x8000) {
-        REQUIRE(number(body.substr(at + 4, 4)) == 32473);
+        REQUIRE(number(body.substr(position + 4, 4)) == 32473);
         id = (id & 0x7fff) + 1000;
-        at += 4;
+        position += 4;
       }
       fields_.push_back({id, length});
     }
-    REQUIRE(at == body.size());
+    REQUIRE(position == body.size());
   }
 
   void read_records(const std::string& body, std::vector<std::map<unsigned, std::string>>& records) {
     REQUIRE(!fields_.empty());
-    for (std::size_t at = 0; at < body.size();) {
+    for (std::size_t position = 0; position < body.size();) {
       auto& record = records.emplace_back();
       for (auto [id, length] : fields_) {
-        if (length == 65535) length = static_cast<unsigned char>(body.at(at++));
-        record[id] = body.substr(at, length);
-        at += length;
+        if (length == 65535) length = static_cast<unsigned char>(body.at(position++));
+        record[id] = body.substr(position, length);
+        position += length;
       }
-      REQUIRE(at <= body.size());
+      REQUIRE(position <= body.size());
     }
   }
 
--- a/tests/net/graceful_shutdown.cpp
+++ b/tests/net/graceful_shutdown.cpp
@@ -1,4 +1,4 @@
-// Graceful shutdown: requests, connections and answers that cross SIGTERM.
+// Graceful shutdown: requests, connections and answers around the time of SIGTERM.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// A request is answered, and its connection stays open.
+// A step after which a request was answered and its connection stays open.
 const std::string kIdleConnection = "client1 served r1 by attempt1\n";
 
 }  // namespace
@@ -35,7 +35,7 @@
     "a request on an idle connection, in the loop's round that would close it, is served or never read") {
   ScenarioRunner runner;
   runner.run(kIdleConnection + "router close\nstall 550\nclient1 send $ask(r2)");
-  // Which of the two depends on how long the stall really was.
+  // The actual duration of the stall decides which of the two happens.
   if (runner.wait_for_counters("attempts=2", "crowded=1")) {
     runner.run(
         "attempt2 send $stream$delta(two)$done\nclient1 expect Connection: close\\r\\n\nclient1 expect "
@@ -46,8 +46,8 @@
   runner.run("client1 expect close\nrouter expect open=0\nrouter expect clients=0");
 }
 
-// What comes later than 0.7 s after SIGTERM and is cut off by SIGKILL is lost: it was taken, by a connection
-// that had never had a request.
+// Guards against requests that are accepted 0.7 s after SIGTERM or later, on a connection without an earlier
+// request, and are then lost because SIGKILL ends the process.
 TEST_CASE("a request that comes too late after SIGTERM is rejected at once, on any connection") {
   ScenarioRunner runner;
   runner.run(kIdleConnection + R"(
@@ -86,7 +86,7 @@
     client1 expect Connection: close\r\n
     client1 expect \r\n0\r\n\r\n
     client1 expect close
-    # r4 and r5 were read for nothing, and their client sends them elsewhere.
+    # r4 and r5 were read but not processed, and their client can send them to another router.
     router expect attempts=3
     router expect served=3
   )");
--- a/tests/net/log_rate_limiter.cpp
+++ b/tests/net/log_rate_limiter.cpp
@@ -4,9 +4,9 @@
 #include "logging/rate_limiter.hpp"
 
 TEST_CASE("the rate limiter allows one log line a second for each kind of event") {
-  thornwick::logging::RateLimiter seldom;
-  CHECK(seldom.due(5'000'000, "one"));
-  CHECK_FALSE(seldom.due(5'900'000, "one"));
-  CHECK(seldom.due(5'900'000, "two"));
-  CHECK(seldom.due(6'000'000, "one"));
+  thornwick::logging::RateLimiter rate_limiter;
+  CHECK(rate_limiter.due(5'000'000, "one"));
+  CHECK_FALSE(rate_limiter.due(5'900'000, "one"));
+  CHECK(rate_limiter.due(5'900'000, "two"));
+  CHECK(rate_limiter.due(6'000'000, "one"));
 }
--- a/tests/net/loop.cpp
+++ b/tests/net/loop.cpp
@@ -1,5 +1,5 @@
-// Timers and watchers: one source each in the main loop, whatever their number, and safe to stop in a
-// callback.
+// Timers and watchers: each kind has one source in the main loop, whatever the number of objects, and an
+// object can be stopped in a callback.
 #include "net/loop.hpp"
 
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A stream with the other end of its socket in hand.
+// A watched socket and the other end of its connection.
 struct SocketPair {
   explicit SocketPair(std::function<void()> callback)
       : stream({.connected = {}, .arrived = {}, .drained = {}, .ended = {}}) {
@@ -53,14 +53,14 @@
 }  // namespace
 
 TEST_CASE("the main loop polls one descriptor, however many sockets are watched") {
-  std::vector<std::unique_ptr<SocketPair>> crowd;
-  crowd.push_back(std::make_unique<SocketPair>([] {}));
-  const int for_one = polled_descriptors();
-  while (crowd.size() < 100) crowd.push_back(std::make_unique<SocketPair>([] {}));
-  CHECK(polled_descriptors() == for_one);
+  std::vector<std::unique_ptr<SocketPair>> pairs;
+  pairs.push_back(std::make_unique<SocketPair>([] {}));
+  const int count_for_one = polled_descriptors();
+  while (pairs.size() < 100) pairs.push_back(std::make_unique<SocketPair>([] {}));
+  CHECK(polled_descriptors() == count_for_one);
 }
 
-TEST_CASE("a watcher that another one's callback has stopped is not called any more") {
+TEST_CASE("a watcher that another watcher's callback has stopped is not called any more") {
   int calls = 0;
   std::unique_ptr<SocketPair> first;
   std::unique_ptr<SocketPair> second;
@@ -78,45 +78,45 @@
 }
 
 TEST_CASE("an event of a closed socket does not reach the socket that got its descriptor") {
-  int wrong = 0;
-  int right = 0;
+  int wrong_calls = 0;
+  int right_calls = 0;
   std::unique_ptr<SocketPair> first;
   std::unique_ptr<SocketPair> second;
   std::unique_ptr<SocketPair> third;
   const auto replace = [&](std::unique_ptr<SocketPair>& other) {
-    ++right;
+    ++right_calls;
     first->watcher.stop();
     second->watcher.stop();
     other.reset();
-    third = std::make_unique<SocketPair>([&] { ++wrong; });
+    third = std::make_unique<SocketPair>([&] { ++wrong_calls; });
   };
   first = std::make_unique<SocketPair>([&] { replace(second); });
   second = std::make_unique<SocketPair>([&] { replace(first); });
   first->send_byte();
   second->send_byte();
   run_ready_callbacks();
-  CHECK(right == 1);
-  CHECK(wrong == 0);
+  CHECK(right_calls == 1);
+  CHECK(wrong_calls == 0);
 }
 
 TEST_CASE("timers fire in order, and their callbacks may stop, start and destroy other timers") {
   std::string order;
   Timer first;
-  Timer again;
-  auto doomed = std::make_unique<Timer>();
+  Timer repeating;
+  auto destroyed = std::make_unique<Timer>();
   int rounds = 0;
   std::function<void()> repeat = [&] {
     order += 'r';
-    if (++rounds < 3) again.start(0, repeat);
+    if (++rounds < 3) repeating.start(0, repeat);
   };
-  doomed->start(2'000, [&] { order += 'x'; });
+  destroyed->start(2'000, [&] { order += 'x'; });
   first.start(1'000, [&] {
     order += 'a';
-    doomed.reset();
+    destroyed.reset();
     first.start(5'000, [&] { order += 'b'; });
   });
-  again.start(0, repeat);
-  while (first.running() || again.running()) g_main_context_iteration(nullptr, TRUE);
+  repeating.start(0, repeat);
+  while (first.running() || repeating.running()) g_main_context_iteration(nullptr, TRUE);
   run_ready_callbacks();
   CHECK(order == "rrrab");
 }
--- a/tests/net/models.cpp
+++ b/tests/net/models.cpp
@@ -1,4 +1,4 @@
-// Models and budgets on sockets: the choice of a replica by its model, the answers about limits, and a
+// Models and budgets on sockets: the choice of a replica by its model, answers about limits, and a
 // configuration that is reloaded in mid-stream.
 #include <sys/wait.h>
 
@@ -18,13 +18,13 @@
 
 namespace {
 
-const std::string kTwo =
+const std::string kTwoModels =
     "[[model]]\nname = 'large-2'\nboxes = { models = ['L'] }\ncontext = 1000\n"
     "fallback = [{ to = 'small-2', when = ['missing', 'overloaded', 'over-budget'] }]\n"
     "[[model]]\nname = 'small-2'\nboxes = { models = ['S'] }\ncontext = 1000\n"
     "[[alias]]\nname = 'latest'\nto = 'large-2'\n";
 
-std::string ask(const std::string& id, const std::string& model, const std::string& more = "") {
+std::string request_text(const std::string& id, const std::string& model, const std::string& more = "") {
   const std::string body = R"({"metadata":{"model":"no"},"model":")" + model +
                            R"(" ,"stream":true,"max_tokens":50,"messages":[{"role":"user","content":"hi"}]})";
   return "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nX-Request-ID: " + id +
@@ -38,10 +38,10 @@
 }
 
 Setup two_models(const std::string& more = "") {
-  return {.replicas = 2, .replica_models = {"L", "S"}, .operator_text = kTwo + more};
+  return {.replicas = 2, .replica_models = {"L", "S"}, .operator_text = kTwoModels + more};
 }
 
-std::string rejected(const std::string& text) {
+std::string config_errors(const std::string& text) {
   const Scratch scratch;
   const std::string path = scratch.path("o.toml");
   write_bytes(path, text);
@@ -62,21 +62,21 @@
     "a request is forwarded to a replica of its model under the model's own name, and the answer names the "
     "model") {
   ScenarioRunner runner(two_models());
-  runner.send("client1", ask("r1", "latest"));
+  runner.send("client1", request_text("r1", "latest"));
   runner.run(R"(
     attempt1 expect {"metadata":{"model":"no"},"model":"large-2" ,"stream":true
     attempt1 send $stream$delta(one)$done
     client1 expect X-Served-Model: large-2\r\n
     client1 expect \r\n0\r\n\r\n
   )");
-  runner.send("client1", ask("r2", "small-2"));
+  runner.send("client1", request_text("r2", "small-2"));
   runner.run(R"(
     attempt2 expect "model":"small-2" ,
     attempt2 send $stream$delta(two)$done
     client1 expect X-Served-Model: small-2\r\n
     client1 expect \r\n0\r\n\r\n
   )");
-  runner.send("client2", ask("r3", "huge"));
+  runner.send("client2", request_text("r3", "huge"));
   runner.run(R"(
     client2 expect HTTP/1.1 404
     client2 expect "not_found_error"
@@ -85,13 +85,13 @@
   )");
 }
 
-TEST_CASE("a model of any name serves unknown names, and the client's name is forwarded") {
+TEST_CASE("a model with any_name serves unknown names, and the client's name is forwarded") {
   ScenarioRunner runner({.replicas = 2,
                          .replica_models = {"L", "S"},
                          .operator_text =
                              "[[model]]\nname = 'small-2'\nboxes = { models = ['S'] }\n"
                              "[[model]]\nname = 'rest'\nany_name = true\nboxes = { models = ['*'] }\n"});
-  runner.send("client1", ask("r1", "what-ever"));
+  runner.send("client1", request_text("r1", "what-ever"));
   runner.run(R"(
     attempt1 expect "model":"what-ever" ,
     attempt1 send $stream$delta(one)$done
@@ -102,7 +102,7 @@
 
 TEST_CASE("a full model is replaced by its fallback, in the client's dialect, unless the client forbids it") {
   ScenarioRunner runner(two_models());
-  runner.send("client1", ask("r1", "large-2"));
+  runner.send("client1", request_text("r1", "large-2"));
   runner.run(R"(
     attempt1 expect "model":"large-2"
     attempt1 send $full
@@ -113,7 +113,7 @@
     client1 expect \r\n0\r\n\r\n
     router expect fallback_overloaded=1
   )");
-  runner.send("client2", ask("r2", "large-2", "X-Model-Fallback: none\r\n"));
+  runner.send("client2", request_text("r2", "large-2", "X-Model-Fallback: none\r\n"));
   runner.run(R"(
     attempt3 send $full
     client2 expect HTTP/1.1 503
@@ -121,7 +121,7 @@
     router expect fallback_forbidden=1
     router expect attempts=3
   )");
-  runner.send("client3", ask("r3", "large-2", "X-Model-Fallback: maybe\r\n"));
+  runner.send("client3", request_text("r3", "large-2", "X-Model-Fallback: maybe\r\n"));
   runner.run("client3 expect HTTP/1.1 400");
 }
 
@@ -140,7 +140,7 @@
 
 TEST_CASE("a member over budget gets a 429 at once, with Retry-After and the limit headers of its API") {
   ScenarioRunner runner(two_models(budget(135) + "[budgets]\ncharges = true\n"));
-  runner.send("client1", ask("r1", "small-2"));
+  runner.send("client1", request_text("r1", "small-2"));
   runner.run(R"(
     attempt1 send $stream$delta(one)$done
     client1 expect x-ratelimit-limit-tokens: 135\r\n
@@ -150,10 +150,10 @@
     router expect budget_charged=42
     router expect budget_reserved=0
   )");
-  // 93 are left: enough for one more of 90, not for two at once.
-  runner.send("client1", ask("r2", "small-2"));
+  // 93 tokens remain: enough for one more request of 90 tokens, but not for two at once.
+  runner.send("client1", request_text("r2", "small-2"));
   runner.run("attempt2 expect small-2");
-  runner.send("client2", ask("r3", "small-2"));
+  runner.send("client2", request_text("r3", "small-2"));
   runner.run(R"(
     client2 expect HTTP/1.1 429
     client2 expect Retry-After:
@@ -170,7 +170,7 @@
   )");
 }
 
-TEST_CASE("the messages front has limit headers of its own") {
+TEST_CASE("the messages front sends the limit headers of its own API") {
   ScenarioRunner runner(
       {.replicas = 1,
        .replica_models = {"L"},
@@ -199,14 +199,14 @@
 
 TEST_CASE("a configuration that is reloaded in mid-stream loses no event, no budget and no model number") {
   ScenarioRunner runner(two_models(budget(1000)));
-  runner.send("client1", ask("r1", "large-2"));
+  runner.send("client1", request_text("r1", "large-2"));
   runner.run("attempt1 send $stream$delta(one)\nclient1 expect one");
-  // The model of the open stream is gone, another one has come, and the budget is smaller.
+  // The model of the open stream is removed, another model is added, and the budget is reduced.
   runner.reload(
       "[[model]]\nname = 'next'\nboxes = { models = ['L'] }\n"
       "[[model]]\nname = 'small-2'\nboxes = { models = ['S'] }\n" +
       budget(150));
-  runner.send("client2", ask("r2", "large-2"));
+  runner.send("client2", request_text("r2", "large-2"));
   runner.run(R"(
     client2 expect HTTP/1.1 404
     attempt1 send $delta(two)$done
@@ -214,7 +214,7 @@
     client1 expect \r\n0\r\n\r\n
     router expect budget_charged=42
   )");
-  runner.send("client1", ask("r3", "next"));
+  runner.send("client1", request_text("r3", "next"));
   runner.run(R"(
     attempt2 expect "model":"next"
     attempt2 send $stream$delta(three)$done
@@ -225,29 +225,31 @@
 }
 
 TEST_CASE("only one model can have any name, and it cannot be a fallback") {
-  CHECK(rejected("[[model]]\nname = 'a'\nany_name = true\nboxes = { models = ['*'] }\n"
-                 "[[model]]\nname = 'b'\nany_name = true\nboxes = { models = ['*'] }\nfallback = [{ to = 'a' "
-                 "}]\n") ==
+  CHECK(config_errors(
+            "[[model]]\nname = 'a'\nany_name = true\nboxes = { models = ['*'] }\n"
+            "[[model]]\nname = 'b'\nany_name = true\nboxes = { models = ['*'] }\nfallback = [{ to = 'a' "
+            "}]\n") ==
         "o:5: model.any_name: only one can take what no other is called\n"
         "o:9: model.b.fallback.a: its boxes would hear the name of 'b'");
 }
 
-TEST_CASE("all errors of catalogue and budgets are reported, one line each with file, line and key") {
-  CHECK(rejected("[[model]]\n"
-                 "name = 'a'\n"
-                 "boxes = { models = ['A'], colour = 'red' }\n"
-                 "price = { prompt = 'dear', made = -1 }\n"
-                 "fallback = [{ to = 'b', when = ['rain'] }]\n"
-                 "[[model]]\n"
-                 "name = 'c'\n"
-                 "base = 'x'\n"
-                 "[[alias]]\n"
-                 "name = 'latest'\n"
-                 "to = 'z'\n"
-                 "[[budget]]\n"
-                 "name = 'x'\n"
-                 "per = 'week'\n"
-                 "model = 'huge'\n") ==
+TEST_CASE(
+    "all errors of the catalogue and the budgets are reported, each in one line with file, line and key") {
+  CHECK(config_errors("[[model]]\n"
+                      "name = 'a'\n"
+                      "boxes = { models = ['A'], colour = 'red' }\n"
+                      "price = { prompt = 'dear', made = -1 }\n"
+                      "fallback = [{ to = 'b', when = ['rain'] }]\n"
+                      "[[model]]\n"
+                      "name = 'c'\n"
+                      "base = 'x'\n"
+                      "[[alias]]\n"
+                      "name = 'latest'\n"
+                      "to = 'z'\n"
+                      "[[budget]]\n"
+                      "name = 'x'\n"
+                      "per = 'week'\n"
+                      "model = 'huge'\n") ==
         "o:3: model.boxes.colour: no such key\n"
         "o:4: model.price.prompt: not a number\n"
         "o:4: model.price.made: outside 0..1000000\n"
@@ -266,15 +268,15 @@
   const auto run = [](const std::string& arguments) {
     std::string text;
     FILE* pipe = popen((std::string(THORNWICK) + " " + arguments + " 2>&1").c_str(), "r");
-    std::array<char, 4096> part;
-    while (const auto got = fread(part.data(), 1, part.size(), pipe)) text.append(part.data(), got);
+    std::array<char, 4096> buffer;
+    while (const auto size = fread(buffer.data(), 1, buffer.size(), pipe)) text.append(buffer.data(), size);
     return std::pair{pclose(pipe), text};
   };
   budgets::Options options;
   options.members = {"acme"};
   options.budgets = {{.name = "day", .rule = {budgets::Span::day, 100'000, 0}}};
   const Time now = net::now_us();
-  const auto left = [&] {
+  const auto charge_and_get_remaining = [&] {
     persistence::StateStore state_store({.path = store, .holder = "n1"}, {},
                                         [](ReplicaId) { return std::string(); });
     persistence::QuotaStateStore journal(state_store.file(), state_store.writer());
@@ -286,12 +288,12 @@
     REQUIRE(state_store.writer().drain(std::chrono::seconds(20)));
     return quota_status;
   };
-  CHECK(left() == 100'000);
+  CHECK(charge_and_get_remaining() == 100'000);
   CHECK(run("budgets show " + store).second.find(R"({"account":"day|acme|*|*","limit":100.0,"left":70.0)") ==
         0);
   CHECK(run("budgets grant " + store + " 'day|acme|*|*' 10").second.find(R"("left":80.0)") !=
         std::string::npos);
-  CHECK(left() == 80'000);
+  CHECK(charge_and_get_remaining() == 80'000);
   CHECK(run("budgets set " + store + " 'day|acme|*|*' 5").second.find(R"("left":5.0)") != std::string::npos);
   const auto [status, text] = run("budgets set " + store + " nobody 5");
   CHECK(WEXITSTATUS(status) == 1);
--- a/tests/net/outage.cpp
+++ b/tests/net/outage.cpp
@@ -1,4 +1,5 @@
-// The program as processes while discovery is down: idle clients that fill the descriptors, and starts.
+// Processes of the program while discovery does not answer: idle clients that use all descriptors, and
+// starts.
 #include <sys/resource.h>
 #include <sys/socket.h>
 
@@ -32,20 +33,20 @@
     "close\r\n\r\n"
     "e\r\ndata: [DONE]\n\n\r\n0\r\n\r\n";
 
-// More connections than the router may hold, all of which say nothing. They go when their client likes.
-std::vector<Socket> crowd(const std::string& address, int count) {
-  std::vector<Socket> all;
+// Opens `count` connections that send nothing. They stay open until the caller destroys them.
+std::vector<Socket> open_idle_connections(const std::string& address, int count) {
+  std::vector<Socket> connections;
   for (int i = 0; i < count; ++i) {
-    Socket one(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    REQUIRE(one.fd() >= 0);
-    one.connect_to(address);
-    all.push_back(std::move(one));
+    Socket connection(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    REQUIRE(connection.fd() >= 0);
+    connection.connect_to(address);
+    connections.push_back(std::move(connection));
   }
-  return all;
+  return connections;
 }
 
-// A request through the crowd, to the replica that listens here.
-void served(const std::string& address, Socket& replica, const std::string& id) {
+// Sends a request, and checks that `replica` gets the request and the client its answer.
+void check_served(const std::string& address, Socket& replica, const std::string& id) {
   Socket client;
   REQUIRE(client.connect_to(address));
   client.send_all(request(id));
@@ -55,7 +56,7 @@
   CHECK(client.read_until("0\r\n\r\n").find("[DONE]") != std::string::npos);
 }
 
-// Returns the file's path.
+// Writes a configuration, and returns the path of its file.
 std::string write_config(const std::string& name, const std::string& listen, const std::string& discovery,
                          const std::string& replica, int sockets, const std::string& more = {},
                          const std::string& more_settings = {}, const std::string& others = {}) {
@@ -71,13 +72,13 @@
 }
 
 std::string address_of(Program& program) {
-  std::string said = program.wait_for_line(" serves on ");
-  REQUIRE(said.find("127.0.0.1:") != std::string::npos);
-  said = said.substr(said.find("127.0.0.1:"));
-  return said.substr(0, said.find(','));
+  std::string line = program.wait_for_line(" serves on ");
+  REQUIRE(line.find("127.0.0.1:") != std::string::npos);
+  line = line.substr(line.find("127.0.0.1:"));
+  return line.substr(0, line.find(','));
 }
 
-bool ready(const std::string& address) {
+bool is_ready(const std::string& address) {
   Socket front;
   if (!front.connect_to(address)) return false;
   front.send_all("GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n");
@@ -95,28 +96,28 @@
   Socket first;
   Socket second;
   Socket discovery;
-  const std::string first_at = first.bind_any_port(), second_at = second.bind_any_port(),
-                    discovery_at = discovery.bind_any_port();
+  const std::string first_address = first.bind_any_port(), second_address = second.bind_any_port(),
+                    discovery_address = discovery.bind_any_port();
   first.start_listening();
   second.start_listening();
-  const std::string path = write_config("n1", "127.0.0.1:0", discovery_at, first_at, limit);
+  const std::string path = write_config("n1", "127.0.0.1:0", discovery_address, first_address, limit);
   {
     Program program(path);
     const std::string address = address_of(program);
-    auto idle = crowd(address, limit + 60);
-    served(address, first, "r1");
-    // Discovery is back: the router has a descriptor for it, and what it tells holds at once.
-    auto more = crowd(address, limit);
+    auto idle = open_idle_connections(address, limit + 60);
+    check_served(address, first, "r1");
+    // Discovery answers again: the router has a descriptor for the call, and applies the list at once.
+    auto more = open_idle_connections(address, limit);
     discovery.start_listening();
     Socket call = discovery.accept_one();
     CHECK(call.read_until("\r\n\r\n").find("GET /registry/instances?after=1&wait_ms=0 ") !=
           std::string::npos);
-    const std::string list = R"({"rev":2,"all":true,"targets":[)" + entry("s-01", first_at, "DRAINING") +
-                             "," + entry("s-02", second_at, "SERVING") + "]}";
+    const std::string list = R"({"rev":2,"all":true,"targets":[)" + entry("s-01", first_address, "DRAINING") +
+                             "," + entry("s-02", second_address, "SERVING") + "]}";
     call.send_all("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list);
     CHECK(call.read_until("\r\n\r\n").find("GET /registry/instances?after=2&wait_ms=2500 ") !=
           std::string::npos);
-    served(address, second, "r2");
+    check_served(address, second, "r2");
     more.clear();
     idle.clear();
     program.signal(SIGTERM);
@@ -125,59 +126,61 @@
   std::remove(path.c_str());
 }
 
-// The number is by hand (docs/standing.md): 210 of them.
+// The test runs 8 processes; 210 processes were started by hand (docs/standing.md).
 TEST_CASE("processes that start together in an outage are ready with the configuration's list, and serve") {
   constexpr int kCount = 8;
   Socket replica;
   Socket discovery;
-  const std::string replica_at = replica.bind_any_port(), discovery_at = discovery.bind_any_port();
+  const std::string replica_address = replica.bind_any_port(), discovery_address = discovery.bind_any_port();
   replica.start_listening();
   std::vector<std::string> paths, addresses(kCount, "127.0.0.1:0");
-  for (const char* life : {"first", "killed at once and started again"}) {
-    INFO(life);
-    std::vector<std::unique_ptr<Program>> all;
+  for (const char* start : {"first start", "start after all were killed"}) {
+    INFO(start);
+    std::vector<std::unique_ptr<Program>> programs;
     for (int i = 0; i < kCount; ++i) {
-      const auto at = static_cast<std::size_t>(i);
-      paths.push_back(write_config("n" + std::to_string(i), addresses[at], discovery_at, replica_at, 256));
-      all.push_back(std::make_unique<Program>(paths.back()));
+      const auto index = static_cast<std::size_t>(i);
+      paths.push_back(
+          write_config("n" + std::to_string(i), addresses[index], discovery_address, replica_address, 256));
+      programs.push_back(std::make_unique<Program>(paths.back()));
     }
     for (int i = 0; i < kCount; ++i) {
-      const auto at = static_cast<std::size_t>(i);
-      addresses[at] = address_of(*all[at]);
-      CHECK(ready(addresses[at]));
-      served(addresses[at], replica, "r" + std::to_string(i));
+      const auto index = static_cast<std::size_t>(i);
+      addresses[index] = address_of(*programs[index]);
+      CHECK(is_ready(addresses[index]));
+      check_served(addresses[index], replica, "r" + std::to_string(i));
     }
-  }  // the end of a Program is SIGKILL
+  }  // the destructor of a Program kills the process (SIGKILL)
   for (const auto& path : paths) std::remove(path.c_str());
 }
 
-// A peer's report that s-01 drains is received although no descriptor is free.
+// A peer's report that s-01 is draining is received although no descriptor is free.
 TEST_CASE("a peer's datagram is received while idle clients use all descriptors") {
   Socket first;
   Socket second;
   Socket discovery;
   Socket own(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
   Socket peer(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  const std::string first_at = first.bind_any_port();
-  const std::string second_at = second.bind_any_port();
-  const std::string discovery_at = discovery.bind_any_port();
-  const std::string own_at = own.bind_any_port();
-  const std::string peer_at = peer.bind_any_port();
+  const std::string first_address = first.bind_any_port();
+  const std::string second_address = second.bind_any_port();
+  const std::string discovery_address = discovery.bind_any_port();
+  const std::string own_address = own.bind_any_port();
+  const std::string peer_address = peer.bind_any_port();
   { const Socket closed_here = std::move(own); }
-  second.start_listening();  // nobody listens at the first: an attempt there fails, and the counters say so
+  // Nobody listens at the first address, so that the counters would show an attempt there.
+  second.start_listening();
   const std::string others =
-      "," + entry("s-02", second_at, "SERVING") + "," + entry("s-03", second_at, "SERVING");
-  const std::string path =
-      write_config("p1", "127.0.0.1:0", discovery_at, first_at, 256,
-                   R"("peer_listen":")" + own_at + R"(","peers":[")" + own_at + R"(",")" + peer_at + R"("],)",
-                   R"("groupSize":2,"rank":0,)", others);
+      "," + entry("s-02", second_address, "SERVING") + "," + entry("s-03", second_address, "SERVING");
+  const std::string path = write_config("p1", "127.0.0.1:0", discovery_address, first_address, 256,
+                                        R"("peer_listen":")" + own_address + R"(","peers":[")" + own_address +
+                                            R"(",")" + peer_address + R"("],)",
+                                        R"("groupSize":2,"rank":0,)", others);
   {
     Program program(path);
     const std::string address = address_of(program);
-    auto idle = crowd(address, 320);
-    REQUIRE(peer.connect_to(own_at));
+    auto idle = open_idle_connections(address, 320);
+    REQUIRE(peer.connect_to(own_address));
     peer.send_all(std::string("\x44\x01\x01\0\0\0\0\0\0\0", 10));
-    for (int i = 0; i < 12; ++i) served(address, second, "r" + std::to_string(i));
+    for (int i = 0; i < 12; ++i) check_served(address, second, "r" + std::to_string(i));
     program.signal(SIGUSR1);
     const std::string counters = program.wait_for_line("counters");
     INFO(counters);
--- a/tests/net/process.cpp
+++ b/tests/net/process.cpp
@@ -1,4 +1,4 @@
-// The program itself: its signals, and what it says on standard error.
+// The program as a process: its signals, and its log lines on standard error.
 #include <fstream>
 #include <nlohmann/json.hpp>
 
@@ -9,17 +9,18 @@
 namespace {
 
 void write_config(const std::string& path, const std::string& discovery) {
-  const std::string fresh = path + ".new";
-  std::ofstream(fresh)
+  const std::string new_path = path + ".new";
+  std::ofstream(new_path)
       << R"({"name":"n1","listen":"127.0.0.1:0","discovery":")" << discovery
       << R"(","seed":"ff","settings":{"grades":[{"name":"chat","objective":1,"deadline":2}]}})";
-  REQUIRE(std::rename(fresh.c_str(), path.c_str()) == 0);
+  REQUIRE(std::rename(new_path.c_str(), path.c_str()) == 0);
 }
 
 }  // namespace
 
 TEST_CASE(
-    "SIGHUP reloads the configuration, one with errors changes nothing, and SIGTERM ends the program with "
+    "SIGHUP reloads the configuration, a configuration with errors changes nothing, and SIGTERM ends the "
+    "program with "
     "status 0") {
   const std::string path = "thornwick-process-" + std::to_string(getpid()) + ".json";
   write_config(path, "127.0.0.1:1");
@@ -43,7 +44,8 @@
 }
 
 TEST_CASE(
-    "with --log-format json each line is one object with named fields, whatever bytes the fields have") {
+    "with --log-format json each line is one JSON object with named fields, whatever bytes the fields "
+    "contain") {
   const std::string path = "thornwick-json-" + std::to_string(getpid()) + ".json";
   write_config(path, "127.0.0.1:1");
   {
--- a/tests/net/program.hpp
+++ b/tests/net/program.hpp
@@ -1,4 +1,4 @@
-// The program itself, as a child process.
+// Runs the program under test as a child process.
 #pragma once
 
 #include <fcntl.h>
@@ -15,10 +15,11 @@
 
 namespace thornwick::testing {
 
-// The program under test, with its standard error read line by line. Every wait is for something it says.
+// The program under test. Its standard error is read line by line, and every wait is for a line or for its
+// end.
 class Program {
  public:
-  // Variables of its environment, beside those of this process.
+  // Environment variables of the program in addition to those of this process.
   using Environment = std::vector<std::pair<std::string, std::string>>;
 
   explicit Program(const std::string& config, const char* format = "text", const std::string& folder = {},
@@ -31,7 +32,7 @@
       dup2(ends[1], STDERR_FILENO);
       if (!folder.empty()) setenv("TMPDIR", folder.c_str(), 1);
       for (const auto& [name, value] : environment) setenv(name.c_str(), value.c_str(), 1);
-      alarm(60);  // stays across exec: guards the test against a line that never comes
+      alarm(60);  // stays set across exec, and ends the program if an awaited line never comes
       std::vector<const char*> arguments = {THORNWICK, "--config", config.c_str(), "--log-format", format};
       if (!operator_file.empty()) arguments.insert(arguments.end(), {"--operator", operator_file.c_str()});
       arguments.push_back(nullptr);
@@ -39,22 +40,22 @@
       _exit(127);
     }
     close(ends[1]);
-    said_ = fdopen(ends[0], "r");
+    standard_error_ = fdopen(ends[0], "r");
   }
   ~Program() {
     if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
-    fclose(said_);
+    fclose(standard_error_);
   }
 
-  // The first line from here on with this text in it; empty if the program ends without it.
+  // Returns the next line that contains this text; empty if the program ends without such a line.
   std::string wait_for_line(const std::string& text) {
     std::array<char, 4096> line;
-    while (fgets(line.data(), line.size(), said_) != nullptr) {
+    while (fgets(line.data(), line.size(), standard_error_) != nullptr) {
       if (std::string(line.data()).find(text) != std::string::npos) return line.data();
     }
     return {};
   }
-  // The address at which it serves clients, once it says so.
+  // Waits until the program logs the address at which it serves clients, and returns the address.
   std::string serving_address() {
     const std::string line = wait_for_line(" serves on ");
     const auto begin = line.find("127.0.0.1:");
@@ -63,6 +64,7 @@
   }
   void signal(int number) { kill(pid_, number); }
   pid_t pid() const { return pid_; }
+  // Returns the status as waitpid() gives it.
   int wait_for_exit() {
     int status = -1;
     waitpid(std::exchange(pid_, 0), &status, 0);
@@ -71,7 +73,7 @@
 
  private:
   pid_t pid_ = 0;
-  FILE* said_ = nullptr;
+  FILE* standard_error_ = nullptr;
 };
 
 }  // namespace thornwick::testing
--- a/tests/net/reader.cpp
+++ b/tests/net/reader.cpp
@@ -1,4 +1,4 @@
-// The HTTP reader alone: what sockets cannot show byte by byte.
+// The HTTP reader without sockets, so that the tests determine how the bytes are split.
 #include <catch2/catch.hpp>
 
 #include "http/http.hpp"
@@ -10,12 +10,12 @@
 using Kind = MessageReader::Kind;
 using Piece = MessageReader::Piece;
 
-// Feeds `text` in steps of `step` bytes; the bodies of all whole messages, each followed by a bar.
+// Feeds `text` in steps of `step` bytes. Returns the bodies of all complete messages, each followed by a bar.
 std::string read_all(Kind kind, const std::string& text, std::size_t step) {
   MessageReader reader(kind);
   std::string bodies;
-  for (std::size_t at = 0; at < text.size(); at += step) {
-    reader.feed(std::string_view(text).substr(at, step));
+  for (std::size_t position = 0; position < text.size(); position += step) {
+    reader.feed(std::string_view(text).substr(position, step));
     for (auto piece = reader.next(); piece != Piece::none; piece = reader.next()) {
       if (piece == Piece::body) bodies += reader.take_body();
       if (piece == Piece::end) bodies += '|';
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("messages are read alike however they are split") {
+TEST_CASE("messages are read in the same way however their bytes are split") {
   const std::string text = "\r\nPOST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello" +
                            std::string("POST / HTTP/1.1\r\n") + kChunked +
                            "3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: v\r\n\r\nGET / HTTP/1.1\r\n\r\n";
@@ -37,7 +37,7 @@
     CHECK(read_all(Kind::request, text, step) == "hello|abc0123456789||");
 }
 
-TEST_CASE("a few interim answers are skipped") {
+TEST_CASE("interim answers are skipped up to a limit") {
   const std::string interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
   const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   CHECK(read_all(Kind::answer, interim + interim + answer, 10) == "ok|");
@@ -47,7 +47,7 @@
   CHECK_THROWS_AS(read_all(Kind::answer, "HTTP/1.1 101 Switching\r\n\r\n" + answer, 1000), BadMessage);
 }
 
-TEST_CASE("a chunk that is longer than an answer may be is rejected at its size line") {
+TEST_CASE("a chunk that exceeds the limit of an answer is rejected at its size line") {
   const std::string head = "HTTP/1.1 200 OK\r\n" + kChunked;
   CHECK_THROWS_AS(read_all(Kind::answer, head + "b2d05e00\r\n\n\n\n", 1000), BadMessage);
   CHECK_THROWS_AS(read_all(Kind::answer, head + "3\r\nabcdef\r\n", 1000), BadMessage);
--- a/tests/net/replica_connections.cpp
+++ b/tests/net/replica_connections.cpp
@@ -1,4 +1,4 @@
-// Pooled connections to replicas: reuse, idle timeout, and connections that close or break under a request.
+// Pooled connections to replicas: reuse, idle timeout, and connections that close or break during a request.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -9,12 +9,12 @@
 
 const std::string kUnsafe = "grades.0.effect=unsafe\n";
 
-// A request is answered, and its connection stays open.
+// A step after which a request was answered and its connection stays open.
 const std::string kIdleConnection = "client1 served r1 by attempt1\n";
 
 }  // namespace
 
-// The idle timer of a pooled connection once ran on under the next attempt and closed it.
+// Guards against an idle timer that keeps running during the next attempt and closes its connection.
 TEST_CASE("the idle timeout of a pooled connection does not end the attempt that reuses it") {
   ScenarioRunner runner({.keepalive = 300'000});
   runner.run(R"(
@@ -40,7 +40,7 @@
   )");
 }
 
-TEST_CASE("a pooled connection that breaks under a request counts as a reset, not as a silent retry") {
+TEST_CASE("a pooled connection that breaks during a request counts as a reset, not as a silent retry") {
   ScenarioRunner runner({.replicas = 2});
   runner.run(R"(
     client1 served r1 by attempt1
@@ -76,14 +76,14 @@
   )");
 }
 
-TEST_CASE("a reset after the request was sent may have run it: its class decides about a retry") {
-  const bool safe = GENERATE(true, false);
-  ScenarioRunner runner({.replicas = 2, .settings = safe ? "" : kUnsafe});
+TEST_CASE("after a reset, a request that was sent completely is retried only if its class permits that") {
+  const bool is_safe = GENERATE(true, false);
+  ScenarioRunner runner({.replicas = 2, .settings = is_safe ? "" : kUnsafe});
   runner.run(R"(
     client1 send $ask(r1)
     attempt1 expect "content":"hi"}]}
     attempt1 reset
   )");
-  if (safe) return runner.run("attempt2 expect X-Request-ID: r1\\r\\n\nrouter expect attempts=2");
+  if (is_safe) return runner.run("attempt2 expect X-Request-ID: r1\\r\\n\nrouter expect attempts=2");
   runner.run("client1 expect HTTP/1.1 502 \nrouter expect attempts=1\nrouter expect failed=1");
 }
--- a/tests/net/replication_commands.cpp
+++ b/tests/net/replication_commands.cpp
@@ -1,5 +1,5 @@
-// The commands about replicated budgets at a router's local socket: what is read from a line, and how long
-// outcomes are kept.
+// The commands about replicated budgets at a router's Unix socket: parsing of a line, and the time for which
+// outcomes are stored.
 #include "node/replication_commands.hpp"
 
 #include <catch2/catch.hpp>
@@ -51,7 +51,7 @@
   CHECK(parse_as<node::BudgetCorrection>("SET 1 1e15 day").tokens == node::kMaxCorrectionTokens);
 }
 
-TEST_CASE("the latest 256 outcomes are kept, and a command that is sent again is pending again") {
+TEST_CASE("the latest 256 outcomes are stored, and a command that is sent again is pending again") {
   node::CommandOutcomes outcomes;
   CHECK(outcomes.find(1) == nullptr);
   outcomes.begin(1);
--- a/tests/net/request_forwarding.cpp
+++ b/tests/net/request_forwarding.cpp
@@ -1,4 +1,4 @@
-// Requests that are forwarded to replicas: attempts, retries, deadlines, and clients that leave.
+// Requests that are forwarded to replicas: attempts, retries, deadlines, and clients that disconnect.
 #include <catch2/catch.hpp>
 
 #include "scenario_runner.hpp"
@@ -21,7 +21,7 @@
     client1 expect data: [DONE]\n\n
     client1 expect \r\n0\r\n\r\n
     router expect served=1
-    # The connections stay, on both sides.
+    # The connections to the client and to the replica stay open.
     client1 send $ask(r2)
     attempt2 expect X-Request-ID: r2\r\n
     attempt2 send $stream$delta(three)$done
@@ -31,7 +31,8 @@
   )");
 }
 
-TEST_CASE("a full replica leads to an attempt at another one, and its connection is kept") {
+TEST_CASE(
+    "a full replica leads to an attempt at another replica, and the connection to the full replica is kept") {
   ScenarioRunner runner({.replicas = 2});
   runner.run(R"(
     client1 send $ask(r1)
@@ -91,7 +92,7 @@
   )");
 }
 
-TEST_CASE("a request for the rest of a broken stream is served like any other") {
+TEST_CASE("a request for the remaining events of a broken stream is served like any other request") {
   ScenarioRunner runner;
   runner.run(R"(
     client1 send POST /v1/chat/completions?rest=1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Retried: again\r\nX-Priority-Class: chat\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 4000\r\nX-Attrs: prompt_len=4,max_out=4\r\nContent-Length: 2\r\n\r\n{}
--- a/tests/net/request_manager.cpp
+++ b/tests/net/request_manager.cpp
@@ -1,4 +1,4 @@
-// The core without sockets: the clock is set by the tests, and the transport only counts its calls.
+// The core without sockets: the tests set the clock, and the transport records its calls.
 #include "core/request_manager.hpp"
 
 #include <catch2/catch.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// All interfaces of the core at once, with one client and a clock that advance_to() sets.
+// Implements all interfaces of the core, with one client and a clock that advance_to() sets.
 struct CoreEnvironment : Clock, UpstreamTransport, Discovery, PeerTransport, Reply {
   CoreEnvironment() {
     settings.classes.push_back({.latency_objective = seconds(2), .deadline = seconds(8)});
@@ -21,7 +21,7 @@
   }
 
   Time now() const override { return time; }
-  void wake_at(Time when) override { alarm = when; }
+  void wake_at(Time when) override { wake_up_at = when; }
   void launch(AttemptId attempt, ReplicaId, std::shared_ptr<const Payload>, Time, std::uint16_t) override {
     CHECK(attempts.empty());  // at most one attempt is in flight
     attempts.push_back(attempt);
@@ -34,16 +34,16 @@
   void watch() override {}
   void fetch() override {}
   void send(std::uint32_t, const std::string&) override {}
-  void event(const StreamEvent& passed_on) override { events += passed_on.text; }
+  void event(const StreamEvent& forwarded) override { events += forwarded.text; }
   void finish() override { ++finished; }
   void break_off() override { ++broken; }
-  void reject(Time advised_wait) override {
+  void reject(Time advised_retry_after) override {
     ++rejected;
-    retry_after = advised_wait;
+    retry_after = advised_retry_after;
   }
-  void fail(Failure, Time advised_wait) override {
+  void fail(Failure, Time advised_retry_after) override {
     ++failed;
-    retry_after = advised_wait;
+    retry_after = advised_retry_after;
   }
   bool client_connected() override { return connected; }
   int answers() const { return finished + broken + rejected + failed; }
@@ -54,8 +54,8 @@
     core.on_endpoints(EndpointUpdate::full, entries);
   }
   void advance_to(RequestManager& core, Time when) {
-    while (alarm <= when) {
-      time = std::max(time, std::exchange(alarm, kNever));
+    while (wake_up_at <= when) {
+      time = std::max(time, std::exchange(wake_up_at, kNever));
       core.wake();
     }
     time = when;
@@ -69,7 +69,7 @@
   bool connected = true;
   bool request_written = true;
   Time time = seconds(1'000);
-  Time alarm = kNever;
+  Time wake_up_at = kNever;
   Time retry_after = 0;
   std::vector<AttemptId> attempts;
   int launched = 0;
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-TEST_CASE("a request without any endpoint list gets its one final answer within the deadline slack") {
+TEST_CASE("without any endpoint list, a request gets exactly one final answer within the deadline slack") {
   CoreEnvironment environment;
   RequestManager core(environment.settings, {environment, environment, environment, environment});
   const Time start = environment.time;
@@ -156,10 +156,11 @@
   CHECK(core.counters().client_gone == 1);
 }
 
-// The only ready replica has just started. It gets what it can process, and the other requests are answered
-// at once.
+// The only ready replica has just started. It gets the requests that it can process, and the other requests
+// are answered at once.
 TEST_CASE(
-    "a burst of requests for a cold replica is answered, and no more of it is sent than the budget allows") {
+    "a burst of requests for a cold replica is answered, and no more requests are sent than the budget "
+    "allows") {
   CoreEnvironment environment;
   environment.settings.tenants.push_back({.share = 1, .quota_per_s = 5});
   environment.settings.warm_up = milliseconds(8700);
@@ -170,15 +171,15 @@
                                                   environment.settings, environment.time - seconds(10));
   RequestManager core(environment.settings, {environment, environment, environment, environment},
                       std::move(budget));
-  const Endpoint warm_up[] = {{.id = 1, .started = environment.time - seconds(4)}};
-  core.on_endpoints(EndpointUpdate::full, warm_up);
+  const Endpoint warming_up[] = {{.id = 1, .started = environment.time - seconds(4)}};
+  core.on_endpoints(EndpointUpdate::full, warming_up);
   for (int i = 0; i < 200; ++i) {
     const auto id = environment.admit(core);
     if (environment.attempts.empty()) continue;
     core.attempt_event(environment.attempts.back(), delta("one"));
     core.client_gone(id);
   }
-  // 3 x 0.46 x 5 x 2 requests, with the capacity at the beginning of the window; there is only one router.
+  // The limit is 3 x 0.46 x 5 x 2 requests, for the capacity at the start of the window and a single router.
   CHECK(environment.launched >= 13);
   CHECK(environment.launched <= 14);
   CHECK(core.open() == 0);
@@ -219,7 +220,8 @@
   CHECK(core.timers() == 0);
 }
 
-// Requests of an unsafe class must not run twice. A rejection tells the client that its request did not run.
+// Requests of an unsafe class must not run twice. A rejection states to the client that its request did not
+// run.
 TEST_CASE("a request that was never written completely is rejected rather than failed") {
   CoreEnvironment environment;
   environment.settings.classes[0].effect = Effect::unsafe;
@@ -249,7 +251,7 @@
   CHECK(environment.launched <= 1);
 }
 
-// In an earlier version the timers of a request with a deadline in an hour remained for that hour.
+// Guards against timers that remain until the deadline, possibly for an hour, of a request that has ended.
 TEST_CASE("no timer outlives its request") {
   CoreEnvironment environment;
   RequestManager core(environment.settings, {environment, environment, environment, environment});
@@ -265,7 +267,6 @@
       core.attempt_ended(environment.attempts.back(), Outcome::reset);
     }
   }
-  environment.advance_to(
-      core, environment.time + seconds(10));  // later than the timers of the routing policy itself
+  environment.advance_to(core, environment.time + seconds(10));  // later than the routing policy's own timers
   CHECK(core.timers() == 0);
 }
--- a/tests/net/scenario_runner.cpp
+++ b/tests/net/scenario_runner.cpp
@@ -13,7 +13,8 @@
 namespace thornwick::testing {
 namespace {
 
-constexpr Time kTimeout = seconds(20);  // far above any wait in a scenario: only a hang reaches it
+constexpr Time kTimeout =
+    seconds(20);  // far longer than any wait in a scenario, so that only a hang reaches it
 
 const std::string kSettings =
     "grades.count=2\ngrades.0.name=chat\ngrades.0.credit=5\ngrades.0.objective=4000000\n"
@@ -30,9 +31,9 @@
   std::unique_ptr<net::Stream> stream;
   GSocket* socket = nullptr;  // of the stream
   std::string received;
-  std::size_t expected_bytes = 0;  // of `received`, up to the end of the last expected text
+  std::size_t expected_bytes = 0;  // bytes of `received` up to the end of the last expected text
   bool ended = false;
-  http::MessageReader reader{http::MessageReader::Kind::request};  // of a replica: its requests
+  http::MessageReader reader{http::MessageReader::Kind::request};  // reads the requests at a replica
 
   net::Stream::Callbacks callbacks(std::function<void()> on_bytes = {}) {
     return {.connected = [] {},
@@ -121,7 +122,8 @@
   }
 }
 
-// Replicas listen without the name of an actor: their connections become actors with each request.
+// Replicas listen without the name of an actor, because each request at a replica becomes an actor of its
+// own.
 void ScenarioRunner::listen(std::unique_ptr<net::Listener>& listener, const std::string& actor) {
   listener = std::make_unique<net::Listener>(
       "127.0.0.1:0", [] { return true; },
@@ -137,7 +139,7 @@
       if (const auto accepted = weak.lock()) on_replica_bytes(accepted);
     };
   } else {
-    const int count = ++connections_[actor];
+    const int count = ++connection_counts_[actor];
     actors_[count == 1 ? actor : actor + std::to_string(count)] = connection;
   }
   connection->stream = std::make_unique<net::Stream>(connection->callbacks(std::move(on_bytes)));
@@ -145,7 +147,8 @@
   connection->stream->adopt(std::move(socket));
 }
 
-// Each whole request at a replica is the next attempt. A reused connection carries several in turn.
+// Each complete request at a replica becomes the next attempt. A reused connection carries several attempts
+// in turn.
 void ScenarioRunner::on_replica_bytes(const std::shared_ptr<Connection>& connection) {
   for (;;) {
     const auto piece = connection->reader.next();
@@ -171,7 +174,7 @@
   wait_for([&] { return over; });
 }
 
-// The address that a client connects to; empty if the actor is no client.
+// Returns the address to which a client connects; empty if the actor is not a client.
 std::string ScenarioRunner::address_for(const std::string& actor) const {
   if (actor.starts_with("client")) return node_->front(0).address();
   if (actor.starts_with("writer")) return node_->front(1).address();
@@ -192,7 +195,8 @@
   return connection;
 }
 
-// Connects a client at its first step; waits until any other actor exists.
+// Returns the actor's connection. A client connects at its first step; for any other actor, waits until it
+// exists.
 ScenarioRunner::Connection& ScenarioRunner::connection(const std::string& actor) {
   if (!actors_.contains(actor) && !address_for(actor).empty()) actors_[actor] = connect_client(actor);
   INFO("waiting for " << actor);
@@ -218,7 +222,8 @@
 
 std::string ScenarioRunner::received(const std::string& actor) { return connection(actor).received; }
 
-// The router reads each fragment before the next one is sent.
+// Sends the bytes, in fragments if `fragment_bytes_` is set. The router reads each fragment before the next
+// is sent.
 void ScenarioRunner::send(const std::string& actor, const std::string& bytes) {
   connection(actor);  // a client connects even if there is nothing to send
   const std::size_t size = fragment_bytes_ == 0 ? std::max<std::size_t>(1, bytes.size()) : fragment_bytes_;
@@ -256,7 +261,7 @@
   REQUIRE(connection.expected_bytes == connection.received.size());
 }
 
-// `arguments`: "ID by ATTEMPT".
+// Runs a step `served`. `arguments`: "ID by ATTEMPT".
 void ScenarioRunner::serve(const std::string& client, const std::string& arguments) {
   std::istringstream words(arguments);
   std::string id;
@@ -270,7 +275,7 @@
   expect(client, "\r\n0\r\n\r\n");
 }
 
-// Closes so that the other side's reading ends in an error.
+// Closes the connection with a reset, so that the other side's reading ends with an error.
 void ScenarioRunner::reset(Connection& connection) {
   const linger at_once{1, 0};
   const int descriptor = g_socket_get_fd(connection.socket);
--- a/tests/net/scenario_runner.hpp
+++ b/tests/net/scenario_runner.hpp
@@ -1,26 +1,28 @@
-// Runs scenarios against a router on sockets. A scenario is a text, one step a line:
+// Runs scenarios against a router on sockets. A scenario is a text with one step in each line:
 //
 //   ACTOR send TEXT        writes the text
-//   ACTOR expect TEXT      reads until the text has come, and continues after it with the next `expect`
-//   ACTOR expect close     the other side closes, and every byte was expected
+//   ACTOR expect TEXT      reads until the text has come; the next `expect` continues after the text
+//   ACTOR expect close     waits until the other side closes; every byte must have been expected
 //   ACTOR close            closes the connection
 //   ACTOR end              half-closes the connection
 //   ACTOR reset            closes the connection with a reset
 //   ACTOR hold             stops reading
 //   ACTOR read             reads again
-//   CLIENT served ID by ATTEMPT    the client sends the request ID, whose attempt is answered completely
+//   CLIENT served ID by ATTEMPT    the client sends the request ID, and the attempt is answered completely
 //   router expect NAME=N   waits until the counter has this value
 //   router close           begins a graceful shutdown
-//   router turn            reloads the configuration with another address of discovery
+//   router turn            reloads the configuration with discovery's other address
 //   wait MS                runs the loop for this time
-//   stall MS               the loop stands still for this time
+//   stall MS               stops the loop for this time
 //
-// What is sent is with the kernel at once, and the loop runs only in `expect`, in `wait` and while an actor
-// does not exist yet. Therefore the steps between two of these meet in one round of the loop, in their order.
+// A `send` passes its bytes to the kernel at once, and the loop runs only in `expect`, in `wait`, and while a
+// step waits for its actor to exist. Therefore all steps between two such runs take effect in one round of
+// the loop, in their order.
 //
-// Actors are clientN (a client of the platform's front), writerN (of the messages front), callN (a caller of
-// the admin endpoint), attemptN (the N-th request that has reached a replica), list (discovery) and newlist
-// (discovery at its other address). Later connections to discovery are list2, list3, newlist2 and so on.
+// Actors are clientN (a client of the platform's front), writerN (a client of the messages front), callN (a
+// caller of the admin endpoint), attemptN (the N-th request that has reached a replica), list (discovery) and
+// newlist (discovery at its other address). Later connections to discovery are list2, list3, newlist2 and so
+// on.
 //
 // Texts may contain \r, \n, \\ and the macros of scenario_text.hpp, for instance $done.
 #pragma once
@@ -35,14 +37,14 @@
 
 namespace thornwick::testing {
 
-// The router and its surroundings.
+// The settings of the router, and of the replicas and clients around it.
 struct Setup {
   int replicas = 1;
   std::string replica_dialect = "platform";
   Time keepalive = seconds(5);
   Time silence_timeout = seconds(3);
   std::string known_state = "SERVING";
-  std::string ops = {};            // address of the admin endpoint
+  std::string ops = {};            // address of the admin endpoint; empty: none
   std::string settings = {};       // further settings, as path=value lines
   std::size_t fragment_bytes = 0;  // actors send their texts in fragments of this size; 0: whole
   std::string flow_collector = {};
@@ -59,13 +61,13 @@
 
   void run(const std::string& script);
 
-  // For tests that need more than scenarios can express.
+  // The functions below are for tests that need more than a scenario can express.
   std::string received(const std::string& actor);
   void send(const std::string& actor, const std::string& bytes);
   void expect(const std::string& actor, const std::string& text);
   // Waits until one of two counters has its value (NAME=N). Returns whether it is the first.
   bool wait_for_counters(const std::string& first, const std::string& second);
-  std::size_t unsent(const std::string& actor);  // bytes that the router does not read
+  std::size_t unsent(const std::string& actor);  // bytes of the actor that the router has not read
   // Reloads the configuration with a new operator's file.
   void reload(const std::string& operator_text);
   std::string replica(int index) const { return replicas_.at(static_cast<std::size_t>(index))->address(); }
@@ -99,7 +101,7 @@
   config::Config config_;
   std::vector<std::shared_ptr<Connection>> accepted_;
   std::map<std::string, std::shared_ptr<Connection>> actors_;
-  std::map<std::string, int> connections_;  // the number of connections to discovery, by actor
+  std::map<std::string, int> connection_counts_;  // connections to discovery, by actor
   int attempts_ = 0;
   std::unique_ptr<node::Node> node_;
 };
--- a/tests/net/scenario_text.cpp
+++ b/tests/net/scenario_text.cpp
@@ -22,8 +22,8 @@
          "\r\n\r\n" + body;
 }
 
-// The text of a macro, $name or $name(argument). An argument may have escapes, and a comma between two
-// values.
+// Returns the text of a macro, $name or $name(argument). An argument may contain escapes, and a comma between
+// two values.
 std::string expand(const std::string& name, const std::string& argument) {
   const auto comma = argument.find(',');
   const std::string first = argument.substr(0, comma);
@@ -64,7 +64,7 @@
   return {};
 }
 
-// The text after a backslash.
+// Returns the character for which a backslash and `escaped` stand.
 char unescape(char escaped) {
   if (escaped == 'r') return '\r';
   if (escaped == 'n') return '\n';
--- a/tests/net/simulated_fleet.cpp
+++ b/tests/net/simulated_fleet.cpp
@@ -15,7 +15,7 @@
     "policyLimits.mayCancel=true\npolicyLimits.maxAttempts=5\npolicyLimits.retryAfter=true\n"
     "policyLimits.maxRetryAfter=2000000\nregistryMode=ask\nrules.askWithin=10000000\n";
 
-constexpr int kRequestsOfSession = 6;
+constexpr int kRequestsPerSession = 6;
 
 double number_after(const std::string& text, const std::string& name) {
   const auto at = text.find(name);
@@ -40,8 +40,8 @@
 struct HttpServer::Connection {
   std::unique_ptr<net::Stream> stream;
   http::MessageReader reader{http::MessageReader::Kind::request};
-  net::Timer answer_timer;  // of a replica that reads a prompt
-  bool watching = false;    // discovery: a watch that has not been answered
+  net::Timer answer_timer;  // a replica's time for reading a prompt
+  bool watching = false;    // at discovery: a watch is open
 };
 
 HttpServer::HttpServer(std::function<void(Connection&)> on_request) {
@@ -78,35 +78,35 @@
          R"(","az":"a","model":"m","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0})";
 }
 
-double CachingReplica::find(std::uint64_t name, double max_tokens) {
-  const auto found = prompts_.find(name);
-  if (name == 0 || found == prompts_.end()) return 0;
+double CachingReplica::find(std::uint64_t key, double max_tokens) {
+  const auto found = prompts_.find(key);
+  if (key == 0 || found == prompts_.end()) return 0;
   order_.splice(order_.end(), order_, found->second);
   return std::min(found->second->tokens, max_tokens);
 }
 
-void CachingReplica::cache(std::uint64_t name, double tokens) {
-  if (name == 0) return;
-  if (const auto found = prompts_.find(name); found != prompts_.end()) {
+void CachingReplica::cache(std::uint64_t key, double tokens) {
+  if (key == 0) return;
+  if (const auto found = prompts_.find(key); found != prompts_.end()) {
     cached_tokens_ -= found->second->tokens;
     order_.erase(found->second);
   }
-  prompts_[name] = order_.insert(order_.end(), {name, tokens});
+  prompts_[key] = order_.insert(order_.end(), {key, tokens});
   for (cached_tokens_ += tokens; cached_tokens_ > memory_tokens_; order_.pop_front()) {
     cached_tokens_ -= order_.front().tokens;
-    prompts_.erase(order_.front().name);
+    prompts_.erase(order_.front().key);
   }
 }
 
-void CachingReplica::flush(double share, boost::random::mt19937_64& random) {
+void CachingReplica::flush(double fraction, boost::random::mt19937_64& random) {
   for (auto prompt = order_.begin(); prompt != order_.end();) {
-    const bool evicted = boost::random::uniform_int_distribution<int>(0, 999)(random) < share * 1000;
+    const bool evicted = boost::random::uniform_int_distribution<int>(0, 999)(random) < fraction * 1000;
     if (!evicted) {
       ++prompt;
       continue;
     }
     cached_tokens_ -= prompt->tokens;
-    prompts_.erase(prompt->name);
+    prompts_.erase(prompt->key);
     prompt = order_.erase(prompt);
   }
 }
@@ -173,7 +173,7 @@
     client.session = random_below(sessions_.size());
   } while (sessions_[client.session].busy);
   Session& session = sessions_[client.session];
-  if (session.requests == kRequestsOfSession) session = new_session();
+  if (session.requests == kRequestsPerSession) session = new_session();
   session.busy = true;
   ++session.requests;
   session.prompt += 310 + static_cast<double>(random_below(490));
@@ -192,7 +192,7 @@
   net::descriptors().limit = std::max<std::size_t>(net::descriptors().limit, 512);
   discovery_ = std::make_unique<HttpServer>([this](HttpServer::Connection& connection) {
     connection.watching = true;
-    // A watch of the current revision waits for the next one.
+    // A watch of the current revision waits for the next revision.
     if (number_after(connection.reader.head().target, "after=") < revision_) answer_watches();
   });
   for (int i = 0; i < options.replicas; ++i) add_replica();
@@ -225,8 +225,8 @@
   auto replica = std::make_unique<CachingReplica>(
       "s-" + hex(0x1000'0000u + static_cast<unsigned>(number) * 77777u).substr(8), options_.memory_tokens,
       options_.tokens_per_s);
-  replica->on_answer = [this, number](const CachingReplica::Answered& answered) {
-    works_.push_back({number, answered.prompt, answered.cached});
+  replica->on_answer = [this, number](const CachingReplica::Answer& answered) {
+    answered_requests_.push_back({number, answered.prompt, answered.cached});
   };
   replicas_.push_back(std::move(replica));
 }
@@ -267,8 +267,8 @@
   return done();
 }
 
-std::vector<SimulatedFleet::Work> SimulatedFleet::run_requests(int count) {
-  works_.clear();
+std::vector<SimulatedFleet::AnsweredRequest> SimulatedFleet::run_requests(int count) {
+  answered_requests_.clear();
   requests_to_send_ = count;
   const std::uint64_t last_request = last_id_ + static_cast<std::uint64_t>(count);
   for (auto& client : clients_) send_request(*client);
@@ -281,7 +281,7 @@
   node_->print_counters(counters);
   INFO("sent " << last_id_ << " of " << last_request << "; " << counters.str());
   REQUIRE(idle);
-  return std::exchange(works_, {});
+  return std::exchange(answered_requests_, {});
 }
 
 void SimulatedFleet::restart_after_saving() {
@@ -297,7 +297,7 @@
   start_router();
 }
 
-// Returns once the router has applied the new list.
+// Returns when the router has applied the new list.
 void SimulatedFleet::replace(int count) {
   const double entries_before = counter("list_entries");
   for (int i = 0; i < count; ++i) add_replica();
@@ -313,8 +313,8 @@
   return number_after(counters.str(), " " + name + "=");
 }
 
-void SimulatedFleet::flush(double share) {
-  for (auto& replica : replicas_) replica->flush(share, random_);
+void SimulatedFleet::flush(double fraction) {
+  for (auto& replica : replicas_) replica->flush(fraction, random_);
 }
 
 }  // namespace thornwick::testing
--- a/tests/net/simulated_fleet.hpp
+++ b/tests/net/simulated_fleet.hpp
@@ -1,5 +1,5 @@
-// A whole installation on loopback: replicas that cache prompts, discovery, clients with sessions, and a
-// router in this process that can be restarted. Everything runs on one loop in one thread.
+// A complete installation on the loopback interface: replicas that cache prompts, discovery, clients with
+// sessions, and a router in this process that can be restarted. Everything runs on one loop in one thread.
 #pragma once
 
 #include <boost/random/mersenne_twister.hpp>
@@ -15,7 +15,7 @@
 
 namespace thornwick::testing {
 
-// Listens on a port of its own and calls `on_request` with each whole request.
+// Listens on a separate port and calls `on_request` for each complete request.
 class HttpServer {
  public:
   struct Connection;
@@ -29,40 +29,41 @@
   std::unique_ptr<net::Listener> listener_;
 };
 
-// A replica that caches the prompts of sessions and shared prefixes, and evicts the least recently used ones.
-// It reads the tokens that are not cached, one request after the other, and then answers at once.
+// A replica that caches the prompts of sessions and shared prefixes, and evicts the least recently used
+// prompts. The replica reads the tokens that are not cached, one request after the other, and answers a
+// request when it has read its tokens.
 class CachingReplica {
  public:
   CachingReplica(std::string uid, double memory_tokens, double tokens_per_s);
 
   const std::string& uid() const { return uid_; }
-  std::string entry() const;  // in discovery's list
-  // Evicts this share of the cached prompts, chosen at random.
-  void flush(double share, boost::random::mt19937_64& random);
+  std::string entry() const;  // the replica's entry in discovery's list
+  // Evicts this fraction of the cached prompts, chosen at random.
+  void flush(double fraction, boost::random::mt19937_64& random);
 
-  // A request that the replica answers, in tokens.
-  struct Answered {
+  // A request that the replica answers. Amounts are in tokens.
+  struct Answer {
     std::uint64_t session;
     double prompt;
     double cached;
   };
-  std::function<void(const Answered&)> on_answer;
+  std::function<void(const Answer&)> on_answer;
 
  private:
   struct CachedPrompt {
-    std::uint64_t name;  // of a session or prefix
+    std::uint64_t key;  // of a session or prefix
     double tokens;
   };
   void answer(HttpServer::Connection& connection, const http::Head& head);
-  double find(std::uint64_t name, double max_tokens);
-  void cache(std::uint64_t name, double tokens);
+  double find(std::uint64_t key, double max_tokens);
+  void cache(std::uint64_t key, double tokens);
 
   std::string uid_;
   double memory_tokens_;
   double tokens_per_s_;
   double cached_tokens_ = 0;
   Time free_at_ = 0;
-  std::list<CachedPrompt> order_;  // the least recently used prompt first
+  std::list<CachedPrompt> order_;  // the least recently used prompt comes first
   std::map<std::uint64_t, std::list<CachedPrompt>::iterator> prompts_;
   HttpServer server_;
 };
@@ -82,21 +83,22 @@
   explicit SimulatedFleet(const Options& options);
   ~SimulatedFleet();
 
-  // Runs until so many requests are answered. Returns the requests that replicas have answered, in order.
-  struct Work {
+  // A request that a replica has answered. Amounts are in tokens.
+  struct AnsweredRequest {
     int replica;  // replicas are numbered in the order of their creation
     double prompt;
     double cached;
   };
-  std::vector<Work> run_requests(int count);
+  // Runs until `count` requests are answered. Returns the requests that replicas have answered, in order.
+  std::vector<AnsweredRequest> run_requests(int count);
 
-  // Restart the router, which finds the same file of its store.
+  // Both functions restart the router, which uses the same file of its store.
   void restart_after_saving();
   void restart_without_saving();
   // Replaces the oldest replicas by new ones.
   void replace(int count);
-  // Evicts this share of the prompts that each replica has cached.
-  void flush(double share);
+  // Evicts this fraction of the prompts that each replica has cached.
+  void flush(double fraction);
   const node::Node& node() const { return *node_; }
   int rejected() const { return rejected_; }
 
@@ -122,7 +124,7 @@
   Session new_session();
   std::uint64_t random_below(std::uint64_t bound);
   bool wait_for(Time timeout, const std::function<bool()>& done);
-  double counter(const std::string& name) const;  // of the router
+  double counter(const std::string& name) const;  // the router's counter of this name
 
   Options options_;
   boost::random::mt19937_64 random_{4711};
@@ -132,7 +134,7 @@
   int rejected_ = 0;
   int requests_to_send_ = 0;
   std::uint64_t last_id_ = 0;
-  std::vector<Work> works_;
+  std::vector<AnsweredRequest> answered_requests_;
   std::vector<Session> sessions_;
   std::unique_ptr<HttpServer> discovery_;
   config::Config config_;
--- a/tests/net/socket.hpp
+++ b/tests/net/socket.hpp
@@ -1,5 +1,5 @@
-// A blocking socket on loopback, for tests that talk to processes: whatever it waits for comes, or the test
-// fails.
+// A blocking socket on the loopback interface, for tests with processes. A test fails if what the socket
+// waits for does not come in time.
 #pragma once
 
 #include <arpa/inet.h>
@@ -14,7 +14,8 @@
 
 namespace thornwick::testing {
 
-constexpr int kTimeoutMs = 20'000;  // far above any wait in a test: only a hang reaches it
+constexpr int kTimeoutMs =
+    20'000;  // far longer than any wait in a test, so that only a hang reaches this limit
 
 class Socket {
  public:
@@ -29,7 +30,8 @@
   }
   int fd() const { return fd_; }
 
-  // At a port of the system's choice; nobody is let in before listen().
+  // Binds the socket to a port that the system chooses, and returns the address. Connections are refused
+  // until start_listening().
   std::string bind_any_port() {
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -41,7 +43,7 @@
   }
   void start_listening() { REQUIRE(listen(fd_, 64) == 0); }
   Socket accept_one() {
-    REQUIRE(ready());
+    REQUIRE(is_readable());
     return Socket(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   bool connect_to(const std::string& address) {
@@ -54,17 +56,19 @@
   void send_all(const std::string& bytes) {
     REQUIRE(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
   }
-  // What comes up to this text, and no byte behind it; all of it if the other side ends before.
+  // Returns the bytes up to and including this text, and leaves later bytes unread. Returns all bytes if the
+  // other side ends the connection first.
   std::string read_until(const std::string& text) {
-    std::string got;
-    for (char c = 0; !got.ends_with(text) && ready() && recv(fd_, &c, 1, 0) == 1;) got += c;
-    return got;
+    std::string received;
+    for (char c = 0; !received.ends_with(text) && is_readable() && recv(fd_, &c, 1, 0) == 1;) received += c;
+    return received;
   }
 
  private:
-  bool ready() const {
-    pollfd asked{fd_, POLLIN, 0};
-    return poll(&asked, 1, kTimeoutMs) == 1;
+  // Waits until bytes or a connection can be read.
+  bool is_readable() const {
+    pollfd query{fd_, POLLIN, 0};
+    return poll(&query, 1, kTimeoutMs) == 1;
   }
   int fd_;
 };
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -1,4 +1,4 @@
-// The stand-ins around a real router in one loop: a scenario's replicas and discovery, and open-loop clients.
+// Stand-ins for replicas, discovery and open-loop clients of a scenario, around a real router in one loop.
 #include <catch2/catch.hpp>
 #include <fstream>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-emulator::Scenario demo() {
+emulator::Scenario demo_scenario() {
   auto scenario = emulator::read_scenario(std::string(THORNWICK_DEPLOY) + "/../examples/lab/demo.toml");
   scenario.seconds = 3;
   scenario.cancel_probability = 0;
@@ -21,10 +21,10 @@
   return scenario;
 }
 
-// Replicas, router and clients until all is answered.
-struct Whole {
-  explicit Whole(const emulator::Scenario& scenario, const std::string& clients,
-                 const std::string& messages = "") {
+// Replicas, discovery, a router and clients, which run until all requests are answered.
+struct RunningScenario {
+  explicit RunningScenario(const emulator::Scenario& scenario, const std::string& client_dialect,
+                           const std::string& messages_address = "") {
     net::descriptors().limit = std::max<std::size_t>(net::descriptors().limit, 1024);
     InstallationOptions options;
     options.scenario = scenario;
@@ -32,28 +32,28 @@
     installation = std::make_unique<Installation>(options);
     std::ofstream(scratch.path("router.json")) << installation->router_config();
     config::Config config = config::read_config(scratch.path("router.json"), "");
-    config.operator_file.messages_listen = messages;
+    config.operator_file.messages_listen = messages_address;
     node = std::make_unique<node::Node>(config);
-    LoadOptions asks;
-    asks.scenario = scenario;
-    asks.asked = emulator::planned_requests(scenario, 1);
-    asks.dialect = clients;
-    asks.routers = {node->front(clients == "messages" ? 1 : 0).address()};
-    load = std::make_unique<Load>(asks);
+    LoadOptions load_options;
+    load_options.scenario = scenario;
+    load_options.asked = emulator::planned_requests(scenario, 1);
+    load_options.dialect = client_dialect;
+    load_options.routers = {node->front(client_dialect == "messages" ? 1 : 0).address()};
+    load = std::make_unique<Load>(load_options);
   }
-  void play() {
+  void run() {
     bool done = false;
     bool late = false;
-    net::Timer patience;
-    patience.start(60'000'000, [&] { late = true; });
+    net::Timer timeout;
+    timeout.start(60'000'000, [&] { late = true; });
     installation->begin();
-    // The router asks discovery first.
+    // The clients start when the router has an endpoint list.
     while (!late && node->replica_count() == 0) g_main_context_iteration(nullptr, TRUE);
     load->start([&] { done = true; });
     while (!done && !late) g_main_context_iteration(nullptr, TRUE);
     REQUIRE(done);
   }
-  ~Whole() {
+  ~RunningScenario() {
     load.reset();
     node.reset();
     installation.reset();
@@ -69,26 +69,26 @@
 
 }  // namespace
 
-TEST_CASE("a scenario's day on sockets: every request is answered once, by both fronts") {
+TEST_CASE("in a scenario's day on sockets, both fronts answer every request once") {
   for (const std::string dialect : {"platform", "messages"}) {
-    Whole whole(demo(), dialect, "127.0.0.1:0");
-    whole.play();
-    const auto& result = whole.load->result();
+    RunningScenario running(demo_scenario(), dialect, "127.0.0.1:0");
+    running.run();
+    const auto& result = running.load->result();
     INFO(dialect << ": " << emulator::to_json(result, emulator::Costs::left_out).substr(0, 400));
     CHECK(result.turns > 5);
-    CHECK(whole.load->metrics().unanswered == 0);
-    CHECK(whole.load->metrics().no_connection == 0);
-    CHECK(result.totals.served == whole.node->core().counters().served);
-    CHECK(result.tries == whole.node->core().counters().admitted);
-    CHECK(whole.node->core().open() == 0);
+    CHECK(running.load->metrics().unanswered == 0);
+    CHECK(running.load->metrics().no_connection == 0);
+    CHECK(result.totals.served == running.node->core().counters().served);
+    CHECK(result.tries == running.node->core().counters().admitted);
+    CHECK(running.node->core().open() == 0);
     CHECK(result.totals.broken == 0);
-    CHECK(whole.installation->metrics().done >= result.totals.served);
+    CHECK(running.installation->metrics().done >= result.totals.served);
     CHECK(result.cached_tokens > 0);
   }
 }
 
 TEST_CASE("requests at replicas that die are answered") {
-  auto scenario = demo();
+  auto scenario = demo_scenario();
   scenario.replicas = 4;
   scenario.zones = {"a", "b"};
   scenario.routers = 2;
@@ -98,29 +98,29 @@
       {.kind = emulator::DayFaultKind::zone_lost, .at_s = {1, 1}, .seconds = {1, 1}},
       {.kind = emulator::DayFaultKind::slow, .at_s = {0.5, 0.5}, .seconds = {1, 1}, .size = {2, 2}},
       {.kind = emulator::DayFaultKind::flush, .at_s = {1.5, 1.5}, .size = {1, 1}}};
-  Whole whole(scenario, "platform");
-  whole.play();
-  const auto& result = whole.load->result();
-  CHECK(whole.load->metrics().unanswered == 0);
-  std::uint64_t ended = 0;
-  for (const auto& cls : result.classes) ended += cls.served + cls.given_up;
-  CHECK(ended == result.turns);
-  CHECK(whole.node->core().open() == 0);
+  RunningScenario running(scenario, "platform");
+  running.run();
+  const auto& result = running.load->result();
+  CHECK(running.load->metrics().unanswered == 0);
+  std::uint64_t ended_turns = 0;
+  for (const auto& cls : result.classes) ended_turns += cls.served + cls.given_up;
+  CHECK(ended_turns == result.turns);
+  CHECK(running.node->core().open() == 0);
 }
 
-TEST_CASE("clients without a router end and report it") {
-  LoadOptions asks;
-  asks.scenario = demo();
-  asks.scenario.seconds = 1;
-  asks.asked = emulator::planned_requests(asks.scenario, 1);
-  asks.routers = {"127.0.0.1:1"};
-  for (auto& a : asks.asked) a.at /= 10, a.deadline = a.at + 200'000;
-  Load load(asks);
+TEST_CASE("clients without a router end and count no request as served") {
+  LoadOptions load_options;
+  load_options.scenario = demo_scenario();
+  load_options.scenario.seconds = 1;
+  load_options.asked = emulator::planned_requests(load_options.scenario, 1);
+  load_options.routers = {"127.0.0.1:1"};
+  for (auto& request : load_options.asked) request.at /= 10, request.deadline = request.at + 200'000;
+  Load load(load_options);
   bool done = false;
   load.start([&] { done = true; });
   while (!done) g_main_context_iteration(nullptr, TRUE);
   CHECK(load.result().totals.served == 0);
-  CHECK(load.result().turns == asks.asked.size());
-  asks.routers = {"nowhere"};
-  CHECK_THROWS_AS(Load(asks), std::invalid_argument);
+  CHECK(load.result().turns == load_options.asked.size());
+  load_options.routers = {"nowhere"};
+  CHECK_THROWS_AS(Load(load_options), std::invalid_argument);
 }
--- a/tests/net/tools.cpp
+++ b/tests/net/tools.cpp
@@ -1,4 +1,4 @@
-// The command line's tools on a store's file, as an operator runs them.
+// Commands of the program on a store's file, on scenarios and on traces, run as an operator runs them.
 #include <sys/wait.h>
 
 #include <algorithm>
@@ -16,25 +16,26 @@
 
 namespace {
 
-struct Said {
+struct CommandResult {
   int status = -1;
-  std::string text;  // both outputs
-  bool says(const std::string& what) const { return text.find(what) != std::string::npos; }
+  std::string text;  // standard output and standard error
+  bool contains(const std::string& expected) const { return text.find(expected) != std::string::npos; }
 };
 
-Said run(const std::string& arguments) {
-  Said said;
+CommandResult run(const std::string& arguments) {
+  CommandResult result;
   FILE* pipe = popen((std::string(THORNWICK) + " " + arguments + " 2>&1").c_str(), "r");
   REQUIRE(pipe != nullptr);
-  std::array<char, 4096> part;
-  while (const auto got = fread(part.data(), 1, part.size(), pipe)) said.text.append(part.data(), got);
+  std::array<char, 4096> buffer;
+  while (const auto size = fread(buffer.data(), 1, buffer.size(), pipe))
+    result.text.append(buffer.data(), size);
   const int status = pclose(pipe);
-  said.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  return said;
+  result.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+  return result;
 }
 
-// A table with two sessions, one of which was answered by two replicas.
-void make_table(const std::string& path) {
+// Writes an affinity table with two sessions. Two replicas have answered the first session.
+void write_affinity_table(const std::string& path) {
   persistence::StateStore state_store({.path = path, .holder = "n1"}, {},
                                       [](ReplicaId id) { return "s-0" + std::to_string(id); });
   affinity::AffinityTable affinity_table({.table = {.entries = 1000}});
@@ -59,81 +60,84 @@
 TEST_CASE("a store's file is checked, dumped, shown and compacted from the command line") {
   const Scratch scratch;
   const std::string path = scratch.path("s");
-  make_table(path);
-  const Said check = run("store check " + path);
+  write_affinity_table(path);
+  const CommandResult check = run("store check " + path);
   CHECK(check.status == 0);
-  CHECK(check.says(R"({"table":"affinity.sessions","version":1,"records":2,)"));
-  CHECK(check.says(R"("sound":true)"));
-  const Said show = run("affinity show " + path);
+  CHECK(check.contains(R"({"table":"affinity.sessions","version":1,"records":2,)"));
+  CHECK(check.contains(R"("sound":true)"));
+  const CommandResult show = run("affinity show " + path);
   CHECK(show.status == 0);
-  CHECK(show.says(R"({"box":"s-01","slot":)"));
-  CHECK(show.says(
+  CHECK(show.contains(R"({"box":"s-01","slot":)"));
+  CHECK(show.contains(
       R"({"session":"0000000000000abc","prefix":"0000000000000000","placed_size":1000,"copies":[{)"));
-  const Said dump = run("store dump " + path);
+  const CommandResult dump = run("store dump " + path);
   CHECK(dump.status == 0);
-  CHECK(dump.says(R"({"table":"affinity.sessions","key":"0000000000000def","value":")"));
-  const Said compact = run("store compact " + path);
+  CHECK(dump.contains(R"({"table":"affinity.sessions","key":"0000000000000def","value":")"));
+  const CommandResult compact = run("store compact " + path);
   CHECK(compact.status == 0);
-  CHECK(compact.says("file_bytes_before"));
+  CHECK(compact.contains("file_bytes_before"));
   CHECK(run("affinity show " + path).text == show.text);
 }
 
-TEST_CASE("commands report in one line what is wrong with a file, and do not change it") {
+TEST_CASE("commands report an error of a file in one line, and do not change the file") {
   const Scratch scratch;
   const std::string path = scratch.path("s");
   CHECK(run("store check " + path).status == 1);
   write_bytes(path, std::string(9000, 'x'));
   for (const char* command : {"store check ", "store dump ", "store compact ", "affinity show "}) {
-    const Said said = run(command + path);
-    CHECK(said.status == 1);
-    CHECK(said.text == "thornwick: " + path + ": damaged\n");
+    const CommandResult result = run(command + path);
+    CHECK(result.status == 1);
+    CHECK(result.text == "thornwick: " + path + ": damaged\n");
   }
   CHECK(read_bytes(path) == std::string(9000, 'x'));
   CHECK(scratch.count("s.damaged") == 0);
-  make_table(scratch.path("held"));
+  write_affinity_table(scratch.path("held"));
   const persistence::StateStore holder({.path = scratch.path("held"), .holder = "router n7"}, {},
                                        [](ReplicaId) { return std::string(); });
-  const Said said = run("store check " + scratch.path("held"));
-  CHECK(said.status == 1);
-  CHECK(said.says("held by router n7"));
+  const CommandResult result = run("store check " + scratch.path("held"));
+  CHECK(result.status == 1);
+  CHECK(result.contains("held by router n7"));
 }
 
 TEST_CASE("an unknown word on the command line ends the program with status 2") {
   CHECK(run("store mend x").status == 2);
   CHECK(run("--log-level loud version").status == 2);
   CHECK(run("version").status == 0);
-  CHECK(run("help").says("check-config"));
+  CHECK(run("help").contains("check-config"));
 }
 
 TEST_CASE(
-    "the lab runs a scenario, stores its days, reports them, and rejects a malformed one with status 2") {
+    "the lab runs a scenario, stores its days, reports them, and rejects a malformed scenario with status "
+    "2") {
   const Scratch scratch;
   const std::string examples = std::string(THORNWICK_DEPLOY) + "/../examples/lab/";
-  const Said day = run("lab run " + examples + "demo.toml --policy module --policy random");
+  const CommandResult day = run("lab run " + examples + "demo.toml --policy module --policy random");
   CHECK(day.status == 0);
-  CHECK(day.says("module"));
-  CHECK(day.says("rules kept"));
+  CHECK(day.contains("module"));
+  CHECK(day.contains("rules kept"));
   const std::string results = scratch.path("r.sqlite");
-  const Said compared =
+  const CommandResult compared =
       run("lab compare " + examples +
           "demo.toml --policy random --policy module --days 2 --quiet --results " + results);
   CHECK(compared.status == 0);
-  CHECK(compared.says("p = "));
+  CHECK(compared.contains("p = "));
   CHECK(run("lab report " + results + " -o " + scratch.path("r.html")).status == 0);
   CHECK(read_bytes(scratch.path("r.html")).find("</html>") != std::string::npos);
 
-  const std::string bad = scratch.path("bad.toml");
-  write_bytes(bad, "[day]\nseconds = -1\n[flet]\n");
+  const std::string malformed = scratch.path("bad.toml");
+  write_bytes(malformed, "[day]\nseconds = -1\n[flet]\n");
   for (const std::string command : {"lab run ", "lab sweep ", "boxes ", "load "}) {
-    const Said said = run(command + bad);
-    CHECK(said.status == 2);
-    CHECK(said.says(bad + ":2: day.seconds: outside 0.1..10000000\n" + bad + ":3: flet: no such table"));
+    const CommandResult result = run(command + malformed);
+    CHECK(result.status == 2);
+    CHECK(result.contains(malformed + ":2: day.seconds: outside 0.1..10000000\n" + malformed +
+                          ":3: flet: no such table"));
   }
   CHECK(run("lab sweep " + examples + "demo.toml --set fleet.boxes").status == 2);
 }
 
 TEST_CASE(
-    "a recorded trace is the scenario's day, and an error in a trace is reported with its line number") {
+    "a recorded trace contains the scenario's day, and an error in a trace is reported with its line "
+    "number") {
   const Scratch scratch;
   const std::string demo = std::string(THORNWICK_DEPLOY) + "/../examples/lab/demo.toml";
   const std::string trace = scratch.path("t");
@@ -141,7 +145,7 @@
   const std::string text = read_bytes(trace);
   CHECK(std::count(text.begin(), text.end(), '\n') > 5);
   write_bytes(trace, text + "{\"at_us\":1}\n");
-  const Said said = run("load " + demo + " --trace " + trace + " --router 127.0.0.1:1");
-  CHECK(said.status == 2);
-  CHECK(said.says(trace + ":" + std::to_string(std::count(text.begin(), text.end(), '\n') + 1) + ": "));
+  const CommandResult result = run("load " + demo + " --trace " + trace + " --router 127.0.0.1:1");
+  CHECK(result.status == 2);
+  CHECK(result.contains(trace + ":" + std::to_string(std::count(text.begin(), text.end(), '\n') + 1) + ": "));
 }
