--- a/tests/net/affinity.cpp
+++ b/tests/net/affinity.cpp
@@ -66,7 +66,7 @@
   const double after = cached_fraction(fleet.run_requests(800));
   INFO("cached before " << before << ", after " << after);
   CHECK(after >= 0.9 * before);
-  CHECK(fleet.node().affinity_table()->trusted());
+  CHECK(fleet.node().affinity_table()->fleet_trusted());
 
   fleet.replace(2);
   fleet.run_requests(2500);
@@ -93,13 +93,13 @@
   fleet.flush(0.99);
   std::vector<SimulatedFleet::AnsweredRequest> after = fleet.run_requests(60);
   CHECK(fleet.node().affinity_table()->metrics().fleet_losses == 1);
-  CHECK_FALSE(fleet.node().affinity_table()->trusted());
+  CHECK_FALSE(fleet.node().affinity_table()->fleet_trusted());
   // Misses of requests that were in flight during the loss do not count against replicas.
   CHECK(fleet.node().affinity_table()->metrics().misses - misses <= 20);
   const auto more = fleet.run_requests(5440);
   after.insert(after.end(), more.begin(), more.end());
   CHECK(fleet.node().affinity_table()->metrics().fleet_losses == 1);
-  CHECK(fleet.node().affinity_table()->trusted());
+  CHECK(fleet.node().affinity_table()->fleet_trusted());
   // If requests herded to the first replicas that have cached the shared prefixes again, these replicas would
   // get five times a fair share or more. The bound of 1.5 in any two seconds is tested with an emulated clock
   // (tests/emulator/days.cpp), because other work of the machine affects the measurement here.
