--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -130,9 +130,9 @@
 inline void add_models(const models::Catalogue& catalogue, Fields& fields) {
   FieldWriter(fields, "models")
       .add("adapters on box", catalogue.limits.adapters_per_replica)
-      .add("fallback part", catalogue.limits.fallback_part)
+      .add("fallback part", catalogue.limits.fallback_fraction)
       .add("fallback burst", catalogue.limits.fallback_burst)
-      .add("first part", catalogue.limits.first_part)
+      .add("first part", catalogue.limits.initial_fallback_fraction)
       .add("growth each second", catalogue.limits.growth_per_s);
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
     const models::Model& model = catalogue.models[i];
