--- a/src/membership/claim_handler.hpp
+++ b/src/membership/claim_handler.hpp
@@ -14,7 +14,7 @@
   ClaimHandler(SwimState& state, Time now)
       : state_(state), now_(now), group_(state, now), identities_(state, now) {}
 
-  // Handles one claim. `reporter` is the member that sent it; the claim may be about the reporter itself.
+  // Handles one claim. `reporter` is the member that sent the claim, which may be about the reporter itself.
   void accept(const Claim& claim, std::size_t reporter);
 
  private:
@@ -26,7 +26,7 @@
   void on_newer_incarnation(std::size_t member, const Claim& claim, Source source);
   void on_suspicion(std::size_t member, const Claim& claim, std::size_t reporter);
   void on_suspicion_of_live_member(std::size_t member, std::size_t reporter);
-  void add_accuser(MemberRecord& record, std::size_t reporter);
+  void add_suspecting_member(MemberRecord& record, std::size_t reporter);
   void adopt(std::size_t member, const Claim& claim);
 
   SwimState& state_;
--- a/src/membership/failure_detector.hpp
+++ b/src/membership/failure_detector.hpp
@@ -1,5 +1,4 @@
-// Draws the conclusions from answers and from missing answers: suspicion, failure, and proof that a member
-// runs.
+// Concludes from answers and missing answers that members are suspected, have failed, or run.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +10,7 @@
 
 namespace thornwick::membership {
 
-// The number of members to probe when this router itself may be the one that fails.
+// The number of members to probe when this router itself may be cut off, was suspended, or shuts down.
 inline constexpr std::size_t kWideProbe = 8;
 
 class FailureDetector {
@@ -19,27 +18,27 @@
   FailureDetector(SwimState& state, Time now)
       : state_(state), now_(now), group_(state, now), rounds_(state, now) {}
 
-  // Advances or ends the rounds that are due.
+  // Advances the rounds whose next stage is due, and ends those whose deadline has passed.
   void process_rounds();
-  // Calls the members gone that this tick's rounds condemned, unless the tick also found that this router is
-  // cut off or that the member answers.
-  void apply_verdicts();
-  // Handles an answer to one of this router's rounds. `via` is the member itself or a helper.
+  // Sets the members to failed that this tick's rounds found unresponsive, unless the tick also found that
+  // this router is cut off or that the member answers.
+  void apply_pending_failures();
+  // Handles an answer to the round `number` of this router. `via` is the member itself or a helper.
   void on_answer(std::size_t member, std::size_t via, std::uint32_t number);
   // Handles proof that the member runs and is reachable: an answer to a probe that was sent after the last
-  // such proof.
+  // proof. `via` is the member itself or a helper.
   void on_proof_of_life(std::size_t member, std::size_t via);
 
  private:
   void process_round(std::size_t index);
   void on_round_failed(const ProbeRound& round);
   void on_ordinary_round_failed();
-  void on_leaving_member_silent(std::size_t member);
-  void suspect_if_silent_for_long(std::size_t member);
-  bool is_silent_for_long(const MemberRecord& member) const;
-  bool another_answers(const MemberRecord& silent) const;
-  void condemn_if_silent_for_long(std::size_t member);
-  void condemn_silent_members();
+  void on_leaving_member_unresponsive(std::size_t member);
+  void suspect_if_unresponsive(std::size_t member);
+  bool is_unresponsive(const MemberRecord& member) const;
+  bool another_answers(const MemberRecord& unresponsive) const;
+  void fail_if_unresponsive(std::size_t member);
+  void fail_unresponsive_members();
   std::uint32_t rounds_until_failure(const MemberRecord& member) const;
   void note_answered_round(ProbeRound& round, bool direct);
   void reset_doubt(MemberRecord& member);
--- a/src/membership/group_evaluation.cpp
+++ b/src/membership/group_evaluation.cpp
@@ -6,16 +6,17 @@
 namespace thornwick::membership {
 namespace {
 
-// Consecutive ordinary probes of different members without an answer after which this router is cut off.
+// This router is cut off after this many consecutive ordinary probes of different members without an answer.
 constexpr std::size_t kUnansweredWhenCutOff = 16;
-// A router that is cut off is so until it reaches half of the members and a further 1/16 of them. Without the
-// margin a router of a large group that is split in halves would change its mind with each message.
+// A router that is cut off stays so until it reaches half of the members and a further 1/16 of them. Without
+// this margin a router of a large group that is split into halves would change its state with each message.
 constexpr std::size_t kReconnectMargin = 16;
-// A member that was called gone within this many periods before this router was cut off may still run.
+// A member that was found to have failed within this many periods before this router was cut off may still
+// run.
 constexpr int kRecentFailurePeriods = 10;
 constexpr std::size_t kEnoughAnswers = 10;
 // In groups larger than this, rounds for a member that another router suspects are delayed at random, so that
-// not all routers probe it at once.
+// not all routers probe the member at once.
 constexpr std::size_t kLargeGroup = 20;
 
 }  // namespace
@@ -26,8 +27,6 @@
   return rounds_until(state.options.suspicion_probability / members, loss);
 }
 
-// ---------------------------------------------------------------- states
-
 void GroupEvaluation::set_state(std::size_t member, MemberState state, const std::string& reason) {
   MemberView& view = state_.members[member].view;
   if (view.state == state) return;
@@ -44,16 +43,14 @@
   MemberRecord& record = state_.members[member];
   record.failed_rounds = std::max<std::uint32_t>(record.failed_rounds, 1);
   if (record.doubted_since == 0) record.doubted_since = now_;
-  // Another router suspects the member, which may have answered that router by now.
-  if (state_.members.size() > kLargeGroup && !record.accusers.empty()) {
+  // Another router suspects the member, and the member may have answered that router by now.
+  if (state_.members.size() > kLargeGroup && !record.suspecting_members.empty()) {
     const double delay = state_.random.unit() * static_cast<double>(state_.options.period);
     record.next_round_at = now_ + static_cast<Time>(delay);
   }
   set_state(member, MemberState::suspected, reason);
 }
 
-// ---------------------------------------------------------------- presence and partition
-
 void GroupEvaluation::refresh() {
   if (!std::exchange(state_.condition.stale, false)) return;
   const Reach reach = count_members();
@@ -87,8 +84,8 @@
   return reach;
 }
 
-// A member that was not probed often enough yet does not count as unreachable. Nor does a member that only
-// another router suspects: one of this router's own rounds has to have failed.
+// A member that was not probed often enough yet does not count as unreachable. A member that only another
+// router suspects does not count either, until one of this router's rounds has failed.
 bool GroupEvaluation::counts_as_unreachable(const MemberRecord& member) const {
   switch (member.view.state) {
     case MemberState::failed: return true;
@@ -109,7 +106,7 @@
 namespace {
 
 std::string describe_reach(std::size_t reachable, std::size_t all) {
-  return "it hears " + std::to_string(reachable) + " of " + std::to_string(all);
+  return "it reaches " + std::to_string(reachable) + " of " + std::to_string(all);
 }
 
 }  // namespace
@@ -117,9 +114,9 @@
 void GroupEvaluation::on_cut_off(const Reach& reach) {
   state_.condition.view_is_reliable = false;
   const std::string evidence = state_.condition.unanswered_in_a_row > 1
-                                   ? "nobody answers, of " + std::to_string(reach.all - 1) + " others"
+                                   ? "no member answers, of " + std::to_string(reach.all - 1) + " others"
                                    : describe_reach(reach.reachable, reach.all);
-  state_.report(state_.self, "this router is cut off: " + evidence + "; it calls nobody gone",
+  state_.report(state_.self, "this router is cut off: " + evidence + "; it reports no member as gone",
                 Severity::warning);
   doubt_recent_failures();
 }
@@ -143,12 +140,10 @@
     if (member.view.state != MemberState::failed || now_ - member.view.state_since > recent) continue;
     member.failed_rounds = 1;
     member.doubted_since = now_;
-    set_state(i, MemberState::suspected, "it may be this router that is cut off");
+    set_state(i, MemberState::suspected, "this router itself may be cut off");
   }
 }
 
-// ---------------------------------------------------------------- confidence
-
 void GroupEvaluation::update_confidence() {
   if (state_.condition.view_is_reliable || state_.condition.cut_off) return;
   std::size_t answered = 0;
@@ -161,7 +156,7 @@
   }
   if (answered < std::min(kEnoughAnswers, (others + 1) / 2)) return;
   state_.condition.view_is_reliable = true;
-  state_.report(state_.self, "what this router believes of the group holds: " + std::to_string(answered) +
+  state_.report(state_.self, "this router's view of the group is reliable: " + std::to_string(answered) +
                                  " of " + std::to_string(others) + " others answered");
 }
 
--- a/src/membership/group_evaluation.hpp
+++ b/src/membership/group_evaluation.hpp
@@ -1,5 +1,5 @@
 // The states of the members, and the condition of the group that follows from them: how many members are
-// present, whether this router is cut off, and whether its view can be relied upon.
+// running, whether this router is cut off, and whether its view is reliable.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,20 @@
  public:
   GroupEvaluation(SwimState& state, Time now) : state_(state), now_(now) {}
 
-  // Sets the member's state. If it changes, reports the change and evaluates the group.
+  // Sets the member's state. If the state changes, reports the change and evaluates the group.
   void set_state(std::size_t member, MemberState state, const std::string& reason);
   // Sets the member's state to suspected. May delay its next round of probes at random.
   void suspect(std::size_t member, const std::string& reason);
-  // Must be called when something other than a state changes on which the group's condition depends.
+  // Has to be called when a value other than a state changes on which the group's condition depends.
   void mark_stale() { state_.condition.stale = true; }
   // Evaluates the group if something changed since the last evaluation.
   void refresh();
-  // Reports once that enough members answered since the last reset.
+  // Marks the view as reliable, and reports this once, if enough members answered since the last reset.
   void update_confidence();
 
  private:
-  // How many members there are, and how many of them this router may be reaching.
+  // The number of members that have not left, and the number of those that this router may reach, this router
+  // included.
   struct Reach {
     std::size_t reachable = 1;
     std::size_t all = 1;
--- a/src/membership/loss_rate.hpp
+++ b/src/membership/loss_rate.hpp
@@ -1,12 +1,12 @@
-// The rate of probe rounds that are lost although the member runs, and the number of unanswered rounds that
-// such losses explain.
+// The fraction of probe rounds that are lost although the member runs, and the number of unanswered rounds
+// that such losses explain.
 #pragma once
 
 #include <cstdint>
 
 namespace thornwick::membership {
 
-// Exponentially weighted fraction of rounds that were lost.
+// Exponentially decayed fraction of rounds that were lost; `weight` is the weight of a new round.
 class LossRate {
  public:
   LossRate(double initial, double weight) : value_(initial), weight_(weight) {}
@@ -20,7 +20,7 @@
   double weight_;
 };
 
-// The number of consecutive unanswered rounds at which the probability that loss alone explains them is below
+// The smallest number of consecutive rounds that all stay unanswered through message loss alone with at most
 // `probability`. Clamps `loss` to a plausible range first, because no measurement is exact.
 std::uint32_t rounds_until(double probability, double loss);
 
--- a/src/membership/member_record.hpp
+++ b/src/membership/member_record.hpp
@@ -1,4 +1,4 @@
-// This router's whole record of one member. Other modules read the MemberView in it only.
+// This router's complete record of one member. Other modules read only the MemberView in the record.
 #pragma once
 
 #include <cstddef>
@@ -13,43 +13,44 @@
 namespace thornwick::membership {
 
 inline constexpr double kMemberLossWeight = 1.0 / 8;
-inline constexpr double kMostContradictions = 8;  // a reporter's credit
-inline constexpr double kAnswersPerPeriod = 8;    // to one member
+inline constexpr double kMaxContradictions = 8;    // capacity of a reporter's allowance
+inline constexpr double kMaxAnswersPerPeriod = 8;  // answers to one member
 
 struct MemberRecord {
-  explicit MemberRecord(std::size_t no_helper) : helper(no_helper) {}
+  explicit MemberRecord(std::size_t no_helper) : last_helper(no_helper) {}
 
   MemberView view;
 
-  // Doubt.
+  // Evidence against the member.
   std::uint32_t failed_rounds = 0;  // consecutive, since the last answer; 0: the member is not in doubt
   Time doubted_since = 0;
-  Time next_round_at = 0;              // a doubted member gets no round before this time
-  std::vector<std::size_t> accusers;   // other members that suspect it at this incarnation
-  std::uint32_t indirect_excuses = 0;  // suspicions that other members' claims ended since its last answer
+  Time next_round_at = 0;                       // a doubted member gets no round before this time
+  std::vector<std::size_t> suspecting_members;  // members that suspect this incarnation
+  // Suspicions that other members' claims cleared since the member's last answer.
+  std::uint32_t suspicions_cleared_by_others = 0;
 
-  // Probes.
-  bool probing = false;
+  // Probes of the member.
+  bool is_being_probed = false;
   bool answered_since_reset = false;  // since this process last started, was suspended or cut off
-  std::size_t helper;                 // the helper that last reached it; the roster's size: none
+  std::size_t last_helper;  // the helper through which the member last answered; the roster's size: none
   LossRate loss{0, kMemberLossWeight};
 
-  // Claims.
-  ClaimKind claim_kind = ClaimKind::alive;  // the strongest claim at this incarnation
-  bool warn = false;                        // the next message to it carries the claim that it should refute
-  std::uint64_t contradicted_incarnation =
-      0;  // the latest at which this router contradicted a suspicion of it
+  // Claims about the member.
+  ClaimKind claim_kind = ClaimKind::alive;  // kind of the strongest claim at this incarnation
+  bool needs_warning = false;               // the next message to the member carries the claim to refute
+  // The latest incarnation at which this router contradicted a suspicion of the member.
+  std::uint64_t contradicted_incarnation = 0;
 
-  // Processes under its name.
-  std::deque<std::uint32_t> superseded_instances;  // the latest last
-  std::uint32_t returns = 0;                       // recent claims of superseded runs
-  Time returned_at = 0;
-  Time conflict_at = 0;  // when `view.name_conflict` was last confirmed
+  // Processes that use or used the member's name.
+  std::deque<std::uint32_t> superseded_instances;  // instance ids, the latest last
+  std::uint32_t return_count = 0;                  // recent claims of superseded processes
+  Time last_return_at = 0;
+  Time conflict_confirmed_at = 0;  // when `view.name_conflict` was last confirmed
 
-  // The member as a peer.
-  TokenBucket credit{kMostContradictions};  // contradictions that it may still cause as a reporter
+  // Limits on the member as a reporter and as a requester.
+  TokenBucket contradiction_allowance{kMaxContradictions};  // contradictions that the member may still cause
   Time distrusted_until = 0;
-  TokenBucket answers{kAnswersPerPeriod};  // that this router may still send to it
+  TokenBucket answer_allowance{kMaxAnswersPerPeriod};  // answers that this router may still send
 };
 
 // Whether a member in this state is not expected to answer probes.
@@ -60,7 +61,7 @@
 inline bool is_present(MemberState state) {
   return state == MemberState::alive || state == MemberState::leaving;
 }
-// Whether a member in this state has not answered for a while.
+// Whether a member in this state is suspected or has failed.
 inline bool is_doubted(MemberState state) {
   return state == MemberState::suspected || state == MemberState::failed;
 }
--- a/src/membership/member_view.hpp
+++ b/src/membership/member_view.hpp
@@ -1,4 +1,4 @@
-// This router's view of each member of its group, for other modules. Plain data; no I/O.
+// This router's view of a member of its group, for other modules. Plain data; no I/O.
 #pragma once
 
 #include <cstdint>
@@ -32,21 +32,21 @@
 // The name in status output and logs: "first", "kept", "empty" or "older", in the order of the enumerators.
 const char* name_of(RecoveryState recovery);
 
-// One member as this router sees it.
+// This router's view of one member.
 struct MemberView {
   MemberState state = MemberState::unknown;
   Identity identity;
   std::uint64_t incarnation = 0;
   RecoveryState recovery = RecoveryState::no_predecessor;
-  Time state_since = 0;     // when `state` last changed
+  Time state_since = 0;     // time of the last change of `state`
   Time last_answer_at = 0;  // last answer to a probe of this router, direct or through a helper; 0: never
-  bool answered_directly = false;       // that answer came from the member itself
-  double round_trip_us = 0;             // microseconds, smoothed; 0: not known
-  bool name_conflict = false;           // two processes use its name
-  std::uint32_t restart_count = 0;      // restarts under its name that were seen since this process started
-  std::uint16_t suspension_count = 0;   // how often its process found that it had been suspended
-  std::uint16_t last_suspension_s = 0;  // seconds that the last suspension took
-  std::vector<std::uint8_t> reported_running_by_site;  // by site, the routers that it reported as running
+  bool answered_directly = false;                      // the last answer came from the member itself
+  double round_trip_us = 0;                            // microseconds, smoothed; 0: not known
+  bool name_conflict = false;                          // two processes use its name
+  std::uint32_t restart_count = 0;                     // restarts of the member since this process started
+  std::uint16_t suspension_count = 0;                  // suspensions that the member's process has detected
+  std::uint16_t last_suspension_s = 0;                 // duration of the last of them, in seconds
+  std::vector<std::uint8_t> reported_running_by_site;  // by site, the counts in the member's latest message
 };
 
 }  // namespace thornwick::membership
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -9,18 +9,19 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::uint8_t kMark[] = {'T', 'G'};
+constexpr std::uint8_t kMagic[] = {'T', 'G'};
 constexpr std::size_t kIncarnationBytes = 6;
-constexpr std::uint64_t kMostIncarnation = (std::uint64_t{1} << (8 * kIncarnationBytes)) - 1;
+constexpr std::uint64_t kMaxIncarnation = (std::uint64_t{1} << (8 * kIncarnationBytes)) - 1;
 constexpr std::size_t kIdentityBytes = 4 + 4 + 4;
 constexpr std::size_t kClaimBytes = 4 + 1 + kIdentityBytes + kIncarnationBytes;
-constexpr std::size_t kMarkBytes = 2;
+constexpr std::size_t kMagicBytes = 2;
 constexpr std::size_t kVersionBytes = 1;
-// The checksum at the end: flipped bytes must not become a claim.
-constexpr std::size_t kSumBytes = 4;
-// Mark, version, kind, group, sender, number, about, stops, stopped_s, count of sites; and the checksum.
+// The checksum at the end keeps changed bytes from being read as a claim.
+constexpr std::size_t kChecksumBytes = 4;
+// Magic bytes, version, kind, group, sender, number, subject, suspension count, last suspension, number of
+// sites; and the checksum.
 constexpr std::size_t kFixedBytes =
-    kMarkBytes + kVersionBytes + 1 + 4 + kClaimBytes + 4 + 4 + 2 + 2 + 1 + kSumBytes;
+    kMagicBytes + kVersionBytes + 1 + 4 + kClaimBytes + 4 + 4 + 2 + 2 + 1 + kChecksumBytes;
 
 // Appends numbers, the least significant byte first.
 class Writer {
@@ -35,31 +36,31 @@
     number(claim.identity.disk_id);
     number(claim.identity.start_number);
     number(claim.identity.instance_id);
-    number<kIncarnationBytes>(std::min(claim.incarnation, kMostIncarnation));
+    number<kIncarnationBytes>(std::min(claim.incarnation, kMaxIncarnation));
   }
-  void checksum() { number<kSumBytes>(XXH32(bytes_.data(), bytes_.size(), 0)); }
+  void checksum() { number<kChecksumBytes>(XXH32(bytes_.data(), bytes_.size(), 0)); }
   std::string take() { return std::move(bytes_); }
 
  private:
   std::string bytes_;
 };
 
-// The caller checks that enough bytes are left.
+// Reads what Writer wrote. The caller checks that enough bytes remain.
 class Reader {
  public:
-  explicit Reader(std::span<const std::uint8_t> bytes) : rest_(bytes) {}
+  explicit Reader(std::span<const std::uint8_t> bytes) : remaining_(bytes) {}
 
   template <std::size_t Bytes = 4>
   std::uint64_t number() {
     std::uint64_t value = 0;
-    for (std::size_t i = 0; i < Bytes; ++i) value |= std::uint64_t{rest_[i]} << (8 * i);
-    rest_ = rest_.subspan(Bytes);
+    for (std::size_t i = 0; i < Bytes; ++i) value |= std::uint64_t{remaining_[i]} << (8 * i);
+    remaining_ = remaining_.subspan(Bytes);
     return value;
   }
   std::uint32_t number32() { return static_cast<std::uint32_t>(number<4>()); }
   std::uint16_t number16() { return static_cast<std::uint16_t>(number<2>()); }
   std::uint8_t byte() { return static_cast<std::uint8_t>(number<1>()); }
-  // None if it has a kind that does not exist, or no member.
+  // Returns none if the claim has an unknown kind, or no member.
   std::optional<Claim> claim() {
     Claim claim;
     claim.member = number32();
@@ -72,33 +73,33 @@
     if (kind > static_cast<std::uint8_t>(ClaimKind::leaving) || claim.member == 0) return std::nullopt;
     return claim;
   }
-  // Claims up to the end; the rest has whole ones.
+  // Reads claims up to the end. The remaining bytes have to be a multiple of a claim's size.
   std::optional<std::vector<Claim>> claims() {
     std::vector<Claim> claims;
-    while (left() > 0) {
+    while (remaining() > 0) {
       const auto next = claim();
       if (!next) return std::nullopt;
       claims.push_back(*next);
     }
     return claims;
   }
-  std::size_t left() const { return rest_.size(); }
+  std::size_t remaining() const { return remaining_.size(); }
 
  private:
-  std::span<const std::uint8_t> rest_;
+  std::span<const std::uint8_t> remaining_;
 };
 
 std::uint32_t checksum_of(std::span<const std::uint8_t> bytes) {
   return XXH32(bytes.data(), bytes.size(), 0);
 }
 
-// Size, mark, version and checksum.
+// Checks size, magic bytes, version and checksum.
 ReadError check_frame(std::span<const std::uint8_t> bytes) {
   if (bytes.size() < kFixedBytes || bytes.size() > kMaxDatagramBytes) return ReadError::length;
-  if (!std::equal(std::begin(kMark), std::end(kMark), bytes.begin())) return ReadError::mark;
-  if (bytes[kMarkBytes] != kVersion) return ReadError::version;
-  const auto content = bytes.first(bytes.size() - kSumBytes);
-  if (Reader(bytes.last(kSumBytes)).number32() != checksum_of(content)) return ReadError::sum;
+  if (!std::equal(std::begin(kMagic), std::end(kMagic), bytes.begin())) return ReadError::magic;
+  if (bytes[kMagicBytes] != kVersion) return ReadError::version;
+  const auto content = bytes.first(bytes.size() - kChecksumBytes);
+  if (Reader(bytes.last(kChecksumBytes)).number32() != checksum_of(content)) return ReadError::checksum;
   return ReadError::none;
 }
 
@@ -108,7 +109,7 @@
 
 std::string write(const Message& message) {
   Writer out;
-  for (const std::uint8_t byte : kMark) out.number<1>(byte);
+  for (const std::uint8_t byte : kMagic) out.number<1>(byte);
   out.number<1>(kVersion);
   out.number<1>(static_cast<std::uint8_t>(message.kind));
   out.number(message.group);
@@ -126,7 +127,7 @@
 
 ReadResult read(std::span<const std::uint8_t> bytes, std::uint32_t group) {
   if (const ReadError error = check_frame(bytes); error != ReadError::none) return ReadResult(error);
-  Reader in(bytes.first(bytes.size() - kSumBytes).subspan(kMarkBytes + kVersionBytes));
+  Reader in(bytes.first(bytes.size() - kChecksumBytes).subspan(kMagicBytes + kVersionBytes));
   Message message;
   const std::uint8_t kind = in.byte();
   message.kind = static_cast<MessageKind>(kind);
@@ -141,7 +142,8 @@
   message.suspension_count = in.number16();
   message.last_suspension_s = in.number16();
   const std::size_t sites = in.byte();
-  if (in.left() < sites || (in.left() - sites) % kClaimBytes != 0) return ReadResult(ReadError::length);
+  if (in.remaining() < sites || (in.remaining() - sites) % kClaimBytes != 0)
+    return ReadResult(ReadError::length);
   for (std::size_t i = 0; i < sites; ++i) message.running_by_site.push_back(in.byte());
   auto claims = in.claims();
   if (!claims) return ReadResult(ReadError::content);
@@ -155,8 +157,8 @@
   return out.take();
 }
 
-std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t most) {
-  if (bytes.size() % kClaimBytes != 0 || bytes.size() / kClaimBytes > most) return std::nullopt;
+std::optional<std::vector<Claim>> read_claims(std::string_view bytes, std::size_t max_claims) {
+  if (bytes.size() % kClaimBytes != 0 || bytes.size() / kClaimBytes > max_claims) return std::nullopt;
   return Reader({reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size()}).claims();
 }
 
--- a/src/membership/message_handler.cpp
+++ b/src/membership/message_handler.cpp
@@ -8,7 +8,7 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::size_t kMostIndirectProbes = 32;
+constexpr std::size_t kMaxIndirectProbes = 32;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   }
   ++state_.metrics.received;
   if (from != state_.self) return on_message(*message, from);
-  const bool another_process = message->from.identity.instance_id != state_.own().view.identity.instance_id;
+  const bool another_process = message->from.identity.instance_id != state_.local().view.identity.instance_id;
   if (another_process) IdentityTracker(state_, now_).raise_conflict(state_.self);
 }
 
@@ -49,11 +49,12 @@
 MessageHandler::Sender MessageHandler::update_sender(const Message& message, std::size_t from) {
   MemberRecord& sender = state_.members[from];
   if (message.from.identity != sender.view.identity) {
-    sender.warn = true;
+    sender.needs_warning = true;
     return Sender::unknown;
   }
   if (message.suspension_count > sender.view.suspension_count) {
-    state_.report(from, "it stood still for " + std::to_string(message.last_suspension_s) + " s and is back");
+    state_.report(from,
+                  "it was suspended for " + std::to_string(message.last_suspension_s) + " s and has resumed");
     sender.view.suspension_count = message.suspension_count;
   }
   sender.view.last_suspension_s = message.last_suspension_s;
@@ -83,13 +84,13 @@
 
 void MessageHandler::on_ping_request(const Message& message, std::size_t from) {
   const std::size_t target = state_.roster->find_id(message.subject_id);
-  const bool sensible = target != state_.roster->size() && target != state_.self && target != from;
-  if (!sensible || !may_answer(state_, now_, from)) {
+  const bool is_valid_target = target != state_.roster->size() && target != state_.self && target != from;
+  if (!is_valid_target || !may_answer(state_, now_, from)) {
     ++state_.metrics.ignored;
     return;
   }
   auto& indirect = state_.probes.indirect;
-  if (indirect.size() >= kMostIndirectProbes) indirect.pop_front();
+  if (indirect.size() >= kMaxIndirectProbes) indirect.pop_front();
   const std::uint32_t number = ++state_.probes.last_number;
   indirect.push_back(
       {.requester = from, .target = target, .requester_number = message.number, .number = number});
--- a/src/membership/message_handler.hpp
+++ b/src/membership/message_handler.hpp
@@ -1,4 +1,4 @@
-// Datagrams of other members: probes to answer, answers, requests for indirect probes, and claims.
+// Handles datagrams of other members: probes to answer, answers, requests for indirect probes, and claims.
 #pragma once
 
 #include <cstddef>
@@ -16,12 +16,13 @@
   MessageHandler(SwimState& state, Time now)
       : state_(state), now_(now), claims_(state, now), detector_(state, now) {}
 
-  // Handles a datagram. Counts and ignores one that cannot be read or comes from no member.
+  // Handles a datagram. Counts and ignores a datagram that cannot be read or whose sender is not in the
+  // roster.
   void handle(std::span<const std::uint8_t> datagram);
 
  private:
-  // Whether the sender is the known process of its name. If not, its message proves nothing: the datagram is
-  // late, from a process that has ended, or the sender has to refute the known process first.
+  // Whether the sender is the known process of its name. The message of an unknown process proves nothing:
+  // the datagram is late, from a process that has ended, or the sender first has to refute the known process.
   enum class Sender { known, unknown };
 
   void on_message(const Message& message, std::size_t from);
--- a/src/membership/probe_rounds.cpp
+++ b/src/membership/probe_rounds.cpp
@@ -8,18 +8,18 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::size_t kMostRounds = 64;
-constexpr int kRoundsPerPeriod = 4;    // a round takes a quarter of a period
-constexpr int kStagesPerRound = 3;     // of equal duration
+constexpr std::size_t kMaxRounds = 64;
+constexpr int kRoundsPerPeriod = 4;    // a round lasts a quarter of a period
+constexpr int kStagesPerRound = 3;     // stages of equal duration
 constexpr int kKeepRoundsPeriods = 5;  // ended rounds are kept this long, for late answers
-// If more members than this are in doubt, or more messages than this are lost, the cause is not a single bad
-// link. One helper suffices then.
+// If more members than this are in doubt, or a larger fraction of messages is lost, the cause is not a single
+// bad link, and one helper suffices.
 constexpr std::size_t kFewDoubted = 3;
 constexpr double kWidespreadLoss = 0.06;
 
 }  // namespace
 
-Time ProbeRounds::round_time() const {
+Time ProbeRounds::round_duration() const {
   const Time base = state_.options.period / kRoundsPerPeriod;
   return state_.options.local_health ? base * (1 + state_.health.score()) : base;
 }
@@ -27,22 +27,22 @@
 Time ProbeRounds::next_due(const SwimState& state, Time latest) {
   Time due = latest;
   for (const auto& round : state.probes.rounds) {
-    if (!round.over) due = std::min(due, round.next_stage_at);
+    if (!round.has_ended) due = std::min(due, round.next_stage_at);
   }
   return due;
 }
 
 void ProbeRounds::erase_old() {
   std::erase_if(state_.probes.rounds, [&](const ProbeRound& round) {
-    return round.over && now_ - round.due > kKeepRoundsPeriods * state_.options.period;
+    return round.has_ended && now_ - round.deadline > kKeepRoundsPeriods * state_.options.period;
   });
 }
 
 bool ProbeRounds::make_room() {
   auto& rounds = state_.probes.rounds;
-  if (rounds.size() < kMostRounds) return true;
+  if (rounds.size() < kMaxRounds) return true;
   const auto old =
-      std::find_if(rounds.begin(), rounds.end(), [](const ProbeRound& round) { return round.over; });
+      std::find_if(rounds.begin(), rounds.end(), [](const ProbeRound& round) { return round.has_ended; });
   if (old == rounds.end()) return false;
   rounds.erase(old);
   return true;
@@ -50,15 +50,15 @@
 
 void ProbeRounds::start(std::size_t member) {
   MemberRecord& record = state_.members[member];
-  if (member == state_.self || record.probing || !make_room()) return;
+  if (member == state_.self || record.is_being_probed || !make_room()) return;
   ProbeRound& round = state_.probes.rounds.emplace_back();
   round.member = member;
   round.number = ++state_.probes.last_number;
   round.started_at = now_;
-  round.next_stage_at = now_ + round_time() / kStagesPerRound;
-  round.due = now_ + round_time();
-  round.ordinary = record.failed_rounds == 0 && record.view.state == MemberState::alive;
-  record.probing = true;
+  round.next_stage_at = now_ + round_duration() / kStagesPerRound;
+  round.deadline = now_ + round_duration();
+  round.is_ordinary = record.failed_rounds == 0 && record.view.state == MemberState::alive;
+  record.is_being_probed = true;
   ++state_.metrics.probe_rounds;
   send(state_, member, {.kind = MessageKind::ping, .number = round.number});
 }
@@ -66,32 +66,32 @@
 void ProbeRounds::advance(ProbeRound& round) {
   if (round.stage == ProbeRound::Stage::pinged) {
     round.stage = ProbeRound::Stage::pinged_twice;
-    round.next_stage_at = round.started_at + round_time() * 2 / kStagesPerRound;
+    round.next_stage_at = round.started_at + round_duration() * 2 / kStagesPerRound;
   } else {
     round.stage = ProbeRound::Stage::helpers_asked;
-    round.next_stage_at = round.due;
+    round.next_stage_at = round.deadline;
   }
   const MemberRecord& record = state_.members[round.member];
   if (is_absent(record.view.state)) return;
   send(state_, round.member, {.kind = MessageKind::ping, .number = round.number});
   const bool last_stage = round.stage == ProbeRound::Stage::helpers_asked;
-  // A member that is reached only through a helper is probed through it in the second stage already.
+  // A member that is reached only through a helper is probed through that helper in the second stage already.
   if (!last_stage && !state_.has_helper(record)) return;
-  const bool known_first = !last_stage || record.failed_rounds % 2 == 0;
+  const bool prefers_last_helper = !last_stage || record.failed_rounds % 2 == 0;
   const MessageHead request{.kind = MessageKind::ping_request,
                             .number = round.number,
                             .subject_id = state_.roster->id_of(round.member)};
   for (const auto helper :
-       choose_helpers(round.member, known_first ? FirstHelper::last_successful : FirstHelper::any))
+       choose_helpers(round.member, prefers_last_helper ? FirstHelper::last_successful : FirstHelper::any))
     send(state_, helper, request);
 }
 
-// The order in which helpers are chosen, the lowest rank first. With FirstHelper::last_successful the helper
-// that reached the member last comes first: between two routers that do not reach each other the same helper
-// usually works. It does not come first every time, so that others are tried once it fails. Members that
-// answer directly come next, and members that are themselves reached through helpers last.
+// The rank of a helper; helpers are chosen from the lowest rank up. With FirstHelper::last_successful the
+// helper that last reached the member comes first, because the same helper usually works between two routers
+// that do not reach each other. That helper does not come first every time, so that others are tried when it
+// fails. Members that answer directly come next, and members that are reached through helpers come last.
 int ProbeRounds::helper_rank(std::size_t helper, std::size_t member, FirstHelper first) const {
-  if (first == FirstHelper::last_successful && helper == state_.members[member].helper) return 0;
+  if (first == FirstHelper::last_successful && helper == state_.members[member].last_helper) return 0;
   const MemberView& view = state_.members[helper].view;
   return view.answered_directly || view.last_answer_at == 0 ? 1 : 2;
 }
@@ -109,11 +109,12 @@
     candidates.push_back({helper_rank(i, member, first), i});
   }
   const bool many_doubted = state_.members.size() > candidates.size() + 2 + kFewDoubted;
-  const bool one_is_enough = many_doubted || state_.loss.value() > kWidespreadLoss;
+  const bool one_helper_suffices = many_doubted || state_.loss.value() > kWidespreadLoss;
   state_.random.shuffle(candidates);
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Candidate& a, const Candidate& b) { return a.rank < b.rank; });
-  const std::size_t count = std::min(candidates.size(), one_is_enough ? 1 : state_.options.helpers);
+  const std::size_t count =
+      std::min(candidates.size(), one_helper_suffices ? 1 : state_.options.helper_count);
   std::vector<std::size_t> chosen;
   for (std::size_t i = 0; i < count; ++i) chosen.push_back(candidates[i].member);
   return chosen;
@@ -125,7 +126,7 @@
     const MemberRecord& member = state_.members[i];
     const bool candidate =
         member.view.state == MemberState::alive || member.view.state == MemberState::suspected;
-    if (i != state_.self && candidate && !member.probing) others.push_back(i);
+    if (i != state_.self && candidate && !member.is_being_probed) others.push_back(i);
   }
   for (; count > 0 && !others.empty(); --count) {
     std::swap(others[state_.random.below(others.size())], others.back());
--- a/src/membership/probe_schedule.hpp
+++ b/src/membership/probe_schedule.hpp
@@ -1,5 +1,5 @@
-// Decides which member to probe, and when: all members in a random order, doubted ones more often, and some
-// out of turn.
+// Decides which member to probe, and when: all members in a random order, members in doubt more often, and
+// some members out of turn.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
  public:
   ProbeSchedule(SwimState& state, Time now) : state_(state), now_(now), rounds_(state, now) {}
 
-  // When the next probe or the next stage of a round is due.
+  // The time at which the next probe or the next stage of a round is due.
   static Time next_due(const SwimState& state);
-  // Probes doubted members in turn, a few at a time, so that the failure of a whole site causes no burst of
-  // messages.
+  // Probes the members in doubt in turn, a few at a time, so that the failure of a whole site causes no burst
+  // of messages.
   void probe_doubted();
   // Probes the next member that waits for a probe out of turn, if one is due.
   void probe_expedited();
--- a/src/membership/reporter_trust.cpp
+++ b/src/membership/reporter_trust.cpp
@@ -3,9 +3,9 @@
 namespace thornwick::membership {
 namespace {
 
-// A reporter's credit is renewed completely within this many periods. A reporter that has used up its credit
-// is distrusted for as long.
-constexpr int kCreditPeriods = 30;
+// A reporter's allowance of contradictions is refilled completely within this many periods. A reporter that
+// has used up the allowance is distrusted for the same time.
+constexpr int kAllowancePeriods = 30;
 
 }  // namespace
 
@@ -14,17 +14,17 @@
 }
 
 void note_contradiction(SwimState& state, Time now, std::size_t member, std::size_t reporter) {
-  MemberRecord& accused = state.members[member];
-  if (accused.contradicted_incarnation == accused.view.incarnation) return;
-  accused.contradicted_incarnation = accused.view.incarnation;
+  MemberRecord& suspected = state.members[member];
+  if (suspected.contradicted_incarnation == suspected.view.incarnation) return;
+  suspected.contradicted_incarnation = suspected.view.incarnation;
   ++state.metrics.contradicted_suspicions;
   MemberRecord& record = state.members[reporter];
-  const Time interval = kCreditPeriods * state.options.period;
-  record.credit.refill(now, {kMostContradictions, interval, kMostContradictions});
-  record.credit.spend();
-  if (record.credit.tokens() >= 0) return;
+  const Time interval = kAllowancePeriods * state.options.period;
+  record.contradiction_allowance.refill(now, {kMaxContradictions, interval, kMaxContradictions});
+  record.contradiction_allowance.spend();
+  if (record.contradiction_allowance.tokens() >= 0) return;
   record.distrusted_until = now + interval;
-  state.report(reporter, "what it says of others was untrue too often, and is not believed for a while",
+  state.report(reporter, "its claims about others were false too often, and are ignored for a while",
                Severity::warning);
 }
 
--- a/src/membership/reporter_trust.hpp
+++ b/src/membership/reporter_trust.hpp
@@ -1,4 +1,5 @@
-// Whether what a member claims of others is believed: not while its suspicions were contradicted too often.
+// Whether a member's claims about other members are accepted. They are not while too many of its recent
+// suspicions were contradicted.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +10,8 @@
 
 [[nodiscard]] bool is_trusted(const SwimState& state, Time now, std::size_t reporter);
 
-// Notes that `reporter` suspects `member`, although the member answered this router just now. Counts once for
-// each incarnation of the member, even if other members repeat the suspicion.
+// Records that `reporter` suspects `member` although the member has just answered this router. Counts once
+// for each incarnation of the member, even if other members repeat the suspicion.
 void note_contradiction(SwimState& state, Time now, std::size_t member, std::size_t reporter);
 
 }  // namespace thornwick::membership
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -9,11 +9,11 @@
 namespace thornwick::membership {
 namespace {
 
-// Checks one router after the other, and remembers what the earlier ones use.
+// Checks one router after the other, and records the names, ids and addresses that are in use.
 class RouterChecker {
  public:
-  RouterChecker(const std::vector<std::string>& sites, std::vector<RosterError>& faults)
-      : sites_(sites), faults_(faults) {}
+  RouterChecker(const std::vector<std::string>& sites, std::vector<RosterError>& errors)
+      : sites_(sites), errors_(errors) {}
 
   void check(const RouterEntry& router) {
     check_name(router);
@@ -23,7 +23,7 @@
   }
 
  private:
-  void reject(const RouterEntry& router, const std::string& text) { faults_.push_back({router.line, text}); }
+  void reject(const RouterEntry& router, const std::string& text) { errors_.push_back({router.line, text}); }
 
   void check_name(const RouterEntry& router) {
     if (router.name.empty() || router.name.size() > kMaxNameBytes) {
@@ -51,7 +51,7 @@
   }
 
   const std::vector<std::string>& sites_;
-  std::vector<RosterError>& faults_;
+  std::vector<RosterError>& errors_;
   std::map<std::string, std::uint32_t> lines_by_name_;
   std::map<std::string, std::uint32_t> lines_by_address_;
   std::map<std::uint32_t, std::string> names_by_id_;
@@ -89,7 +89,7 @@
 std::size_t Roster::find(std::string_view name) const {
   const auto found = std::lower_bound(
       routers_.begin(), routers_.end(), name,
-      [](const RouterEntry& router, std::string_view wanted) { return router.name < wanted; });
+      [](const RouterEntry& router, std::string_view searched) { return router.name < searched; });
   if (found == routers_.end() || found->name != name) return size();
   return static_cast<std::size_t>(found - routers_.begin());
 }
@@ -105,20 +105,20 @@
 
 std::vector<RosterError> validate_roster(const std::vector<std::string>& sites,
                                          const std::vector<RouterEntry>& routers, std::uint32_t group_line) {
-  std::vector<RosterError> faults;
+  std::vector<RosterError> errors;
   if (sites.empty() || sites.size() > kMaxSites)
-    faults.push_back({group_line, "group.sites: there have to be 1 to " + std::to_string(kMaxSites)});
+    errors.push_back({group_line, "group.sites: there have to be 1 to " + std::to_string(kMaxSites)});
   if (routers.size() > kMaxRouters)
-    faults.push_back({group_line, "router: there are more than " + std::to_string(kMaxRouters)});
-  RouterChecker checker(sites, faults);
+    errors.push_back({group_line, "router: there are more than " + std::to_string(kMaxRouters)});
+  RouterChecker checker(sites, errors);
   for (const auto& router : routers) checker.check(router);
   for (auto site = sites.begin(); site != sites.end(); ++site) {
     if (std::find(sites.begin(), site, *site) != site)
-      faults.push_back({group_line, "group.sites: '" + *site + "' stands there twice"});
+      errors.push_back({group_line, "group.sites: '" + *site + "' stands there twice"});
     else if (!has_router(routers, *site))
-      faults.push_back({group_line, "group.sites: '" + *site + "' has no router"});
+      errors.push_back({group_line, "group.sites: '" + *site + "' has no router"});
   }
-  return faults;
+  return errors;
 }
 
 }  // namespace thornwick::membership
--- a/src/membership/sending.cpp
+++ b/src/membership/sending.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 constexpr double kMessagesPerPeriod = 2.2;
-constexpr double kMostBudget = 8;
-constexpr double kLeastBudget = -6;
+constexpr double kMaxBudget = 8;
+constexpr double kMinBudget = -6;
 // An ordinary probe is sent after this many periods, whatever the budget is.
-constexpr int kMostPeriodsWithoutProbe = 5;
-constexpr std::uint32_t kGossipFactor =
-    3;  // an update is sent this often, times the logarithm of the group's size
-constexpr std::size_t kMaxRunning = 255;  // a count of the message has one byte
+constexpr int kMaxPeriodsWithoutProbe = 5;
+// An update is sent this many times the binary logarithm of the group's size.
+constexpr std::uint32_t kGossipFactor = 3;
+constexpr std::size_t kMaxRunning = 255;  // a count in a message has one byte
 
-// Fills a message with claims: first a claim about its receiver that the receiver should refute, then gossip
-// updates, the least often sent first, and then the claims of all members in turn while there is room. The
-// claims in turn bring a router up to date that was away or missed an update.
+// Fills a message with claims: first a claim about the receiver that the receiver should refute, then gossip
+// updates, the least often sent first, and then claims about all members in turn while there is room. The
+// claims in turn update a router that did not run or missed an update.
 class ClaimFiller {
  public:
   ClaimFiller(SwimState& state, Message& message)
@@ -26,7 +26,7 @@
 
   void fill(std::size_t to) {
     add_warning(to);
-    add_news();
+    add_updates();
     add_members_in_turn();
   }
 
@@ -39,24 +39,25 @@
 
   void add_warning(std::size_t to) {
     const MemberRecord& receiver = state_.members[to];
-    const bool buddy = state_.options.buddy_system && is_doubted(receiver.view.state);
-    if (!receiver.warn && !buddy) return;
+    const bool warns_buddy = state_.options.buddy_system && is_doubted(receiver.view.state);
+    if (!receiver.needs_warning && !warns_buddy) return;
     Claim warning = state_.claim_of(to);
     if (warning.claim_kind == ClaimKind::alive) warning.claim_kind = ClaimKind::suspected;
     if (warning.incarnation > 0) message_.claims.push_back(warning);
   }
 
-  void add_news() {
+  void add_updates() {
     const std::uint32_t self = message_.from.member;
     for (GossipUpdate& update : state_.gossip.sorted()) {
       if (!has_room()) break;
       const std::uint32_t id = update.claim.member;
       if (contains(id) || id == self || !state_.may_pass_on(update.claim)) continue;
       message_.claims.push_back(update.claim);
-      ++update.sent;
+      ++update.sent_count;
     }
-    const auto most = kGossipFactor * static_cast<std::uint32_t>(std::bit_width(state_.members.size()));
-    state_.gossip.erase_spent(most, self);
+    const auto max_sent_count =
+        kGossipFactor * static_cast<std::uint32_t>(std::bit_width(state_.members.size()));
+    state_.gossip.erase_sent(max_sent_count, self);
   }
 
   void add_members_in_turn() {
@@ -77,41 +78,41 @@
 }  // namespace
 
 void send(SwimState& state, std::size_t to, const MessageHead& head) {
-  const MemberView& own = state.own().view;
+  const MemberView& local = state.local().view;
   Message message;
   message.kind = head.kind;
   message.group = state.roster->hash();
   message.from = state.claim_of(state.self);
   message.number = head.number;
   message.subject_id = head.subject_id;
-  message.suspension_count = own.suspension_count;
-  message.last_suspension_s = own.last_suspension_s;
+  message.suspension_count = local.suspension_count;
+  message.last_suspension_s = local.last_suspension_s;
   for (const auto count : state.condition.running_by_site)
     message.running_by_site.push_back(static_cast<std::uint8_t>(std::min(count, kMaxRunning)));
   ClaimFiller(state, message).fill(to);
   std::string bytes = write(message);
   ++state.metrics.sent;
   state.metrics.sent_bytes += bytes.size();
-  state.probes.budget.spend_down_to(kLeastBudget);
+  state.probes.budget.spend_down_to(kMinBudget);
   state.datagrams.push_back({to, std::move(bytes)});
 }
 
 bool may_answer(SwimState& state, Time now, std::size_t member) {
-  TokenBucket& answers = state.members[member].answers;
-  answers.refill(now, {kAnswersPerPeriod, state.options.period, kAnswersPerPeriod});
-  if (answers.tokens() < 1) {
+  TokenBucket& answer_allowance = state.members[member].answer_allowance;
+  answer_allowance.refill(now, {kMaxAnswersPerPeriod, state.options.period, kMaxAnswersPerPeriod});
+  if (answer_allowance.tokens() < 1) {
     ++state.metrics.ignored;
     return false;
   }
-  answers.spend();
+  answer_allowance.spend();
   return true;
 }
 
 bool may_probe(SwimState& state, Time now) {
   TokenBucket& budget = state.probes.budget;
-  budget.refill(now, {kMessagesPerPeriod, state.options.period, kMostBudget});
+  budget.refill(now, {kMessagesPerPeriod, state.options.period, kMaxBudget});
   if (budget.tokens() >= 0) return true;
-  return now - state.probes.last_probe_at >= kMostPeriodsWithoutProbe * state.options.period;
+  return now - state.probes.last_probe_at >= kMaxPeriodsWithoutProbe * state.options.period;
 }
 
 }  // namespace thornwick::membership
--- a/src/membership/suspension.cpp
+++ b/src/membership/suspension.cpp
@@ -11,22 +11,22 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr Time kLeastSuspension = seconds(1);  // a shorter gap is only a slow process
-constexpr int kLeastSuspensionPeriods = 2;
+constexpr Time kMinSuspension = seconds(1);  // after a shorter gap the process was only slow
+constexpr int kMinSuspensionPeriods = 2;
 
 void note_suspension(SwimState& state, Time gap) {
-  constexpr Time kMostSeconds = std::numeric_limits<std::uint16_t>::max();
-  MemberView& own = state.own().view;
+  constexpr Time kMaxSeconds = std::numeric_limits<std::uint16_t>::max();
+  MemberView& local = state.local().view;
   ++state.metrics.suspensions;
-  ++own.suspension_count;
-  own.last_suspension_s = static_cast<std::uint16_t>(std::min<Time>(gap / seconds(1), kMostSeconds));
+  ++local.suspension_count;
+  local.last_suspension_s = static_cast<std::uint16_t>(std::min<Time>(gap / seconds(1), kMaxSeconds));
 }
 
-// Ends all rounds and doubts, because missing answers during the suspension are no evidence.
+// Ends all rounds and clears all doubts, because missing answers during the suspension are no evidence.
 void discard_evidence(SwimState& state) {
-  for (auto& round : state.probes.rounds) round.over = true;
+  for (auto& round : state.probes.rounds) round.has_ended = true;
   for (auto& member : state.members) {
-    member.probing = false;
+    member.is_being_probed = false;
     member.answered_since_reset = false;
     if (member.view.state == MemberState::failed) continue;
     member.failed_rounds = 0;
@@ -42,14 +42,15 @@
 void check_suspension(SwimState& state, Time now) {
   const Time gap = now - state.last_call_at;
   state.last_call_at = std::max(state.last_call_at, now);
-  if (gap <= std::max(kLeastSuspension, kLeastSuspensionPeriods * state.options.period)) return;
+  if (gap <= std::max(kMinSuspension, kMinSuspensionPeriods * state.options.period)) return;
   note_suspension(state, gap);
   discard_evidence(state);
-  // Other routers may have suspected this process meanwhile; a higher incarnation refutes every such claim.
-  state.refute(now, state.own().view.incarnation);
+  // Other routers may have suspected this process during the suspension. A higher incarnation refutes such
+  // claims.
+  state.refute(now, state.local().view.incarnation);
   state.report(state.self,
-               "this process stood still for " + std::to_string(state.own().view.last_suspension_s) +
-                   " s: nothing is believed until others answer",
+               "this process was suspended for " + std::to_string(state.local().view.last_suspension_s) +
+                   " s: its view of the group is not reliable until others answer",
                Severity::warning);
   state.probes.next_probe_at = now;
   ProbeRounds(state, now).probe_at_random(kWideProbe);
--- a/src/membership/swim.cpp
+++ b/src/membership/swim.cpp
@@ -12,19 +12,19 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr double kFirstProbeFraction = 4;  // the first probe is sent within this part of a period
+constexpr double kFirstProbePeriodDivisor = 4;  // the first probe is sent within a quarter of a period
 
 }  // namespace
 
 Swim::Swim(std::shared_ptr<const Roster> roster, std::size_t self, Identity identity, Options options,
            std::uint64_t seed, Time now)
     : state_(std::move(roster), self, options, seed, now) {
-  MemberView& own = state_.own().view;
-  own.state = MemberState::alive;
-  own.identity = identity;
-  own.incarnation = first_incarnation(identity.start_number);
-  if (identity.start_number > 1) own.recovery = RecoveryState::same_disk;
-  const double delay = state_.random.unit() * static_cast<double>(options.period) / kFirstProbeFraction;
+  MemberView& local = state_.local().view;
+  local.state = MemberState::alive;
+  local.identity = identity;
+  local.incarnation = first_incarnation(identity.start_number);
+  if (identity.start_number > 1) local.recovery = RecoveryState::same_disk;
+  const double delay = state_.random.unit() * static_cast<double>(options.period) / kFirstProbePeriodDivisor;
   state_.probes.next_probe_at = now + static_cast<Time>(delay);
   state_.probes.last_number = static_cast<std::uint32_t>(state_.random.draw());
   state_.announce(self);
@@ -42,8 +42,8 @@
   ProbeSchedule schedule(state_, now);
   detector.process_rounds();
   group.refresh();
-  // Verdicts are applied after all rounds were processed, so that every result of this tick counts.
-  detector.apply_verdicts();
+  // Members are set to failed after all rounds were processed, so that every result of this tick counts.
+  detector.apply_pending_failures();
   schedule.probe_doubted();
   IdentityTracker(state_, now).expire_conflicts();
   schedule.probe_expedited();
@@ -67,7 +67,7 @@
   check_suspension(state_, now);
   if (state_.leaving) return;
   state_.leaving = true;
-  state_.own().view.state = MemberState::leaving;
+  state_.local().view.state = MemberState::leaving;
   state_.announce(state_.self);
   ProbeRounds(state_, now).probe_at_random(kWideProbe);
 }
--- a/src/membership/swim_state.cpp
+++ b/src/membership/swim_state.cpp
@@ -6,14 +6,14 @@
 namespace thornwick::membership {
 namespace {
 
-constexpr std::size_t kMostExpedited = 64;
+constexpr std::size_t kMaxExpedited = 64;
 
 }  // namespace
 
-SwimState::SwimState(std::shared_ptr<const Roster> group_roster, std::size_t own_index,
+SwimState::SwimState(std::shared_ptr<const Roster> group_roster, std::size_t local_index,
                      const Options& tunables, std::uint64_t seed, Time now)
     : roster(std::move(group_roster)),
-      self(own_index),
+      self(local_index),
       options(tunables),
       random(seed),
       members(roster->size(), MemberRecord(roster->size())),
@@ -25,19 +25,19 @@
 
 Claim SwimState::claim_of(std::size_t member) const {
   const MemberRecord& record = members[member];
-  const bool own_leave = member == self && leaving;
-  return {roster->id_of(member), own_leave ? ClaimKind::leaving : record.claim_kind, record.view.identity,
-          record.view.incarnation};
+  const bool is_local_shutdown = member == self && leaving;
+  return {roster->id_of(member), is_local_shutdown ? ClaimKind::leaving : record.claim_kind,
+          record.view.identity, record.view.incarnation};
 }
 
 void SwimState::expedite_probe(std::size_t member) {
   auto& queue = probes.expedited;
-  if (queue.size() >= kMostExpedited) return;
+  if (queue.size() >= kMaxExpedited) return;
   if (std::find(queue.begin(), queue.end(), member) == queue.end()) queue.push_back(member);
 }
 
 void SwimState::refute(Time now, std::uint64_t claimed) {
-  MemberView& view = own().view;
+  MemberView& view = local().view;
   view.incarnation = std::max(view.incarnation, options.refuting_incarnation(claimed));
   refuted_at = now;
   announce(self);
--- a/src/membership/token_bucket.hpp
+++ b/src/membership/token_bucket.hpp
@@ -11,14 +11,14 @@
  public:
   explicit TokenBucket(double tokens, Time refilled_at = 0) : tokens_(tokens), refilled_at_(refilled_at) {}
 
-  // How fast a bucket fills, and how far.
+  // The refill rate and the capacity of a bucket.
   struct Rate {
-    double tokens = 0;  // that are added in each interval
+    double tokens = 0;  // tokens that are added in each interval
     Time interval = 1;  // microseconds
     double capacity = 0;
   };
 
-  // Adds what has accrued since the last refill.
+  // Adds the tokens that have accrued since the last refill.
   void refill(Time now, const Rate& rate) {
     const double accrued =
         rate.tokens * static_cast<double>(now - refilled_at_) / static_cast<double>(rate.interval);
@@ -26,8 +26,8 @@
     refilled_at_ = now;
   }
   void spend() { tokens_ -= 1; }
-  // Goes into debt down to `least`, which is negative.
-  void spend_down_to(double least) { tokens_ = std::max(least, tokens_ - 1); }
+  // Spends a token, into debt if necessary, but not below `min`, which is negative.
+  void spend_down_to(double min) { tokens_ = std::max(min, tokens_ - 1); }
   double tokens() const { return tokens_; }
 
  private:
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -1,4 +1,5 @@
-// The failure detector in virtual time: messages, fault scripts, restarts, faulty reporters, message rate.
+// Tests of the failure detector in virtual time: messages, fault scripts, restarts, faulty reporters, and the
+// message rate.
 #include <rapidcheck.h>
 
 #include <catch2/catch.hpp>
@@ -38,7 +39,7 @@
   }
 }
 
-// A group whose members agree. It collects the changes that the routers report.
+// A group whose members agree, and which collects the changes that the routers report.
 struct SettledGroup {
   explicit SettledGroup(std::size_t routers, std::size_t sites = 1) : group(options(routers, sites)) {
     group.on_change = [this](std::size_t router, const Change& change) {
@@ -77,7 +78,7 @@
 };
 
 #ifdef THORNWICK_SHORT
-constexpr std::uint64_t kScripts = 100;  // under the sanitizers each takes twenty times as long
+constexpr std::uint64_t kScripts = 100;  // each script takes twenty times as long under the sanitizers
 #else
 constexpr std::uint64_t kScripts = 1000;
 #endif
@@ -87,10 +88,10 @@
   for (std::uint64_t seed = first_seed; seed < first_seed + kScripts; ++seed) {
     const auto result = emulator::play_script(emulator::random_script(seed));
     failures_reported += result.gone_reports;
-    INFO("play it again: thornwick group virtual --seed " << seed << " --count 1 --say");
+    INFO("to repeat: thornwick group virtual --seed " << seed << " --count 1 --say");
     REQUIRE(result.violation == "");
   }
-  CHECK(failures_reported > kScripts);  // scripts in which no member is called gone would show nothing
+  CHECK(failures_reported > kScripts);  // without failed members the scripts would show nothing
 }
 
 }  // namespace
@@ -112,7 +113,7 @@
   CHECK(foreign.error() == ReadError::group);
 }
 
-TEST_CASE("a message with changed, missing or added bytes is rejected, as are other bytes") {
+TEST_CASE("a message with changed, missing or added bytes is rejected, and so are random bytes") {
   const std::string good = write(full_message(3));
   rc::check("changed bytes", [&] {
     std::string changed = good;
@@ -131,62 +132,60 @@
 }
 
 TEST_CASE("each error of a roster is reported with its line") {
-  const auto faults = validate_roster({"north", "south", "north"},
+  const auto errors = validate_roster({"north", "south", "north"},
                                       {{"r1", "north", "127.0.0.1:1", "router", 3},
                                        {"r1", "west", "127.0.0.1:1", "router", 7},
                                        {"", "north", "127.0.0.1:3", "router", 9}},
                                       1);
   std::string text;
-  for (const auto& fault : faults) text += std::to_string(fault.line) + " " + fault.text + "\n";
-  for (const char* part :
+  for (const auto& error : errors) text += std::to_string(error.line) + " " + error.text + "\n";
+  for (const char* expected :
        {"7 router.name: 'r1' stands in line 3", "7 router.address: 127.0.0.1:1 stands in line 3",
         "7 router.site: 'west'", "9 router.name: there has to be one", "1 group.sites: 'south' has no router",
         "1 group.sites: 'north' stands there twice"}) {
     INFO(text);
-    CHECK(text.find(part) != std::string::npos);
+    CHECK(text.find(expected) != std::string::npos);
   }
   CHECK(validate_roster({"a"}, {{"r1", "a", "127.0.0.1:1", "router", 3}}, 1).empty());
 }
 
-TEST_CASE("fault scripts: no reachable member is called gone, and all members agree afterwards (1)") {
+TEST_CASE("fault scripts: no reachable member is reported as failed, and all members agree afterwards (1)") {
   play_scripts(1);
 }
-TEST_CASE("fault scripts: no reachable member is called gone, and all members agree afterwards (2)") {
+TEST_CASE("fault scripts: no reachable member is reported as failed, and all members agree afterwards (2)") {
   play_scripts(1001);
 }
-TEST_CASE("fault scripts: no reachable member is called gone, and all members agree afterwards (3)") {
+TEST_CASE("fault scripts: no reachable member is reported as failed, and all members agree afterwards (3)") {
   play_scripts(2001);
 }
 
 TEST_CASE("fault scripts find a member whose refutation has no higher incarnation") {
-  std::size_t broken = 0;
+  std::size_t violated_scripts = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     auto script = emulator::random_script(seed);
     script.options.swim.refuting_incarnation = [](std::uint64_t claimed) { return claimed; };
-    broken += emulator::play_script(script).violation.empty() ? 0 : 1;
+    violated_scripts += emulator::play_script(script).violation.empty() ? 0 : 1;
   }
-  CHECK(broken > 5);
+  CHECK(violated_scripts > 5);
 }
 
 TEST_CASE(
-    "a failed member is suspected, then gone, and its restarts with its disk, an empty one and an older copy "
-    "are "
-    "distinguished") {
+    "a killed member is suspected and then failed, and its restarts with its disk, an empty disk and an "
+    "older copy are distinguished") {
   SettledGroup settled(5);
   settled.group.kill(2);
   settled.require_soon(
       [&] { return settled.all_see(2, MemberState::suspected) || settled.all_see(2, MemberState::failed); });
   settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
   const auto [disk, recovery, text] = GENERATE(table<Disk, RecoveryState, std::string>(
-      {{Disk::kept, RecoveryState::same_disk, "started anew with its disk"},
-       {Disk::empty, RecoveryState::new_disk, "started anew with an empty disk"}}));
+      {{Disk::kept, RecoveryState::same_disk, "restarted with its disk"},
+       {Disk::empty, RecoveryState::new_disk, "restarted with an empty disk"}}));
   settled.group.start(2, disk);
   settled.require_soon([&] { return settled.group.agree(); });
   CHECK(settled.reports.find("r0/2 " + text) != std::string::npos);
   CHECK(settled.group.at(0).view(2).recovery == recovery);
-  settled.require_soon([&] {
-    return settled.group.at(2).view(2).recovery == recovery;
-  });  // it learns its own recovery state, too
+  // The restarted router detects its own recovery state, too.
+  settled.require_soon([&] { return settled.group.at(2).view(2).recovery == recovery; });
   if (disk != Disk::kept) return;
   settled.group.kill(2);
   settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
@@ -214,13 +213,13 @@
   settled.reports.clear();
   settled.group.resume(3);
   settled.group.run_until(settled.group.now() + 2000);
-  CHECK(settled.reports.rfind("r3/3 this process stood still for 1", 0) == 0);  // the first report
+  CHECK(settled.reports.rfind("r3/3 this process was suspended for 1", 0) == 0);  // the first report
   settled.require_soon([&] { return settled.group.agree() && settled.group.at(3).is_view_reliable(); });
-  CHECK(settled.reports.find("r0/3 it stood still for 1") != std::string::npos);
-  CHECK(settled.reports.find("started anew") == std::string::npos);
+  CHECK(settled.reports.find("r0/3 it was suspended for 1") != std::string::npos);
+  CHECK(settled.reports.find("restarted") == std::string::npos);
 }
 
-TEST_CASE("a router that is cut off detects it, and the other routers call it gone") {
+TEST_CASE("a router that is cut off detects it, and the other routers report that router as failed") {
   SettledGroup settled(5);
   settled.cut_off(4);
   settled.require_soon(
@@ -235,14 +234,15 @@
   settled.require_soon([&] { return settled.group.agree() && !settled.group.at(4).is_cut_off(); });
 }
 
-// A busy machine loses rounds before the partition, so that this router doubts some members longer than
-// others.
+// Rounds fail before the partition, as on a busy machine, so that this router doubts some members longer than
+// others when the partition begins.
 TEST_CASE(
-    "a router that is cut off at any moment calls no member gone, whichever members it doubted before") {
+    "a router that is cut off at any moment reports no member as failed, whichever members it doubted "
+    "before") {
   const std::size_t routers = GENERATE(3u, 5u, 9u);
-  const double slowest_ms = 500;  // of a round that lasts 600 ms
+  const double slowest_ms = 500;  // delay of a datagram; a round lasts 600 ms
   CAPTURE(routers);
-  std::size_t wrong = 0;
+  std::size_t wrong_scripts = 0;
   for (std::uint64_t seed = 1; seed <= kScripts / 2; ++seed) {
     auto options = SettledGroup::options(routers, 1);
     options.seed = seed;
@@ -250,15 +250,15 @@
     Group group(options);
     group.run_until(seconds(60) + static_cast<Time>(seed * 37'000 % 2'400'000));
     const std::size_t last = routers - 1;
-    bool gone = false;
+    bool reported_failure = false;
     group.on_change = [&](std::size_t router, const Change& change) {
-      if (router == last && change.text.starts_with("gone")) gone = true;
+      if (router == last && change.text.starts_with("gone")) reported_failure = true;
     };
     cut_off_router(group, last);
     group.run_until(group.now() + seconds(120));
-    if (gone) ++wrong;
+    if (reported_failure) ++wrong_scripts;
   }
-  CHECK(wrong == 0);
+  CHECK(wrong_scripts == 0);
 }
 
 TEST_CASE(
@@ -275,7 +275,7 @@
 TEST_CASE("two processes of one name are detected by each other and by the other routers") {
   const auto roster = emulator::make_roster(4, 1);
   const Options options;
-  // A small network: processes 0 to 3, and process 4, which also uses the name r003.
+  // A simulated network of processes 0 to 3, and process 4, which also uses the name r003.
   std::vector<Swim> processes;
   for (std::uint32_t i = 0; i < 5; ++i)
     processes.emplace_back(roster, std::min<std::size_t>(i, 3), Identity{100 + i, 1, 200 + i}, options, i + 1,
@@ -286,9 +286,9 @@
       if (processes[i].next_tick() <= now) processes[i].tick(now);
       for (const auto& change : processes[i].take_changes())
         reports += std::to_string(i) + "/" + std::to_string(change.member) + " " + change.text + "\n";
-      for (const auto& sending : processes[i].take_datagrams()) {
-        processes[sending.to].on_message(now, bytes_of(sending.bytes));
-        if (sending.to == 3) processes[4].on_message(now, bytes_of(sending.bytes));
+      for (const auto& datagram : processes[i].take_datagrams()) {
+        processes[datagram.to].on_message(now, bytes_of(datagram.bytes));
+        if (datagram.to == 3) processes[4].on_message(now, bytes_of(datagram.bytes));
       }
     }
   }
@@ -297,46 +297,47 @@
   for (std::size_t i = 0; i < 3; ++i) CHECK(processes[i].view(3).name_conflict);
 }
 
-TEST_CASE("a member with false claims cannot have others called gone, and is distrusted after a while") {
+TEST_CASE("a member with false claims cannot make others count as failed, and is distrusted after a while") {
   SettledGroup settled(6);
   const auto& roster = settled.group.at(0).roster();
-  Swim victim = settled.group.at(0);  // a copy, which gets the false claims
+  Swim observer = settled.group.at(0);  // a copy of router 0, which gets the false claims
   Time now = settled.group.now();
   std::string reports;
   for (int round = 0; round < 400; ++round) {
     now += milliseconds(200);
-    // The accused members answer all probes, with the incarnation that they have by then.
+    // The suspected members answer all probes, with an incarnation that refutes the claims.
     Message false_claims;
     false_claims.group = roster.hash();
-    false_claims.from = {roster.id_of(1), ClaimKind::alive, victim.view(1).identity,
-                         victim.view(1).incarnation};
+    false_claims.from = {roster.id_of(1), ClaimKind::alive, observer.view(1).identity,
+                         observer.view(1).incarnation};
     for (std::size_t member = 2; member < 6; ++member)
-      false_claims.claims.push_back({roster.id_of(member), ClaimKind::suspected, victim.view(member).identity,
-                                     victim.view(member).incarnation + (round % 2)});
+      false_claims.claims.push_back({roster.id_of(member), ClaimKind::suspected,
+                                     observer.view(member).identity,
+                                     observer.view(member).incarnation + (round % 2)});
     false_claims.claims.push_back(
-        {roster.id_of(2), ClaimKind::alive, victim.view(2).identity, std::uint64_t{1} << 47});
+        {roster.id_of(2), ClaimKind::alive, observer.view(2).identity, std::uint64_t{1} << 47});
     false_claims.claims.push_back({id_of("stranger"), ClaimKind::alive, {1, 1, 1}, 1});
-    victim.on_message(now, bytes_of(write(false_claims)));
-    if (victim.next_tick() <= now) victim.tick(now);
-    for (const auto& sending : victim.take_datagrams()) {
-      const auto probe = read(bytes_of(sending.bytes), roster.hash());
+    observer.on_message(now, bytes_of(write(false_claims)));
+    if (observer.next_tick() <= now) observer.tick(now);
+    for (const auto& datagram : observer.take_datagrams()) {
+      const auto probe = read(bytes_of(datagram.bytes), roster.hash());
       if (probe->kind != MessageKind::ping) continue;
       Message answer;
       answer.kind = MessageKind::ack;
       answer.group = roster.hash();
       answer.number = probe->number;
-      answer.from = {roster.id_of(sending.to), ClaimKind::alive, victim.view(sending.to).identity,
-                     victim.view(sending.to).incarnation + 1};
-      victim.on_message(now + 1000, bytes_of(write(answer)));
+      answer.from = {roster.id_of(datagram.to), ClaimKind::alive, observer.view(datagram.to).identity,
+                     observer.view(datagram.to).incarnation + 1};
+      observer.on_message(now + 1000, bytes_of(write(answer)));
     }
-    for (const auto& change : victim.take_changes()) reports += change.text + "\n";
+    for (const auto& change : observer.take_changes()) reports += change.text + "\n";
   }
   INFO(reports);
   CHECK(reports.find("gone") == std::string::npos);
-  CHECK(victim.metrics().implausible_incarnations > 0);
-  CHECK(victim.metrics().unknown_routers > 0);
-  CHECK(victim.metrics().distrusted_claims > 0);
-  CHECK(!victim.is_cut_off());
+  CHECK(observer.metrics().implausible_incarnations > 0);
+  CHECK(observer.metrics().unknown_routers > 0);
+  CHECK(observer.metrics().distrusted_claims > 0);
+  CHECK(!observer.is_cut_off());
 }
 
 TEST_CASE("a router sends at most one message a second in a group of any size, and 1.3 at 30 % loss") {
--- a/tests/group/processes.cpp
+++ b/tests/group/processes.cpp
@@ -1,4 +1,5 @@
-// The group as real processes with faults between them. Each wait is for a log line or a status of a process.
+// Tests of a group of real processes with faults between them. Each wait is for a log line or a status of a
+// process.
 #include <catch2/catch.hpp>
 
 #include "../store/scratch.hpp"
@@ -16,7 +17,7 @@
 
 enum class AdminEndpoint { none, open };
 
-// A group of processes that agree.
+// A group of processes whose members agree at the start.
 struct ProcessGroup {
   explicit ProcessGroup(std::size_t routers, std::size_t sites = 1,
                         AdminEndpoint admin_endpoint = AdminEndpoint::none)
@@ -52,9 +53,9 @@
     for (std::size_t i = 0; i < harness.size(); ++i) harness.mark(i);
   }
   void require_clean_end() {
-    const std::string broken = harness.settle();
-    INFO(broken);
-    CHECK(broken.empty());
+    const std::string violation = harness.settle();
+    INFO(violation);
+    CHECK(violation.empty());
     CHECK(harness.metrics().served > 0);
   }
   Scratch scratch;
@@ -66,7 +67,8 @@
     Scratch scratch;
     std::string timeline;
     const auto result = play(random_rig_script(seed, 10, 3, 9), rig_options(scratch.folder(), timeline));
-    INFO("again: thornwick group play --scenario examples/lab/demo.toml --seed " << seed << "\n" << timeline);
+    INFO("to repeat: thornwick group play --scenario examples/lab/demo.toml --seed " << seed << "\n"
+                                                                                     << timeline);
     REQUIRE(result.broken == "");
     CHECK(result.metrics.served > 0);
   }
@@ -75,8 +77,8 @@
 }  // namespace
 
 TEST_CASE(
-    "processes: restarts with the disk, an older copy, an empty and a full disk are distinguished by the "
-    "others") {
+    "processes: the other routers distinguish restarts with the same disk, an older copy, an empty disk and "
+    "a full disk") {
   ProcessGroup group(3);
   const auto fail_router = [&] {
     group.mark();
@@ -87,29 +89,28 @@
   };
   fail_router();
   group.harness.start(1, DiskState::kept);
-  group.require_log(0, "r01: started anew with its disk");
+  group.require_log(0, "r01: restarted with its disk");
   group.require_log(1, "start 2 with its disk");
   group.require_agreement();
   fail_router();
-  group.harness.start(1, DiskState::older);  // as it was before start 2
-  group.require_log(0, "r01: started anew with an older copy of its disk");
+  group.harness.start(1, DiskState::older);  // the disk as it was before start 2
+  group.require_log(0, "r01: restarted with an older copy of its disk");
   group.require_log(1, "the group knew a later start of this disk");
   group.require_agreement();
   fail_router();
   group.harness.start(1, DiskState::empty);
-  group.require_log(2, "r01: started anew with an empty disk");
+  group.require_log(2, "r01: restarted with an empty disk");
   group.require_log(1, "the group knew this name with another disk");
   group.require_agreement();
   fail_router();
-  group.harness.start(
-      1,
-      DiskState::full);  // the router serves, but stores nothing, so that the group sees an empty disk
+  // The router serves, but stores nothing, so that the group sees an empty disk.
+  group.harness.start(1, DiskState::full);
   group.require_log(1, "this start cannot be counted");
-  group.require_log(0, "r01: started anew with an empty disk");
+  group.require_log(0, "r01: restarted with an empty disk");
   group.require_agreement();
   CHECK(group.harness.status(0).at("members").at(1).at("back") == "empty");
   fail_router();
-  group.harness.start(1, DiskState::slow);  // the start only takes longer
+  group.harness.start(1, DiskState::slow);  // the start takes longer, without other effects
   group.require_log(1, " with its disk");
   group.require_agreement();
   group.require_clean_end();
@@ -123,12 +124,12 @@
   group.harness.stop(3);
   group.require_log(0, "r03: gone, was suspected");
   group.harness.go(3);
-  group.require_log(3, "r03: this process stood still for");
-  group.require_log(0, "r03: it stood still for");
+  group.require_log(3, "r03: this process was suspended for");
+  group.require_log(0, "r03: it was suspended for");
   group.require_agreement();
   const std::string& log = group.harness.log(3);
-  CHECK(log.find("stood still") <
-        log.find("what this router believes of the group holds", log.find("stood still")));
+  CHECK(log.find("was suspended for") <
+        log.find("this router's view of the group is reliable", log.find("was suspended for")));
   group.mark();
   group.harness.end(2);
   group.require_log(0, "r02: leaving, was alive");
@@ -137,19 +138,19 @@
   group.require_agreement();
   CHECK(!group.harness.says(0, "r02: suspected"));
   CHECK(!group.harness.status(0).at("cut_off").get<bool>());
-  CHECK(group.harness.status(0).at("sites").at(0).at("seen") == 1);  // of r00 and r02
+  CHECK(group.harness.status(0).at("sites").at(0).at("seen") == 1);  // of r00 and r02, which has left
   group.require_clean_end();
 }
 
-TEST_CASE("processes: the halves of a partitioned even group call each other gone, and agree again") {
+TEST_CASE("processes: the halves of an evenly split group report each other as failed, and agree again") {
   ProcessGroup group(4, 2);
   group.mark();
-  LinkFaults cut;
-  cut.cut = true;
+  LinkFaults partition;
+  partition.cut = true;
   for (std::size_t left = 0; left < 2; ++left) {
     for (std::size_t right = 2; right < 4; ++right) {
-      group.harness.set(left, right, cut);
-      group.harness.set(right, left, cut);
+      group.harness.set(left, right, partition);
+      group.harness.set(right, left, partition);
     }
   }
   for (std::size_t left = 0; left < 2; ++left) {
@@ -166,13 +167,13 @@
 }
 
 TEST_CASE(
-    "processes: a process replaced under load hands its name over, and no router suspects it, no request is "
+    "processes: a process replaced under load hands its name over, no router suspects it, and no request is "
     "lost") {
   ProcessGroup group(3, 1, AdminEndpoint::open);
   group.mark();
   group.harness.replace(1);
-  group.require_log(0, "r01: started anew with its disk");
-  group.require_log(2, "r01: started anew with its disk");
+  group.require_log(0, "r01: restarted with its disk");
+  group.require_log(2, "r01: restarted with its disk");
   group.require_agreement();
   for (const std::size_t i : {0u, 2u})
     CHECK((!group.harness.says(i, "r01: suspected") && !group.harness.says(i, "r01: gone") &&
@@ -196,11 +197,11 @@
 
 TEST_CASE("processes: two routers that do not reach each other see each other alive through a third") {
   ProcessGroup group(3);
-  LinkFaults cut;
-  cut.cut = true;
+  LinkFaults partition;
+  partition.cut = true;
   group.mark();
-  group.harness.set(0, 2, cut);
-  group.harness.set(2, 0, cut);
+  group.harness.set(0, 2, partition);
+  group.harness.set(2, 0, partition);
   const auto reaches_indirectly = [&](std::size_t observer, std::size_t member) {
     const auto status = group.harness.status(observer);
     return status.is_object() && status.at("members").at(member).at("over_another").get<bool>() &&
@@ -243,7 +244,7 @@
            status.at("members").at(2).at("link") == "up";
   };
   REQUIRE(group.harness.until(linked));
-  // A reset, a half-closed and a stalled connection each end a link, and the next one connects.
+  // A reset, a half-closed and a stalled connection each end a link, and the routers connect again.
   const int lost_before = count("links", "lost");
   group.harness.reset(0, 1);
   REQUIRE(group.harness.until([&] { return count("links", "lost") > lost_before && linked(); }));
@@ -276,7 +277,7 @@
   group.harness.set_clock(0, -3'600'000, 1.01);  // the clock steps while the process runs
   group.harness.run_for(seconds(2));
   for (std::size_t i = 0; i < 3; ++i)
-    CHECK((!group.harness.says(i, "stood still") && !group.harness.says(i, "cut off")));
+    CHECK((!group.harness.says(i, "was suspended for") && !group.harness.says(i, "cut off")));
   group.require_clean_end();
 }
 
@@ -301,12 +302,12 @@
       "[group]\nname = \"g\"\nsites = [\"a\", \"b\"]\nself = \"r9\"\n[[router]]\nname = \"r1\"\nsite = "
       "\"a\"\naddress = \"127.0.0.1:1\"\n"
       "[[router]]\nname = \"r1\"\nsite = \"a\"\naddress = \"127.0.0.1:1\"\nrole = \"king\"\n");
-  for (const char* part :
+  for (const char* expected :
        {":9: router.name: 'r1' stands in line 5 already", ":9: router.address: 127.0.0.1:1",
         ":13: router.role: 'king' is none of", ":1: group.sites: 'b' has no router",
         ":4: group.self: no router is called 'r9'"}) {
     INFO(errors);
-    CHECK(errors.find(part) != std::string::npos);
+    CHECK(errors.find(expected) != std::string::npos);
   }
   CHECK(error_of("[[router]]\nname = \"r1\"\n").find("there is no [group]") != std::string::npos);
   CHECK_THROWS_WITH(read_rig_script(file("[rig]\nrouters = 2\nsites = 3\n[[fault]]\nat_s = 1\nkind = "
