--- a/tests/group/fault_harness_options.hpp
+++ b/tests/group/fault_harness_options.hpp
@@ -15,7 +15,7 @@
   options.scenario = std::string(THORNWICK_EXAMPLES) + "/lab/demo.toml";
   return options;
 }
-// Appends a line to `timeline` for each event.
+// The same, with a log that appends a line to `timeline` for each event.
 inline testbed::FaultHarnessOptions rig_options(const std::string& folder, std::string& timeline) {
   auto options = rig_options(folder);
   options.write_log = [&timeline](double at, const std::string& what) {
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -1,4 +1,5 @@
-// Links between two routers in one main loop, datagram sockets, and the file that counts starts.
+// Tests of links between two routers in one main loop, of datagram sockets, and of the file that counts
+// starts.
 #include "net/links.hpp"
 
 #include <catch2/catch.hpp>
@@ -13,7 +14,7 @@
 
 namespace {
 
-// One router's end of the links, with a record of its callbacks.
+// One router's end of the links, which records its callbacks.
 struct LinkEnd {
   explicit LinkEnd(std::size_t number, std::uint32_t group = 7) {
     options.listen = "127.0.0.1:0";
@@ -67,10 +68,8 @@
 }  // namespace
 
 TEST_CASE(
-    "links: of two connections one stays, frames arrive whole and in order, and a full queue rejects frames, "
-    "and "
-    "reports "
-    "room later") {
+    "links: of two connections one stays, frames arrive complete and in order, and a full queue rejects "
+    "frames and reports later that it has room") {
   LinkEnd first(0);
   LinkEnd second(1);
   join(first, second);
@@ -85,8 +84,8 @@
   CHECK(first.received.front() == "1/5/back");
   CHECK(!first.links->send(1, 5, std::string(kMaxFrameBytes, 'x')));
   CHECK(!first.links->send(1, 0, "the links' own channel"));
-  // The receiver does not read meanwhile, so that frames beyond the kernel's buffers are queued, up to the
-  // limit.
+  // The receiver does not read during this loop, so that frames beyond the kernel's buffers are queued, up to
+  // the limit.
   const std::string large_frame(60'000, 'y');
   int accepted = 0;
   while (accepted < 10'000 && first.links->send(1, 7, large_frame)) ++accepted;
@@ -100,7 +99,9 @@
   CHECK(first.links->send(1, 7, large_frame));
 }
 
-TEST_CASE("links: another group is rejected, and a closed link is detected and connects again by itself") {
+TEST_CASE(
+    "links: a router of another group is rejected, and a closed link is detected and connects again by "
+    "itself") {
   {
     LinkEnd first(0);
     LinkEnd second(1, 8);
@@ -124,7 +125,8 @@
   REQUIRE(loop_until([&] { return !first.received.empty(); }));
 }
 
-TEST_CASE("links: garbage, a frame without a greeting and silence each end that connection only") {
+TEST_CASE(
+    "links: unreadable bytes, a frame without a greeting, and silence each close that connection only") {
   LinkEnd first(0);
   first.open();
   const auto address = parse_address(first.links->address());
@@ -150,9 +152,8 @@
 }
 
 TEST_CASE(
-    "a start is counted in the state file, and an empty, a damaged and an unwritable file each give a new "
-    "disk "
-    "identity") {
+    "a start is counted in the state file, and a missing, a damaged and an unwritable file each give a new "
+    "disk id") {
   Scratch scratch;
   const std::string path = scratch.path("group");
   const auto first = node::load_identity(path);
@@ -161,8 +162,8 @@
   const auto second = node::load_identity(path);
   CHECK((!second.empty && second.identity.disk_id == first.identity.disk_id &&
          second.identity.start_number == 2));
-  CHECK((second.identity.instance_id != 0 &&
-         second.identity.instance_id != first.identity.instance_id));  // a run of 0 would identify no process
+  // An instance id of 0 would identify no process.
+  CHECK((second.identity.instance_id != 0 && second.identity.instance_id != first.identity.instance_id));
   const std::string bytes = testing::read_bytes(path);
   for (std::size_t offset = 0; offset < bytes.size(); offset += 7) {
     std::string changed = bytes;
