--- a/tests/replication/processes.cpp
+++ b/tests/replication/processes.cpp
@@ -1,5 +1,5 @@
-// Real processes that share a quota and lose machines with their disks. The work that upstream replicas
-// counted is compared with the limit and the ledgers.
+// Tests of real processes that share a quota and lose machines with their disks. The work that upstream
+// replicas counted is compared with the limit and the ledgers.
 #include <catch2/catch.hpp>
 
 #include "../group/fault_harness_options.hpp"
@@ -18,11 +18,11 @@
 constexpr std::uint64_t kPlays = 5;
 #endif
 
-void require_unbroken(const CopiesPlay& script) {
+void require_no_violation(const CopiesPlay& script) {
   Scratch scratch;
   std::string timeline;
   const auto result = play_losses(script, rig_options(scratch.folder(), timeline));
-  INFO("again: thornwick copies play --scenario examples/lab/demo.toml --seed "
+  INFO("to repeat: thornwick copies play --scenario examples/lab/demo.toml --seed "
        << script.seed << " --routers " << script.routers << " --sites " << script.sites << " --copies "
        << script.copies << (script.site ? " --site" : "") << "\n"
        << timeline);
@@ -36,25 +36,26 @@
 
 }  // namespace
 
-// Each case has a few scripts, so that the cases run in parallel.
+// The scripts are split into cases, which run in parallel.
 TEST_CASE(
     "ledgers of processes: no limit is exceeded when two machines of three are lost one after the other "
     "(seeds from 1)") {
-  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) require_unbroken({.seed = seed});
+  for (std::uint64_t seed = 1; seed <= kPlays; ++seed) require_no_violation({.seed = seed});
 }
 TEST_CASE(
     "ledgers of processes: no limit is exceeded when two machines of three are lost one after the other "
     "(seeds from 51)") {
-  for (std::uint64_t seed = 51; seed < 51 + kPlays; ++seed) require_unbroken({.seed = seed});
+  for (std::uint64_t seed = 51; seed < 51 + kPlays; ++seed) require_no_violation({.seed = seed});
 }
 
 TEST_CASE(
-    "ledgers of processes: five replicas at three sites bear the loss of up to two machines at a time") {
+    "ledgers of processes: five replicas at three sites survive the loss of up to two machines at a time") {
   for (std::uint64_t seed = 101; seed < 101 + kPlays; ++seed)
-    require_unbroken({.seed = seed, .routers = 5, .sites = 3, .copies = 5});
+    require_no_violation({.seed = seed, .routers = 5, .sites = 3, .copies = 5});
 }
 
-TEST_CASE("ledgers of processes: three sites bear the loss of a whole one, and then of one again") {
+TEST_CASE("ledgers of processes: three sites survive the loss of one site, and then of one site again") {
   for (std::uint64_t seed = 201; seed < 201 + kPlays; ++seed)
-    require_unbroken({.seed = seed, .routers = 5, .sites = 3, .copies = 5, .faults = false, .site = true});
+    require_no_violation(
+        {.seed = seed, .routers = 5, .sites = 3, .copies = 5, .faults = false, .site = true});
 }
