--- a/src/replication/quota_lease_channel.cpp
+++ b/src/replication/quota_lease_channel.cpp
@@ -190,7 +190,7 @@
   channel.has_majority = false;
   const std::string consequence = options_.overdraft_fraction > 0
                                       ? "budgets are granted up to their overdraft"
-                                      : "budgets are granted only from quota that is leased here";
+                                      : "no budget is granted until a majority answers";
   dependencies_.write_log(Severity::warning, "no majority of the replicas answers: " + consequence);
 }
 
