--- a/src/emulator/attempts.cpp
+++ b/src/emulator/attempts.cpp
@@ -72,7 +72,7 @@
                                     .prefix_tokens = plan.prefix_tokens,
                                     .generated = plan.generated,
                                     .size = plan.work,
-                                    .due = plan.deadline})) {
+                                    .deadline = plan.deadline})) {
     ++replica.result.full;
     return schedule(now_ + back, EventType::attempt_rejected, handle);
   }
--- a/src/emulator/baseline_policies.cpp
+++ b/src/emulator/baseline_policies.cpp
@@ -20,7 +20,7 @@
 class BaselinePolicy : public core::Decider {
  public:
   explicit BaselinePolicy(const BaselineSettings& settings)
-      : settings_(settings), random_(settings.seed, Concern::policy) {}
+      : settings_(settings), random_(settings.seed, StreamPurpose::policy) {}
 
   void on_endpoints(Time, EndpointUpdate scope, std::span<const Endpoint> entries) override {
     if (scope == EndpointUpdate::failed) return;
--- a/src/emulator/day_entities.hpp
+++ b/src/emulator/day_entities.hpp
@@ -61,8 +61,8 @@
   std::uint16_t kind = 0;
   std::unique_ptr<Engine> engine;
   double speed = 1;
-  double pace = 1;   // multiple of the speed that faults leave
-  Time started = 0;  // 0: before the day
+  double speed_factor = 1;  // multiple of the speed that faults leave
+  Time started = 0;         // 0: before the day
   Time warm_up = 0;
   double initial_capacity = 1;
   bool up = true;
--- a/src/emulator/day_simulation.cpp
+++ b/src/emulator/day_simulation.cpp
@@ -48,11 +48,11 @@
       seed_(seed),
       options_(options),
       day_end_(from_seconds(scenario.seconds)),
-      fleet_random_(seed, Concern::fleet),
-      client_random_(seed, Concern::clients),
-      replica_random_(seed, Concern::replicas),
-      peer_random_(seed, Concern::peers),
-      fault_random_(seed, Concern::faults),
+      fleet_random_(seed, StreamPurpose::fleet),
+      client_random_(seed, StreamPurpose::clients),
+      replica_random_(seed, StreamPurpose::replicas),
+      peer_random_(seed, StreamPurpose::peers),
+      fault_random_(seed, StreamPurpose::faults),
       network_(scenario, seed),
       discovery_(scenario, seed),
       result_(empty_result(scenario, seed)) {
@@ -121,7 +121,7 @@
     case EventType::attempt_completed: return on_completed(event.subject);
     case EventType::attempt_reset: return end_attempt(event.subject, Outcome::reset);
     case EventType::replica_timer: return on_replica_timer(event.index, event.subject);
-    case EventType::replica_warm_up: return set_pace(event.index);
+    case EventType::replica_warm_up: return set_replica_speed(event.index);
     case EventType::endpoint_change_registered: return on_change_registered(event.subject);
     case EventType::watch_event_delivered: return deliver_watch_event(event.subject, *routers_[event.index]);
     case EventType::endpoint_list_delivered:
@@ -184,7 +184,7 @@
   attempts_.for_each(
       [&](Handle, const Attempt& attempt) { result_.totals.tokens_for_nobody += attempt.undelivered; });
   for (auto& replica : replicas_) {
-    result_.totals.tokens_made += replica.engine->load().finished;
+    result_.totals.tokens_made += replica.engine->load().completed_tokens;
     result_.fleet.push_back(std::move(replica.result));
   }
   set_score(result_);
--- a/src/emulator/day_simulation.hpp
+++ b/src/emulator/day_simulation.hpp
@@ -78,7 +78,7 @@
   void add_replica();  // one more, which starts now
   void lose_replica(std::uint32_t index, ReplicaLoss loss);
   void restore_replica(std::uint32_t index);
-  void set_pace(std::uint32_t index);
+  void set_replica_speed(std::uint32_t index);
   double current_capacity(const Replica& replica) const;
   void schedule_replica(std::uint32_t index);
   void on_replica_timer(std::uint32_t index, std::uint64_t version);
@@ -117,7 +117,7 @@
   void end_fault(std::uint32_t index);
   void lose_zone(const DayFault& fault, std::uint16_t zone);
   void restore_zone(std::uint16_t zone);
-  void scale_paces(double multiplier, double divisor);
+  void scale_speed_factors(double multiplier, double divisor);
   void age_replica(std::uint32_t index);
   void replace_next_replica(std::uint32_t index);
   double rate_factor() const;
--- a/src/emulator/demand.cpp
+++ b/src/emulator/demand.cpp
@@ -34,8 +34,8 @@
     : scenario_(scenario),
       seed_(seed),
       capacity_(capacity),
-      arrivals_(seed, Concern::arrivals),
-      sizes_(seed, Concern::sizes),
+      arrivals_(seed, StreamPurpose::arrivals),
+      sizes_(seed, StreamPurpose::sizes),
       class_choice_(std::vector<double>{1}),
       member_choice_(std::vector<double>{1}),
       zone_choice_(std::vector<double>{1}),
@@ -84,7 +84,7 @@
 
 // Sampled instead of calculated, because answers are cut at their limit.
 DemandModel::Sample DemandModel::sample_sessions(std::uint64_t seed) const {
-  RandomStream random(seed, Concern::sizes, 1);
+  RandomStream random(seed, StreamPurpose::sizes, 1);
   double work = 0;
   double requests = 0;
   for (int i = 0; i < kSampledSessions; ++i) {
--- a/src/emulator/discovery.cpp
+++ b/src/emulator/discovery.cpp
@@ -7,7 +7,7 @@
 namespace thornwick::emulator {
 
 DiscoveryService::DiscoveryService(const Scenario& scenario, std::uint64_t seed) {
-  RandomStream random(seed, Concern::discovery);
+  RandomStream random(seed, StreamPurpose::discovery);
   notice_s_ = random.between(scenario.notice_s.low, scenario.notice_s.high);
   silent_notice_s_ = random.between(scenario.silent_notice_s.low, scenario.silent_notice_s.high);
   add_s_ = random.between(scenario.add_s.low, scenario.add_s.high);
--- a/src/emulator/engine.hpp
+++ b/src/emulator/engine.hpp
@@ -25,7 +25,7 @@
   double prefix_tokens = 0;   // of the prompt's tokens, shared with other sessions
   double generated = 0;       // tokens that the answer will have, at least 1
   double size = 0;            // for a plain queue: microseconds at speed 1
-  Time due = 0;               // an engine that drops expired work does not begin it later
+  Time deadline = 0;          // an engine that drops expired work does not begin it later
 };
 
 enum class ReportKind {
@@ -44,10 +44,10 @@
 struct EngineLoad {
   std::size_t running = 0;
   std::size_t waiting = 0;
-  double unread = 0;    // prompt tokens that wait or are being read
-  double cached = 0;    // tokens of earlier prompts in the cache
-  double held = 0;      // tokens of the running contexts
-  double finished = 0;  // tokens of all completed answers
+  double unread_tokens = 0;     // prompt tokens that wait or are being read
+  double cached_tokens = 0;     // tokens of earlier prompts in the cache
+  double context_tokens = 0;    // tokens of the running contexts
+  double completed_tokens = 0;  // tokens of all completed answers
 };
 
 class Engine {
@@ -57,15 +57,15 @@
   // Queues the work. False: the queue is full, and nothing changes.
   virtual bool offer(Time now, const Work& work) = 0;
 
-  // The time at which run() has something to do; kNever while the engine is idle. Every call but load() may
-  // change it.
-  virtual Time next() const = 0;
+  // The time at which advance() has something to do; kNever while the engine is idle. Every call but load()
+  // may change it.
+  virtual Time next_event_at() const = 0;
 
   // Advances to `now`, and appends what happened to `reports`.
-  virtual void run(Time now, std::vector<Report>& reports) = 0;
+  virtual void advance(Time now, std::vector<Report>& reports) = 0;
 
   // Sets the multiple of the nominal speed at which the engine works from now on.
-  virtual void set_pace(Time now, double pace) = 0;
+  virtual void set_speed_factor(Time now, double speed_factor) = 0;
 
   // Loses all work and the cache, as when a process dies. Nothing is reported.
   virtual void clear() = 0;
@@ -74,7 +74,7 @@
   virtual double generated_by(Time now, Job job) const = 0;
 
   // Removes the cached prompts of this part (0..1) of all sessions and prefixes.
-  virtual void void_cached(double part) = 0;
+  virtual void evict_cached(double part) = 0;
 
   virtual EngineLoad load() const = 0;
 };
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -35,10 +35,10 @@
     case DayFaultKind::burst:
     case DayFaultKind::partition: return;
     case DayFaultKind::zone_lost: return lose_zone(drawn, fault.zone);
-    case DayFaultKind::slow: return scale_paces(1, fault.size);
+    case DayFaultKind::slow: return scale_speed_factors(1, fault.size);
     case DayFaultKind::ageing: return age_replica(index);
     case DayFaultKind::flush:
-      for (auto& replica : replicas_) replica.engine->void_cached(fault.size);
+      for (auto& replica : replicas_) replica.engine->evict_cached(fault.size);
       return;
     case DayFaultKind::replacement: fault.replica = 0; return replace_next_replica(index);
   }
@@ -59,10 +59,10 @@
   fault.active = false;
   switch (scenario_.faults[index].kind) {
     case DayFaultKind::zone_lost: return restore_zone(fault.zone);
-    case DayFaultKind::slow: return scale_paces(fault.size, 1);
+    case DayFaultKind::slow: return scale_speed_factors(fault.size, 1);
     case DayFaultKind::ageing:
-      replicas_[fault.replica].pace = 1;  // its process was restarted
-      return set_pace(fault.replica);
+      replicas_[fault.replica].speed_factor = 1;  // its process was restarted
+      return set_replica_speed(fault.replica);
     case DayFaultKind::burst:
     case DayFaultKind::flush:
     case DayFaultKind::replacement:
@@ -91,18 +91,18 @@
   }
 }
 
-void DaySimulation::scale_paces(double multiplier, double divisor) {
+void DaySimulation::scale_speed_factors(double multiplier, double divisor) {
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
-    replicas_[i].pace = replicas_[i].pace * multiplier / divisor;
-    set_pace(i);
+    replicas_[i].speed_factor = replicas_[i].speed_factor * multiplier / divisor;
+    set_replica_speed(i);
   }
 }
 
 // One step on the way to its full slowness.
 void DaySimulation::age_replica(std::uint32_t index) {
   const ActiveFault& fault = faults_[index];
-  replicas_[fault.replica].pace /= std::pow(fault.size, 1.0 / kAgeingSteps);
-  set_pace(fault.replica);
+  replicas_[fault.replica].speed_factor /= std::pow(fault.size, 1.0 / kAgeingSteps);
+  set_replica_speed(fault.replica);
   if (now_ >= fault.until) return;
   schedule(now_ + (fault.until - fault.from) / kAgeingSteps, EventType::fault_progressed, 0, index);
 }
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -29,7 +29,7 @@
 Group::Group(const GroupOptions& options)
     : options_(options),
       roster_(make_roster(options.routers, options.sites)),
-      random_(options.seed, Concern::peers),
+      random_(options.seed, StreamPurpose::peers),
       nodes_(options.routers),
       blocked_(options.routers * options.routers, false) {
   for (std::size_t i = 0; i < size(); ++i) start(i, Disk::empty);
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -240,7 +240,7 @@
 }
 
 GroupScript random_script(std::uint64_t seed) {
-  RandomStream random(seed, Concern::faults);
+  RandomStream random(seed, StreamPurpose::faults);
   GroupScript script;
   script.options.seed = seed;
   script.options.routers = 3 + random.below(7);
--- a/src/emulator/model_replica.cpp
+++ b/src/emulator/model_replica.cpp
@@ -36,9 +36,9 @@
     return true;
   }
 
-  Time next() const override { return run_end_; }
+  Time next_event_at() const override { return run_end_; }
 
-  void run(Time now, std::vector<Report>& reports) override {
+  void advance(Time now, std::vector<Report>& reports) override {
     while (run_end_ <= now) {
       const Time end = run_end_;
       finish_run(reports);
@@ -46,8 +46,8 @@
     }
   }
 
-  void set_pace(Time now, double pace) override {
-    pace_ = pace;
+  void set_speed_factor(Time now, double speed_factor) override {
+    speed_factor_ = speed_factor;
     if (run_end_ != kNever && steps_ > 1) cut_run(now);  // the current step ends with the pace it began with
   }
 
@@ -69,7 +69,7 @@
     return 0;
   }
 
-  void void_cached(double part) override {
+  void evict_cached(double part) override {
     cache_.erase_if([part](std::uint64_t key) { return unit_interval(mix(key)) < part; });
   }
 
@@ -109,8 +109,9 @@
     steps_ = read_ > 0 ? 1 : steps_ahead();
     first_us_ = (limits_.step_us + limits_.per_sequence_us * static_cast<double>(running_.size()) +
                  limits_.context_us_per_k * held_ / 1000 + 1e6 * read_ / limits_.read_per_s) /
-                (speed_ * pace_);
-    growth_us_ = limits_.context_us_per_k * static_cast<double>(running_.size()) / 1000 / (speed_ * pace_);
+                (speed_ * speed_factor_);
+    growth_us_ =
+        limits_.context_us_per_k * static_cast<double>(running_.size()) / 1000 / (speed_ * speed_factor_);
     run_end_ = now + std::max<Time>(1, std::llround(duration_of(steps_)));
   }
 
@@ -193,7 +194,7 @@
     while (!waiting_.empty() && running_.size() < limits_.slots) {
       const Waiting& next = waiting_.front();
       const double prompt = next.work.prompt + next.generated;
-      if (limits_.drops_expired && next.work.due < now && reports != nullptr) {
+      if (limits_.drops_expired && next.work.deadline < now && reports != nullptr) {
         reports->push_back({next.work.job, ReportKind::dropped, 0, 0});
         unread_ -= prompt;
         waiting_.pop_front();
@@ -221,7 +222,7 @@
 
   ModelLimits limits_;
   double speed_;
-  double pace_ = 1;
+  double speed_factor_ = 1;
   std::vector<Sequence> running_;  // in the order of their admission
   std::deque<Waiting> waiting_;
   PromptCache cache_;
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -6,7 +6,7 @@
 namespace thornwick::emulator {
 
 Network::Network(const Scenario& scenario, std::uint64_t seed)
-    : random_(seed, Concern::network),
+    : random_(seed, StreamPurpose::network),
       jitter_(scenario.jitter),
       base_us_(scenario.zones.size(), std::vector<double>(scenario.zones.size())) {
   for (std::size_t i = 0; i < base_us_.size(); ++i) {
--- a/src/emulator/queue_replica.cpp
+++ b/src/emulator/queue_replica.cpp
@@ -18,10 +18,10 @@
     return true;
   }
 
-  Time next() const override { return queue_.empty() ? kNever : std::llround(end_); }
+  Time next_event_at() const override { return queue_.empty() ? kNever : std::llround(end_); }
 
-  void run(Time now, std::vector<Report>& reports) override {
-    while (next() <= now) {
+  void advance(Time now, std::vector<Report>& reports) override {
+    while (next_event_at() <= now) {
       const Work& work = queue_.front();
       reports.push_back({work.job, ReportKind::first_token, 0, 0});
       reports.push_back({work.job, ReportKind::completed, 0, work.generated});
@@ -32,16 +32,17 @@
     }
   }
 
-  void set_pace(Time now, double pace) override {
-    if (!queue_.empty()) end_ = static_cast<double>(now) + (end_ - static_cast<double>(now)) * pace_ / pace;
-    pace_ = pace;
+  void set_speed_factor(Time now, double speed_factor) override {
+    if (!queue_.empty())
+      end_ = static_cast<double>(now) + (end_ - static_cast<double>(now)) * speed_factor_ / speed_factor;
+    speed_factor_ = speed_factor;
   }
 
   void clear() override { queue_.clear(); }
 
   double generated_by(Time, Job) const override { return 0; }
 
-  void void_cached(double) override {}
+  void evict_cached(double) override {}
 
   EngineLoad load() const override {
     const std::size_t running = queue_.empty() ? 0 : 1;
@@ -49,10 +50,10 @@
   }
 
  private:
-  double duration_of_front() const { return queue_.front().size / (speed_ * pace_); }
+  double duration_of_front() const { return queue_.front().size / (speed_ * speed_factor_); }
 
   double speed_;
-  double pace_ = 1;
+  double speed_factor_ = 1;
   double end_ = 0;  // microseconds: when the front's request is done
   double finished_ = 0;
   std::deque<Work> queue_;
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -18,7 +18,7 @@
 namespace thornwick::emulator {
 
 // What a stream's numbers decide. The values are part of the seed: they must not change.
-enum class Concern : std::uint32_t {
+enum class StreamPurpose : std::uint32_t {
   fleet = 1,  // what the replicas are like
   arrivals,   // when sessions begin, and whose they are
   sizes,      // how long prompts and answers are
@@ -33,9 +33,9 @@
 
 class RandomStream {
  public:
-  RandomStream(std::uint64_t seed, Concern concern, std::uint32_t number = 0) {
+  RandomStream(std::uint64_t seed, StreamPurpose purpose, std::uint32_t number = 0) {
     std::seed_seq words{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32),
-                        static_cast<std::uint32_t>(concern), number};
+                        static_cast<std::uint32_t>(purpose), number};
     generator_.seed(words);
   }
 
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -52,7 +52,7 @@
 void DaySimulation::add_replica() {
   const std::uint32_t index = create_replica();
   replicas_[index].started = now_;
-  set_pace(index);
+  set_replica_speed(index);
   announce(index, EndpointState::ready, discovery_.add_s());
 }
 
@@ -87,7 +87,7 @@
   replica.up = true;
   replica.unreachable = false;
   replica.started = now_;
-  set_pace(index);
+  set_replica_speed(index);
   announce(index, EndpointState::ready, discovery_.add_s());
 }
 
@@ -99,11 +99,11 @@
   return warm_up_factor(now_ - replica.started, replica.warm_up, replica.initial_capacity);
 }
 
-void DaySimulation::set_pace(std::uint32_t index) {
+void DaySimulation::set_replica_speed(std::uint32_t index) {
   Replica& replica = replicas_[index];
   if (!replica.up) return;
   const double capacity = current_capacity(replica);
-  replica.engine->set_pace(now_, capacity * replica.pace);
+  replica.engine->set_speed_factor(now_, capacity * replica.speed_factor);
   if (capacity < 1) schedule(now_ + kWarmUpStep, EventType::replica_warm_up, 0, index);
   schedule_replica(index);
 }
@@ -132,7 +132,7 @@
 // To be called after every change of the replica's engine.
 void DaySimulation::schedule_replica(std::uint32_t index) {
   Replica& replica = replicas_[index];
-  const Time next = replica.up ? replica.engine->next() : kNever;
+  const Time next = replica.up ? replica.engine->next_event_at() : kNever;
   if (next == replica.timer_at) return;
   replica.timer_at = next;
   ++replica.timer_version;
@@ -144,7 +144,7 @@
   if (version != replica.timer_version || !replica.up) return;
   replica.timer_at = kNever;
   reports_.clear();
-  replica.engine->run(now_, reports_);
+  replica.engine->advance(now_, reports_);
   for (const Report& report : reports_) deliver(replica, report);
   schedule_replica(index);
 }
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 ReplicationClients::ReplicationClients(ReplicationCluster& cluster)
-    : cluster_(cluster), random_(cluster.options().seed, Concern::arrivals) {}
+    : cluster_(cluster), random_(cluster.options().seed, StreamPurpose::arrivals) {}
 
 void ReplicationClients::start() {
   for (std::size_t i = 0; i < cluster_.size(); ++i) schedule_request(i);
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -59,7 +59,7 @@
 
 ReplicationCluster::ReplicationCluster(const ReplicationOptions& options)
     : options_(options),
-      random_(options.seed, Concern::faults),
+      random_(options.seed, StreamPurpose::faults),
       roster_(make_virtual_roster(options)),
       accounts_({{"minute|a", {budgets::LimitKind::minute, kWindowLimit, 0}},
                  {"minute|b", {budgets::LimitKind::minute, kWindowLimit, 0}},
--- a/src/testbed/fault_script.cpp
+++ b/src/testbed/fault_script.cpp
@@ -242,7 +242,7 @@
 
 FaultScript random_rig_script(std::uint64_t seed, double seconds, std::size_t least_routers,
                               std::size_t most_routers) {
-  emulator::RandomStream chance(seed, emulator::Concern::faults);
+  emulator::RandomStream chance(seed, emulator::StreamPurpose::faults);
   FaultScript script;
   script.seed = seed;
   script.seconds = seconds;
--- a/src/testbed/faulty_link.cpp
+++ b/src/testbed/faulty_link.cpp
@@ -73,7 +73,7 @@
   bool over_ = false;
 };
 
-FaultyLink::FaultyLink(std::uint64_t seed) : chance_(seed, emulator::Concern::network) {
+FaultyLink::FaultyLink(std::uint64_t seed) : chance_(seed, emulator::StreamPurpose::network) {
   open(there);
   open(back);
 }
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -73,7 +73,7 @@
   double pace = 1;        // what faults leave of it
   Time drains_since = 0;  // 0: it does not
 
-  void void_cached(double part) { drawn_.engine->void_cached(part); }
+  void void_cached(double part) { drawn_.engine->evict_cached(part); }
 
   // The process dies: connections break, new ones are rejected.
   void stop() {
@@ -103,7 +103,7 @@
     const double warmth = started_ == 0 ? 1
                                         : emulator::warm_up_factor(net::now_us() - started_, drawn_.warm_up,
                                                                    drawn_.initial_capacity);
-    drawn_.engine->set_pace(net::now_us(), warmth * pace);
+    drawn_.engine->set_speed_factor(net::now_us(), warmth * pace);
     if (warmth < 1) warming_.start(kWarmStep, [this] { set_pace(); });
     plan();
   }
@@ -153,7 +153,7 @@
                                               .prefix_tokens = request.prefix_tokens,
                                               .generated = generated,
                                               .size = request.work_hint,
-                                              .due = request.deadline})) {
+                                              .deadline = request.deadline})) {
       ++owner_.metrics_.full;
       return line.write(turned_away());
     }
@@ -162,14 +162,14 @@
   }
 
   void plan() {
-    const Time at = drawn_.engine->next();
+    const Time at = drawn_.engine->next_event_at();
     if (at == emulator::kNever) return next_.stop();
     next_.start(std::max<Time>(0, at - net::now_us()), [this] { run(); });
   }
 
   void run() {
     std::vector<emulator::Report> reports;
-    drawn_.engine->run(net::now_us(), reports);
+    drawn_.engine->advance(net::now_us(), reports);
     for (const auto& report : reports) {
       const auto found = answers_.find(report.job);
       if (found == answers_.end()) continue;
@@ -258,8 +258,8 @@
 // ---------------------------------------------------------------- discovery
 
 Installation::Installation(const InstallationOptions& options) : options_(options) {
-  emulator::RandomStream fleet(options.seed, emulator::Concern::fleet);
-  emulator::RandomStream directory(options.seed, emulator::Concern::discovery);
+  emulator::RandomStream fleet(options.seed, emulator::StreamPurpose::fleet);
+  emulator::RandomStream directory(options.seed, emulator::StreamPurpose::discovery);
   const auto& s = options_.scenario;
   for (std::size_t i = 0; i < s.replicas; ++i) {
     const auto hex = mix(options.seed ^ (std::uint64_t{i} << 20)) >> 32;
@@ -396,7 +396,7 @@
 // ---------------------------------------------------------------- faults
 
 void Installation::begin() {
-  emulator::RandomStream chance(options_.seed, emulator::Concern::faults);
+  emulator::RandomStream chance(options_.seed, emulator::StreamPurpose::faults);
   const auto& all = options_.scenario.faults;
   for (std::size_t i = 0; i < all.size(); ++i) {
     // In the order in which the emulated day draws them, so that both have the same.
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -45,7 +45,7 @@
 Load::Load(LoadOptions options)
     : options_(std::move(options)),
       dialect_(fronts::find_dialect(options_.dialect)),
-      chance_(options_.seed, emulator::Concern::clients) {
+      chance_(options_.seed, emulator::StreamPurpose::clients) {
   if (dialect_ == nullptr) throw std::invalid_argument("no such dialect: " + options_.dialect);
   if (options_.routers.empty()) throw std::invalid_argument("no router's address");
   for (const auto& address : options_.routers) {
--- a/src/testbed/replication_play.cpp
+++ b/src/testbed/replication_play.cpp
@@ -21,7 +21,7 @@
  public:
   Play(const CopiesPlay& script, FaultHarnessOptions options)
       : script_(script),
-        chance_(script.seed, emulator::Concern::faults),
+        chance_(script.seed, emulator::StreamPurpose::faults),
         rig_(with(script, std::move(options))) {}
 
   CopiesPlayed run() {
--- a/tests/emulator/replicas.cpp
+++ b/tests/emulator/replicas.cpp
@@ -35,9 +35,9 @@
 
 void play(Engine& engine, Played& played, Time until) {
   std::vector<Report> reports;
-  while (engine.next() <= until) {
-    const Time at = engine.next();
-    engine.run(at, reports);
+  while (engine.next_event_at() <= until) {
+    const Time at = engine.next_event_at();
+    engine.advance(at, reports);
     for (const auto& report : reports) {
       if (report.kind == ReportKind::first_token) {
         played.began[report.job] = at;
@@ -95,7 +95,7 @@
   play(*whole, a, 100'000'000);
   for (Time at = milliseconds(1); at < 10'000'000; at += 13'000) {
     play(*cut, b, at);
-    cut->set_pace(at, 1);  // ends the run, changes nothing
+    cut->set_speed_factor(at, 1);  // ends the run, changes nothing
   }
   play(*cut, b, 100'000'000);
   CHECK(std::abs(a.done[1] - b.done[1]) <= 500);  // each event is rounded to a microsecond
@@ -117,7 +117,7 @@
   play(*replica, played, 2'000'000);
   CHECK(played.cached[2] == 2010);  // prompt and answer
   CHECK(played.began[2] == 1'000'000 + 10'000 + 4'900);
-  replica->void_cached(1);
+  replica->evict_cached(1);
   replica->offer(2'000'000, work(3, 3000, 10, 77));
   play(*replica, played, 3'000'000);
   CHECK(played.cached[3] == 0);
@@ -131,7 +131,7 @@
     replica->offer(at, work(job, 4990, 10, 100 + job));
     play(*replica, played, at += 1'000'000);
   }
-  CHECK(replica->load().cached <= 20'000);
+  CHECK(replica->load().cached_tokens <= 20'000);
   replica->offer(at, work(6, 5500, 10, 101));
   play(*replica, played, at += 1'000'000);
   CHECK(played.cached[6] == 0);
@@ -170,7 +170,7 @@
     for (int i = 1; i <= count; ++i) {
       at += *rc::gen::inRange(0, 100'000);
       play(*replica, played, at);
-      if (*rc::gen::inRange(0, 8) == 0) replica->set_pace(at, 0.5 + 0.1 * *rc::gen::inRange(0, 10));
+      if (*rc::gen::inRange(0, 8) == 0) replica->set_speed_factor(at, 0.5 + 0.1 * *rc::gen::inRange(0, 10));
       const Work offered = work(static_cast<Job>(i), *rc::gen::inRange(1, 2500), *rc::gen::inRange(1, 300),
                                 *rc::gen::inRange<std::uint64_t>(0, 5));
       if (!replica->offer(at, offered)) continue;
@@ -179,11 +179,11 @@
     }
     play(*replica, played, at + 10'000'000'000);
     RC_ASSERT(played.done.size() == taken);
-    RC_ASSERT(replica->load().finished == asked);
+    RC_ASSERT(replica->load().completed_tokens == asked);
     RC_ASSERT(replica->load().running + replica->load().waiting == 0u);
-    RC_ASSERT(replica->load().held == 0.0);
-    RC_ASSERT(std::abs(replica->load().unread) < 1e-6);
-    RC_ASSERT(replica->load().cached <= limits.memory_tokens);
+    RC_ASSERT(replica->load().context_tokens == 0.0);
+    RC_ASSERT(std::abs(replica->load().unread_tokens) < 1e-6);
+    RC_ASSERT(replica->load().cached_tokens <= limits.memory_tokens);
   }));
 }
 
@@ -194,7 +194,7 @@
   replica->offer(100, {.job = 2, .generated = 1, .size = 1000});
   play(*replica, played, 500);
   CHECK(played.done[1] == 500);
-  replica->set_pace(750, 0.5);  // half of it is done
+  replica->set_speed_factor(750, 0.5);  // half of it is done
   play(*replica, played, 10'000);
   CHECK(played.done[2] == 1250);
 }
