--- a/src/emulator/attempts.cpp
+++ b/src/emulator/attempts.cpp
@@ -13,12 +13,12 @@
   attempt.router = router.index;
   attempt.replica = replica_index_.at(replica_id);
   attempt.request = request.handle;
-  if (!router.attempts.insert({id.request_id, handle}).second) ++result_.violations.twice;
+  if (!router.attempts.insert({id.request_id, handle}).second) ++result_.violations.concurrent_attempts;
   ++result_.attempts;
-  if (replicas_[attempt.replica].zone != router.zone) ++result_.crossings;
+  if (replicas_[attempt.replica].zone != router.zone) ++result_.cross_zone_attempts;
   const Time unavailable_since = router.unavailable_since[attempt.replica];
   const auto grace = static_cast<Time>(1000 * scenario_.drain_grace_ms);
-  if (unavailable_since > 0 && now_ > unavailable_since + grace) ++result_.violations.drained;
+  if (unavailable_since > 0 && now_ > unavailable_since + grace) ++result_.violations.attempts_to_draining;
   connect(router, handle);
 }
 
@@ -28,11 +28,11 @@
   Replica& replica = replicas_[attempt.replica];
   const Time one_way = network_.one_way(router.zone, replica.zone);
   if (!replica.up && replica.unreachable)
-    return schedule(now_ + static_cast<Time>(1000 * scenario_.dial_ms), EventType::attempt_connect_failed,
-                    handle);
+    return schedule(now_ + static_cast<Time>(1000 * scenario_.connect_timeout_ms),
+                    EventType::attempt_connect_failed, handle);
   if (!replica.up) return schedule(now_ + 2 * one_way, EventType::attempt_connect_failed, handle);
   auto& idle = router.idle_connections[attempt.replica];
-  const Time oldest = now_ - static_cast<Time>(1e6 * scenario_.idle_s);
+  const Time oldest = now_ - static_cast<Time>(1e6 * scenario_.idle_timeout_s);
   // If the newest one is idle for too long, all are, and all are closed.
   if (!idle.empty() && idle.back() < oldest) replica.connections -= std::exchange(idle, {}).size();
   if (!idle.empty()) {
@@ -77,7 +77,7 @@
     return schedule(now_ + back, EventType::attempt_rejected, handle);
   }
   attempt->in_engine = true;
-  result_.work_wasted += plan.work;  // until it is answered
+  result_.wasted_work += plan.work;  // until it is answered
   check_overload(index, plan.work);
   schedule_replica(index);
 }
@@ -88,7 +88,7 @@
   const double prompt = requests_.find(attempt->request)->plan.prompt;
   result_.cached_tokens += attempt->cached;
   result_.prompt_tokens += prompt;
-  auto& read = replicas_[attempt->replica].result.read;
+  auto& read = replicas_[attempt->replica].result.tokens_read;
   const auto sample = static_cast<std::size_t>(static_cast<double>(now_) / 1e6 / result_.sample_s);
   if (read.size() <= sample) read.resize(sample + 1);
   read[sample] += prompt - attempt->cached;
@@ -101,7 +101,7 @@
   core::RequestManager& core = *routers_[attempt->router]->core;
   const core::AttemptId id = attempt->id;
   const ClientRequest& request = *requests_.find(attempt->request);
-  result_.totals.tokens_charged += std::exchange(attempt->undelivered, 0);
+  result_.totals.delivered_tokens += std::exchange(attempt->undelivered, 0);
   usage_frame_.usage = {static_cast<std::uint64_t>(request.plan.prompt),
                         static_cast<std::uint64_t>(attempt->generated),
                         static_cast<std::uint64_t>(attempt->cached)};
@@ -139,7 +139,7 @@
 
 void DaySimulation::forget_attempt(Handle handle) {
   if (const Attempt* attempt = attempts_.find(handle))
-    result_.totals.tokens_for_nobody += attempt->undelivered;
+    result_.totals.discarded_tokens += attempt->undelivered;
   attempts_.erase(handle);
 }
 
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -46,8 +46,8 @@
   request.handle = handle;
   request.plan = plan;
   ++result_.turns;
-  ++result_.classes[plan.cls].turns;
-  result_.work_asked += plan.work;
+  ++result_.classes[plan.class_index].turns;
+  result_.requested_work += plan.work;
   send_try(handle);
 }
 
@@ -77,11 +77,11 @@
   EmulatedRouter& router = choose_router(plan.zone);
   sent->router = router.index;
   Request request;
-  request.priority_class = static_cast<std::uint8_t>(plan.cls);
+  request.priority_class = static_cast<std::uint8_t>(plan.class_index);
   request.tenant = plan.member;
-  const double deadline_ms = scenario_.classes[plan.cls].deadline_ms;
+  const double deadline_ms = scenario_.classes[plan.class_index].deadline_ms;
   request.deadline =
-      std::min(now_ + static_cast<Time>(scenario_.try_share * 1000 * deadline_ms), plan.deadline);
+      std::min(now_ + static_cast<Time>(scenario_.try_timeout_fraction * 1000 * deadline_ms), plan.deadline);
   request.prompt_tokens = plan.prompt;
   request.prefix_tokens = plan.prefix_tokens;
   request.max_tokens = plan.max_tokens;
@@ -125,16 +125,16 @@
 
 void DaySimulation::on_answered(ClientRequest& request) {
   const PlannedRequest& plan = request.plan;
-  const RequestClass& request_class = scenario_.classes[plan.cls];
-  const double part =
-      earned_part(request_class, plan.objective_at, plan.deadline, request.first_at, now_, plan.generated);
-  ClassResult& result = result_.classes[plan.cls];
+  const RequestClass& request_class = scenario_.classes[plan.class_index];
+  const double part = earned_fraction(request_class, plan.objective_at, plan.deadline, request.first_at, now_,
+                                      plan.generated);
+  ClassResult& result = result_.classes[plan.class_index];
   request.answered = true;
   ++result.served;
   if (part == 1) ++result.in_time;
-  result.first_us.add(request.first_at - plan.at);
+  result.first_token_us.add(request.first_at - plan.at);
   result.answer_us.add(now_ - plan.at);
-  result_.work_wasted -= plan.work;
+  result_.wasted_work -= plan.work;
   if (request_class.alpha > 0) {
     const double service_time = plan.work / scenario_.kinds.front().speed.low;
     const double waiting_time = std::max(0.0, static_cast<double>(now_ - plan.at) - service_time);
@@ -167,16 +167,17 @@
 }
 
 void DaySimulation::give_up(ClientRequest& request) {
-  ++result_.classes[request.plan.cls].given_up;
+  ++result_.classes[request.plan.class_index].given_up;
   end_request(request, 0);
 }
 
-void DaySimulation::end_request(ClientRequest& request, double earned_part) {
+void DaySimulation::end_request(ClientRequest& request, double earned_fraction) {
   const PlannedRequest& plan = request.plan;
-  auto& outcomes = result_.classes[plan.cls].outcomes;
-  if (counts(scenario_, plan.at) && outcomes.size() < ClassResult::kMaxOutcomes)
+  auto& outcomes = result_.classes[plan.class_index].outcomes;
+  if (is_scored(scenario_, plan.at) && outcomes.size() < ClassResult::kMaxOutcomes)
     outcomes.push_back({plan.prompt, plan.session, request.answered});
-  add_weight(result_, scenario_, plan.at, plan.cls, plan.member, plan.priority_weight, earned_part);
+  add_weight(result_, scenario_, plan.at, plan.class_index, plan.member, plan.priority_weight,
+             earned_fraction);
   requests_.erase(request.handle);
 }
 
--- a/src/emulator/day.hpp
+++ b/src/emulator/day.hpp
@@ -25,7 +25,7 @@
   Time at = 0;
   Time objective_at = 0;  // the first token is due by then...
   Time deadline = 0;      // ... and useless after this
-  std::uint16_t cls = 0;
+  std::uint16_t class_index = 0;
   std::uint16_t member = 0;
   std::uint16_t zone = 0;
   std::uint64_t session = 0;
--- a/src/emulator/day_simulation.cpp
+++ b/src/emulator/day_simulation.cpp
@@ -138,7 +138,7 @@
 void DaySimulation::sample_load() {
   for (auto& replica : replicas_) {
     const EngineLoad load = replica.engine->load();
-    replica.result.held.push_back(static_cast<std::uint32_t>(load.running + load.waiting));
+    replica.result.request_counts.push_back(static_cast<std::uint32_t>(load.running + load.waiting));
   }
   const double next_s = static_cast<double>(now_) / 1e6 + result_.sample_s;
   if (next_s <= scenario_.seconds) schedule(from_seconds(next_s), EventType::load_sampled);
@@ -147,7 +147,7 @@
 void DaySimulation::play() {
   on_session_arrived();
   schedule(0, EventType::load_sampled);
-  const Time limit = from_seconds(scenario_.seconds + scenario_.end_s);
+  const Time limit = from_seconds(scenario_.seconds + scenario_.max_overtime_s);
   while (!events_.empty() && events_.next_time() <= limit) {
     const Event event = events_.pop();
     now_ = event.at;
@@ -179,12 +179,12 @@
     if (router->core) add_counts(*router);
   }
   requests_.for_each([&](Handle, const ClientRequest& request) {
-    if (request.request_id != 0 && request.first_at == 0) ++result_.violations.lost;
+    if (request.request_id != 0 && request.first_at == 0) ++result_.violations.unanswered_tries;
   });
   attempts_.for_each(
-      [&](Handle, const Attempt& attempt) { result_.totals.tokens_for_nobody += attempt.undelivered; });
+      [&](Handle, const Attempt& attempt) { result_.totals.discarded_tokens += attempt.undelivered; });
   for (auto& replica : replicas_) {
-    result_.totals.tokens_made += replica.engine->load().completed_tokens;
+    result_.totals.generated_tokens += replica.engine->load().completed_tokens;
     result_.fleet.push_back(std::move(replica.result));
   }
   set_score(result_);
--- a/src/emulator/day_simulation.hpp
+++ b/src/emulator/day_simulation.hpp
@@ -108,7 +108,7 @@
   void cancel_request(Handle handle);
   void retry_or_give_up(ClientRequest& request, Time retry_after);
   void give_up(ClientRequest& request);
-  void end_request(ClientRequest& request, double earned_part);
+  void end_request(ClientRequest& request, double earned_fraction);
   EmulatedRouter& choose_router(std::uint16_t zone);
 
   // ---- faults (faults.cpp)
--- a/src/emulator/demand.cpp
+++ b/src/emulator/demand.cpp
@@ -88,9 +88,9 @@
   double work = 0;
   double requests = 0;
   for (int i = 0; i < kSampledSessions; ++i) {
-    const std::size_t cls = class_choice_.draw(random);
-    const RequestClass& request_class = scenario_.classes[cls];
-    const ClassMeans& mean = means_[cls];
+    const std::size_t class_index = class_choice_.draw(random);
+    const RequestClass& request_class = scenario_.classes[class_index];
+    const ClassMeans& mean = means_[class_index];
     const double generated = std::clamp(random.lognormal(mean.generated, request_class.generated_sigma), 1.0,
                                         request_class.max_tokens);
     const double new_tokens = random.lognormal(mean.new_tokens, request_class.new_sigma);
@@ -111,7 +111,7 @@
     return random.bounded_pareto(request_class.alpha, request_class.min_us, request_class.max_us);
   const ReplicaKind& kind = scenario_.kinds.front();
   const double running = std::max(1.0, kTypicalOccupancy * mean_of(kind.slots));
-  const double token = 1000 * mean_of(kind.step_ms) / running + mean_of(kind.sequence_us) +
+  const double token = 1000 * mean_of(kind.step_ms) / running + mean_of(kind.per_sequence_us) +
                        mean_of(kind.context_us_per_k) * context / 1000;
   return 1e6 * unread / mean_of(kind.read_per_s) + generated * token;
 }
@@ -126,14 +126,14 @@
 
 Session DemandModel::draw_session() {
   Session session;
-  session.cls = static_cast<std::uint16_t>(class_choice_.draw(arrivals_));
+  session.class_index = static_cast<std::uint16_t>(class_choice_.draw(arrivals_));
   session.member = static_cast<std::uint16_t>(member_choice_.draw(arrivals_));
   session.zone = static_cast<std::uint16_t>(zone_choice_.draw(arrivals_));
   session.key = arrivals_.bits() | 1;
-  const ClassMeans& mean = means_[session.cls];
-  if (scenario_.classes[session.cls].prefixes > 0) {
+  const ClassMeans& mean = means_[session.class_index];
+  if (scenario_.classes[session.class_index].prefixes > 0) {
     const std::size_t number = mean.prefix_choice.draw(arrivals_);
-    session.prefix = mix(seed_ ^ (std::uint64_t{session.cls} << 32 | number)) | 1;
+    session.prefix = mix(seed_ ^ (std::uint64_t{session.class_index} << 32 | number)) | 1;
     session.prefix_tokens = mean.prefix_sizes[number];
     session.context = session.prefix_tokens;
   }
@@ -146,11 +146,11 @@
 // ---------------------------------------------------------------- requests
 
 PlannedRequest DemandModel::draw_request(Session& session, Time now) {
-  const RequestClass& request_class = scenario_.classes[session.cls];
-  const ClassMeans& mean = means_[session.cls];
+  const RequestClass& request_class = scenario_.classes[session.class_index];
+  const ClassMeans& mean = means_[session.class_index];
   PlannedRequest request;
   request.at = now;
-  request.cls = session.cls;
+  request.class_index = session.class_index;
   request.member = session.member;
   request.zone = session.zone;
   request.session = session.key;
@@ -194,7 +194,7 @@
 }
 
 Time DemandModel::draw_think_time(const PlannedRequest& request) {
-  const double thinking = sizes_.exponential(1e6 * scenario_.classes[request.cls].think_s);
+  const double thinking = sizes_.exponential(1e6 * scenario_.classes[request.class_index].think_s);
   return std::llround(thinking + 1000 * kReadingMsPerToken * request.generated);
 }
 
--- a/src/emulator/demand.hpp
+++ b/src/emulator/demand.hpp
@@ -12,7 +12,7 @@
 namespace thornwick::emulator {
 
 struct Session {
-  std::uint16_t cls = 0;
+  std::uint16_t class_index = 0;
   std::uint16_t member = 0;
   std::uint16_t zone = 0;
   std::uint64_t key = 0;     // sticky key of its requests, never 0
--- a/src/emulator/discovery.cpp
+++ b/src/emulator/discovery.cpp
@@ -8,9 +8,9 @@
 
 DiscoveryService::DiscoveryService(const Scenario& scenario, std::uint64_t seed) {
   RandomStream random(seed, StreamPurpose::discovery);
-  notice_s_ = random.between(scenario.notice_s.low, scenario.notice_s.high);
-  silent_notice_s_ = random.between(scenario.silent_notice_s.low, scenario.silent_notice_s.high);
-  add_s_ = random.between(scenario.add_s.low, scenario.add_s.high);
+  removal_delay_s_ = random.between(scenario.removal_delay_s.low, scenario.removal_delay_s.high);
+  unreachable_delay_s_ = random.between(scenario.unreachable_delay_s.low, scenario.unreachable_delay_s.high);
+  addition_delay_s_ = random.between(scenario.addition_delay_s.low, scenario.addition_delay_s.high);
 }
 
 std::uint64_t DiscoveryService::record(const EndpointChange& change) {
--- a/src/emulator/discovery.hpp
+++ b/src/emulator/discovery.hpp
@@ -23,9 +23,9 @@
 
   // Seconds until a change is registered: of a replica that drains or has ended, of one that cannot be
   // reached, of one that has started.
-  double notice_s() const { return notice_s_; }
-  double silent_notice_s() const { return silent_notice_s_; }
-  double add_s() const { return add_s_; }
+  double removal_delay_s() const { return removal_delay_s_; }
+  double unreachable_delay_s() const { return unreachable_delay_s_; }
+  double addition_delay_s() const { return addition_delay_s_; }
 
   // Registers an endpoint at once.
   void add(const Endpoint& endpoint) { registered_[endpoint.id] = endpoint; }
@@ -43,9 +43,9 @@
   std::vector<Endpoint> endpoints() const;
 
  private:
-  double notice_s_ = 0;
-  double silent_notice_s_ = 0;
-  double add_s_ = 0;
+  double removal_delay_s_ = 0;
+  double unreachable_delay_s_ = 0;
+  double addition_delay_s_ = 0;
   std::deque<EndpointChange> changes_;
   absl::flat_hash_map<ReplicaId, Endpoint> registered_;
 };
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -71,7 +71,7 @@
 }
 
 void DaySimulation::lose_zone(const DayFault& fault, std::uint16_t zone) {
-  const ReplicaLoss loss = fault.silent ? ReplicaLoss::unreachable : ReplicaLoss::process_died;
+  const ReplicaLoss loss = fault.unreachable ? ReplicaLoss::unreachable : ReplicaLoss::process_died;
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
     if (replicas_[i].zone == zone) lose_replica(i, loss);
   }
@@ -114,8 +114,8 @@
   while (next < replicas_.size() && (!replicas_[next].up || replicas_[next].draining)) ++next;
   if (next >= scenario_.replicas) return;
   replicas_[next].draining = true;
-  announce(next, EndpointState::draining, discovery_.notice_s());
-  announce(next, EndpointState::removed, discovery_.notice_s() + scenario_.drain_s);
+  announce(next, EndpointState::draining, discovery_.removal_delay_s());
+  announce(next, EndpointState::removed, discovery_.removal_delay_s() + scenario_.drain_s);
   add_replica();
   ++next;
   const double interval_s = fault_random_.between(drawn.every_s.low, drawn.every_s.high);
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -15,10 +15,10 @@
   ModelLimits limits;
   limits.slots = to_count(draw(random, kind.slots));
   limits.queue = to_count(draw(random, kind.waiting));
-  limits.memory_tokens = 1000 * draw(random, kind.memory_k);
+  limits.memory_tokens = 1000 * draw(random, kind.memory_k_tokens);
   limits.chunk = draw(random, kind.chunk);
   limits.step_us = 1000 * draw(random, kind.step_ms);
-  limits.per_sequence_us = draw(random, kind.sequence_us);
+  limits.per_sequence_us = draw(random, kind.per_sequence_us);
   limits.context_us_per_k = draw(random, kind.context_us_per_k);
   limits.read_per_s = draw(random, kind.read_per_s);
   limits.caches_generated = kind.caches_generated;
--- a/src/emulator/network.cpp
+++ b/src/emulator/network.cpp
@@ -11,7 +11,7 @@
       base_us_(scenario.zones.size(), std::vector<double>(scenario.zones.size())) {
   for (std::size_t i = 0; i < base_us_.size(); ++i) {
     for (std::size_t j = 0; j <= i; ++j) {
-      const Range& range = i == j ? scenario.same_ms : scenario.cross_ms;
+      const Range& range = i == j ? scenario.same_zone_ms : scenario.cross_zone_ms;
       base_us_[i][j] = 1000 * random_.between(range.low, range.high);
       base_us_[j][i] = base_us_[i][j];
     }
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -53,7 +53,7 @@
   const std::uint32_t index = create_replica();
   replicas_[index].started = now_;
   set_replica_speed(index);
-  announce(index, EndpointState::ready, discovery_.add_s());
+  announce(index, EndpointState::ready, discovery_.addition_delay_s());
 }
 
 // Routers that wait for a dead process see their connections break; an unreachable one's time out.
@@ -78,7 +78,8 @@
   }
   replica.connections = 0;
   for (auto& router : routers_) router->idle_connections[index].clear();
-  announce(index, EndpointState::removed, unreachable ? discovery_.silent_notice_s() : discovery_.notice_s());
+  announce(index, EndpointState::removed,
+           unreachable ? discovery_.unreachable_delay_s() : discovery_.removal_delay_s());
 }
 
 void DaySimulation::restore_replica(std::uint32_t index) {
@@ -88,7 +89,7 @@
   replica.unreachable = false;
   replica.started = now_;
   set_replica_speed(index);
-  announce(index, EndpointState::ready, discovery_.add_s());
+  announce(index, EndpointState::ready, discovery_.addition_delay_s());
 }
 
 // ---------------------------------------------------------------- speed
@@ -123,7 +124,7 @@
   }
   const double possible = replica.speed * capacity * static_cast<double>(window);
   if (replica.recent_work_sum <= scenario_.overload_multiple * possible) return;
-  ++result_.violations.tipped;
+  ++result_.violations.overloaded_replicas;
   lose_replica(index, ReplicaLoss::process_died);
 }
 
@@ -153,7 +154,7 @@
 void DaySimulation::deliver(const Replica& replica, const Report& report) {
   Attempt* attempt = attempts_.find(report.job);
   if (attempt == nullptr) {
-    result_.totals.tokens_for_nobody += report.generated;
+    result_.totals.discarded_tokens += report.generated;
     return;
   }
   attempt->undelivered = report.generated;
--- a/src/emulator/result.cpp
+++ b/src/emulator/result.cpp
@@ -16,9 +16,10 @@
 constexpr double kCrossingPrice = 0.022;
 
 // Tokens that a replica read in `width` samples from this one on.
-double tokens_read(const ReplicaResult& replica, std::size_t from, std::size_t width) {
+double sum_tokens_read(const ReplicaResult& replica, std::size_t from, std::size_t width) {
   double tokens = 0;
-  for (std::size_t i = from; i < std::min(from + width, replica.read.size()); ++i) tokens += replica.read[i];
+  for (std::size_t i = from; i < std::min(from + width, replica.tokens_read.size()); ++i)
+    tokens += replica.tokens_read[i];
   return tokens;
 }
 
@@ -41,7 +42,7 @@
   return total == 0 ? 1 : static_cast<double>(answered) / static_cast<double>(total);
 }
 
-double ClassResult::singled_out() const {
+double ClassResult::rejected_session_excess() const {
   struct Session {
     std::size_t requests = 0;
     std::size_t rejected = 0;
@@ -73,7 +74,7 @@
     double largest = 0;
     double total = 0;
     for (const auto& replica : result.fleet) {
-      const double tokens = tokens_read(replica, i, width);
+      const double tokens = sum_tokens_read(replica, i, width);
       largest = std::max(largest, tokens);
       total += tokens;
     }
@@ -96,25 +97,25 @@
   return result;
 }
 
-double earned_part(const RequestClass& request_class, Time objective_at, Time deadline, Time first_at,
-                   Time ended, double generated) {
+double earned_fraction(const RequestClass& request_class, Time objective_at, Time deadline, Time first_at,
+                       Time ended, double generated) {
   const double token_ms = static_cast<double>(ended - first_at) / 1000 / generated;
   if (first_at <= objective_at && token_ms <= request_class.token_ms) return 1;
   const bool late = first_at <= deadline && token_ms <= 2 * request_class.token_ms;
   return late ? request_class.late_weight : 0;
 }
 
-bool counts(const Scenario& scenario, Time requested_at) {
+bool is_scored(const Scenario& scenario, Time requested_at) {
   return requested_at >= static_cast<Time>(scenario.warm_up_s * 1e6);
 }
 
-void add_weight(Result& result, const Scenario& scenario, Time requested_at, std::size_t cls,
+void add_weight(Result& result, const Scenario& scenario, Time requested_at, std::size_t class_index,
                 std::size_t member, double priority_weight, double part) {
-  if (!counts(scenario, requested_at)) return;
+  if (!is_scored(scenario, requested_at)) return;
   const auto window = static_cast<std::size_t>(static_cast<double>(requested_at) / 1e6 / result.window_s);
   if (window >= result.windows.size()) result.windows.resize(window + 1);
-  for (EarnedWeight* weight : {&result.whole, &result.classes[cls].priority_weight, &result.members[member],
-                               &result.windows[window]}) {
+  for (EarnedWeight* weight : {&result.total_weight, &result.classes[class_index].priority_weight,
+                               &result.members[member], &result.windows[window]}) {
     weight->requested += priority_weight;
     weight->earned += priority_weight * part;
   }
@@ -127,11 +128,13 @@
   for (const auto& window : result.windows) worst_window = std::min(worst_window, window.share());
   for (const auto& each : result.classes) worst_class = std::min(worst_class, each.priority_weight.share());
   for (const auto& member : result.members) worst_member = std::min(worst_member, member.share());
-  const double wasted = result.work_asked > 0 ? result.work_wasted / result.work_asked : 0;
+  const double wasted = result.requested_work > 0 ? result.wasted_work / result.requested_work : 0;
   const double crossed =
-      result.turns > 0 ? static_cast<double>(result.crossings) / static_cast<double>(result.turns) : 0;
-  result.score = kWholePart * result.whole.share() + kWindowPart * worst_window + kClassPart * worst_class +
-                 kMemberPart * worst_member - kWastePrice * std::max(0.0, wasted) - kCrossingPrice * crossed;
+      result.turns > 0 ? static_cast<double>(result.cross_zone_attempts) / static_cast<double>(result.turns)
+                       : 0;
+  result.score = kWholePart * result.total_weight.share() + kWindowPart * worst_window +
+                 kClassPart * worst_class + kMemberPart * worst_member - kWastePrice * std::max(0.0, wasted) -
+                 kCrossingPrice * crossed;
 }
 
 }  // namespace thornwick::emulator
--- a/src/emulator/result.hpp
+++ b/src/emulator/result.hpp
@@ -34,7 +34,7 @@
   std::uint64_t served = 0;
   std::uint64_t in_time = 0;
   std::uint64_t given_up = 0;            // after the last try, or cancelled
-  Histogram first_us;                    // from the first try to the first token
+  Histogram first_token_us;              // from the first try to the first token
   Histogram answer_us;                   // from the first try to the end
   std::vector<RequestOutcome> outcomes;  // of the first kMaxOutcomes requests that count
 
@@ -44,36 +44,41 @@
 
   // The part of its sessions whose requests were all rejected, less the part to be expected if each request
   // were rejected with the same probability.
-  double singled_out() const;
+  double rejected_session_excess() const;
 };
 
 // The sums of what all routers counted.
 struct RequestTotals {
-  std::uint64_t taken = 0;
+  std::uint64_t admitted = 0;
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
   std::uint64_t timed_out = 0;
-  std::uint64_t broken = 0;  // answers that ended in the middle
-  std::uint64_t gone = 0;    // whose client was gone first
+  std::uint64_t interrupted = 0;          // answers that ended in the middle
+  std::uint64_t client_disconnected = 0;  // whose client was gone first
   std::uint64_t open = 0;
   // Of answers that replicas completed.
-  double tokens_made = 0;
-  double tokens_charged = 0;     // passed on to a router that waited
-  double tokens_for_nobody = 0;  // completed after the attempt had ended
-
-  bool tokens_hold() const { return tokens_made == tokens_charged + tokens_for_nobody; }
-  bool holds() const { return taken == served + rejected + failed + timed_out + broken + gone + open; }
+  double generated_tokens = 0;
+  double delivered_tokens = 0;  // passed on to a router that waited
+  double discarded_tokens = 0;  // completed after the attempt had ended
+
+  bool token_counts_add_up() const { return generated_tokens == delivered_tokens + discarded_tokens; }
+  bool counts_add_up() const {
+    return admitted == served + rejected + failed + timed_out + interrupted + client_disconnected + open;
+  }
 };
 
 // How often routers broke a rule of the operators.
 struct RuleViolations {
-  std::uint64_t lost = 0;     // tries without a final answer in time
-  std::uint64_t twice = 0;    // two attempts of one request at once
-  std::uint64_t drained = 0;  // new attempts to a replica that drains or is gone, after the grace period
-  std::uint64_t tipped = 0;   // cold replicas that were overloaded until they failed
-
-  std::uint64_t all() const { return lost + twice + drained + tipped; }
+  std::uint64_t unanswered_tries = 0;     // tries without a final answer in time
+  std::uint64_t concurrent_attempts = 0;  // two attempts of one request at once
+  std::uint64_t attempts_to_draining =
+      0;  // new attempts to a replica that drains or is gone, after the grace period
+  std::uint64_t overloaded_replicas = 0;  // cold replicas that were overloaded until they failed
+
+  std::uint64_t all() const {
+    return unanswered_tries + concurrent_attempts + attempts_to_draining + overloaded_replicas;
+  }
 };
 
 struct ReplicaResult {
@@ -82,9 +87,9 @@
   std::string zone;
   double work = 0;  // microseconds at speed 1, of all attempts that arrived
   std::uint64_t sent = 0;
-  std::uint64_t full = 0;           // attempts that were rejected because it was full
-  std::vector<std::uint32_t> held;  // requests in it at each sample
-  std::vector<double> read;         // between two samples: uncached tokens of the prompts whose answers began
+  std::uint64_t full = 0;                     // attempts that were rejected because it was full
+  std::vector<std::uint32_t> request_counts;  // requests in it at each sample
+  std::vector<double> tokens_read;  // between two samples: uncached tokens of the prompts whose answers began
 };
 
 struct Result {
@@ -101,17 +106,17 @@
   double window_s = 10;
   double sample_s = 1;
   double score = 0;  // docs/experiments.md, "Score"
-  EarnedWeight whole;
-  std::uint64_t peer_bytes = 0;  // of messages between routers, counted for each receiver
-  std::uint64_t turns = 0;       // requests of sessions
-  std::uint64_t tries = 0;       // of clients
-  std::uint64_t attempts = 0;    // of routers
-  std::uint64_t crossings = 0;   // attempts to a replica of another zone
+  EarnedWeight total_weight;
+  std::uint64_t peer_bytes = 0;           // of messages between routers, counted for each receiver
+  std::uint64_t turns = 0;                // requests of sessions
+  std::uint64_t tries = 0;                // of clients
+  std::uint64_t attempts = 0;             // of routers
+  std::uint64_t cross_zone_attempts = 0;  // attempts to a replica of another zone
   std::uint64_t events = 0;
-  double prompt_tokens = 0;  // of answers that began
-  double cached_tokens = 0;  // of these, found in a replica's cache
-  double work_asked = 0;     // microseconds at speed 1
-  double work_wasted = 0;    // of attempts without an answer in the end
+  double prompt_tokens = 0;   // of answers that began
+  double cached_tokens = 0;   // of these, found in a replica's cache
+  double requested_work = 0;  // microseconds at speed 1
+  double wasted_work = 0;     // of attempts without an answer in the end
   // Times that an affinity table stopped to trust what it knew of the fleet's or one replica's caches, and
   // regained trust in a replica's; at all routers.
   std::uint64_t fleet_losses = 0;
@@ -140,21 +145,21 @@
 
 // The part of its weight that a complete answer of `generated` tokens earns (docs/experiments.md, "Score").
 // All times are microseconds on one clock.
-double earned_part(const RequestClass& request_class, Time objective_at, Time deadline, Time first_at,
-                   Time ended, double generated);
+double earned_fraction(const RequestClass& request_class, Time objective_at, Time deadline, Time first_at,
+                       Time ended, double generated);
 
 // Whether a request of this time is scored. None is before the day's warm-up is over.
-bool counts(const Scenario& scenario, Time requested_at);
+bool is_scored(const Scenario& scenario, Time requested_at);
 
 // Adds the weight of a request, and the part of it (0..1) that was earned, if the request counts.
 // `requested_at`: microseconds from the day's start.
-void add_weight(Result& result, const Scenario& scenario, Time requested_at, std::size_t cls,
+void add_weight(Result& result, const Scenario& scenario, Time requested_at, std::size_t class_index,
                 std::size_t member, double priority_weight, double part);
 
 // Computes the score from the weights, the wasted work and the crossings (docs/experiments.md, "Score").
 void set_score(Result& result);
 
-enum class Costs { left_out, included };
+enum class Costs { excluded, included };
 
 // One JSON object on one line.
 std::string to_json(const Result& result, Costs costs);
--- a/src/emulator/result_json.cpp
+++ b/src/emulator/result_json.cpp
@@ -29,34 +29,40 @@
           {"served", result.served},
           {"in_time", result.in_time},
           {"given_up", result.given_up},
-          {"first_us", json_of(result.first_us)},
+          {"first_us", json_of(result.first_token_us)},
           {"answer_us", json_of(result.answer_us)}};
 }
 
 Json json_of(const ReplicaResult& replica) {
-  return {{"id", replica.id},     {"kind", replica.kind},    {"hall", replica.zone}, {"sent", replica.sent},
-          {"full", replica.full}, {"work_us", replica.work}, {"held", replica.held}, {"read", replica.read}};
+  return {{"id", replica.id},
+          {"kind", replica.kind},
+          {"hall", replica.zone},
+          {"sent", replica.sent},
+          {"full", replica.full},
+          {"work_us", replica.work},
+          {"held", replica.request_counts},
+          {"read", replica.tokens_read}};
 }
 
 Json json_of(const RequestTotals& totals) {
-  return {{"taken", totals.taken},
+  return {{"taken", totals.admitted},
           {"served", totals.served},
           {"shed", totals.rejected},
           {"failed", totals.failed},
           {"timed_out", totals.timed_out},
-          {"broken", totals.broken},
-          {"gone", totals.gone},
+          {"broken", totals.interrupted},
+          {"gone", totals.client_disconnected},
           {"open", totals.open},
-          {"tokens_made", totals.tokens_made},
-          {"tokens_charged", totals.tokens_charged},
-          {"tokens_for_nobody", totals.tokens_for_nobody}};
+          {"tokens_made", totals.generated_tokens},
+          {"tokens_charged", totals.delivered_tokens},
+          {"tokens_for_nobody", totals.discarded_tokens}};
 }
 
 Json json_of(const RuleViolations& violations) {
-  return {{"lost", violations.lost},
-          {"twice", violations.twice},
-          {"drained", violations.drained},
-          {"tipped", violations.tipped}};
+  return {{"lost", violations.unanswered_tries},
+          {"twice", violations.concurrent_attempts},
+          {"drained", violations.attempts_to_draining},
+          {"tipped", violations.overloaded_replicas}};
 }
 
 void add_lists(const Result& result, Json& json) {
@@ -70,13 +76,22 @@
 }  // namespace
 
 std::string to_json(const Result& result, Costs costs) {
-  Json json = {
-      {"scenario", result.scenario}, {"policy", result.policy},       {"seed", result.seed},
-      {"seconds", result.seconds},   {"routers", result.routers},     {"boxes", result.replicas},
-      {"score", result.score},       {"whole", result.whole.share()}, {"turns", result.turns},
-      {"tries", result.tries},       {"attempts", result.attempts},   {"crossings", result.crossings},
-      {"sample_s", result.sample_s}, {"events", result.events},       {"kept_share", result.cached_share()}};
-  json["wasted_share"] = result.work_asked > 0 ? result.work_wasted / result.work_asked : 0;
+  Json json = {{"scenario", result.scenario},
+               {"policy", result.policy},
+               {"seed", result.seed},
+               {"seconds", result.seconds},
+               {"routers", result.routers},
+               {"boxes", result.replicas},
+               {"score", result.score},
+               {"whole", result.total_weight.share()},
+               {"turns", result.turns},
+               {"tries", result.tries},
+               {"attempts", result.attempts},
+               {"crossings", result.cross_zone_attempts},
+               {"sample_s", result.sample_s},
+               {"events", result.events},
+               {"kept_share", result.cached_share()}};
+  json["wasted_share"] = result.requested_work > 0 ? result.wasted_work / result.requested_work : 0;
   add_lists(result, json);
   json["sum"] = json_of(result.totals);
   json["trust"] = {{"fleet_losses", result.fleet_losses},
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -92,7 +92,7 @@
     baseline.cutoffs = equal_work_cutoffs(scenario_.classes.front(), scenario_.replicas);
     decider = make_baseline_policy(scenario_.policy, baseline);
   }
-  if (scenario_.fair) {
+  if (scenario_.fair_admission) {
     budgets::FairShareOptions shares;
     for (const auto& member : scenario_.members) shares.weights.push_back(std::max(kMinShare, member.share));
     router.fair_share = std::make_unique<budgets::FairShare>(shares);
@@ -129,7 +129,7 @@
   router.subscribed = false;
   ++router.timer_version;
   add_counts(router);
-  result_.totals.gone += std::exchange(result_.totals.open, 0);
+  result_.totals.client_disconnected += std::exchange(result_.totals.open, 0);
   std::vector<Handle> in_flight;
   for (const auto& [request_id, handle] : router.attempts) in_flight.push_back(handle);
   std::sort(in_flight.begin(), in_flight.end());  // the order of a hash table differs from process to process
@@ -163,13 +163,13 @@
     result_.regained += metrics.recoveries;
   }
   const core::Counters& counters = router.core->counters();
-  result_.totals.taken += counters.admitted;
+  result_.totals.admitted += counters.admitted;
   result_.totals.served += counters.served;
   result_.totals.rejected += counters.rejected;
   result_.totals.failed += counters.failed;
   result_.totals.timed_out += counters.timed_out;
-  result_.totals.broken += counters.interrupted;
-  result_.totals.gone += counters.client_disconnected;
+  result_.totals.interrupted += counters.interrupted;
+  result_.totals.client_disconnected += counters.client_disconnected;
   result_.totals.open += router.core->open_requests();
 }
 
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -26,10 +26,10 @@
   read_range(section, "speed", kind.speed, 0.001, 1000);
   read_range(section, "slots", kind.slots, 1, 100'000);
   read_range(section, "waiting", kind.waiting, 1, kUnbounded);
-  read_range(section, "memory_k", kind.memory_k, 1, kUnbounded);
+  read_range(section, "memory_k", kind.memory_k_tokens, 1, kUnbounded);
   read_range(section, "chunk", kind.chunk, 1, kUnbounded);
   read_range(section, "step_ms", kind.step_ms, 0.01, 10'000);
-  read_range(section, "sequence_us", kind.sequence_us);
+  read_range(section, "sequence_us", kind.per_sequence_us);
   read_range(section, "context_us_per_k", kind.context_us_per_k);
   read_range(section, "read_per_s", kind.read_per_s, 1, kUnbounded);
   section.flag("keeps_made", kind.caches_generated);
@@ -88,7 +88,7 @@
   read_range(section, "at_s", fault.at_s);
   read_range(section, "seconds", fault.seconds);
   read_range(section, "size", fault.size, 0, 1000);
-  section.flag("silent", fault.silent);
+  section.flag("silent", fault.unreachable);
   section.flag("routers", fault.routers);
   read_range(section, "every_s", fault.every_s, 0.01);
 }
@@ -109,7 +109,7 @@
   section.text("name", scenario.name);
   section.number("seconds", scenario.seconds, 0.1, 1e7);
   section.number("warm_up_s", scenario.warm_up_s, 0, 1e7);
-  section.number("end_s", scenario.end_s, 0, 1e9);
+  section.number("end_s", scenario.max_overtime_s, 0, 1e9);
   read_range(section, "load", scenario.load, 0.0001, 100);
 }
 
@@ -124,12 +124,12 @@
 
 void read_network(Root& root, Scenario& scenario, Errors& problems) {
   Section section(root.table("network"), "network", problems);
-  read_range(section, "same_ms", scenario.same_ms, 0.001, 10'000);
-  read_range(section, "cross_ms", scenario.cross_ms, 0.001, 10'000);
+  read_range(section, "same_ms", scenario.same_zone_ms, 0.001, 10'000);
+  read_range(section, "cross_ms", scenario.cross_zone_ms, 0.001, 10'000);
   section.number("jitter", scenario.jitter, 0, 10);
   section.number("handshake_ms", scenario.handshake_ms, 0, 10'000);
-  section.number("idle_s", scenario.idle_s, 0, 3600);
-  section.number("dial_ms", scenario.dial_ms, 1, 60'000);
+  section.number("idle_s", scenario.idle_timeout_s, 0, 3600);
+  section.number("dial_ms", scenario.connect_timeout_ms, 1, 60'000);
   section.count("most_connections", scenario.max_connections, 1, 1'000'000);
   read_range(section, "peer_ms", scenario.peer_ms, 0.001, 10'000);
   section.number("peer_loss", scenario.peer_loss, 0, 1);
@@ -137,15 +137,15 @@
 
 void read_discovery(Root& root, Scenario& scenario, Errors& problems) {
   Section section(root.table("discovery"), "discovery", problems);
-  read_range(section, "notice_s", scenario.notice_s, 0, 600);
-  read_range(section, "silent_notice_s", scenario.silent_notice_s, 0, 600);
-  read_range(section, "add_s", scenario.add_s, 0, 600);
+  read_range(section, "notice_s", scenario.removal_delay_s, 0, 600);
+  read_range(section, "silent_notice_s", scenario.unreachable_delay_s, 0, 600);
+  read_range(section, "add_s", scenario.addition_delay_s, 0, 600);
 }
 
 void read_clients(Root& root, Scenario& scenario, Errors& problems) {
   Section section(root.table("clients"), "clients", problems);
   section.count("retries", scenario.retries, 0, 100);
-  section.number("try_share", scenario.try_share, 0.01, 1);
+  section.number("try_share", scenario.try_timeout_fraction, 0.01, 1);
   section.number("honour", scenario.honor_probability, 0, 1);
   section.number("impatient", scenario.cancel_probability, 0, 1);
   read_range(section, "backoff_ms", scenario.backoff_ms, 0, 60'000);
@@ -166,7 +166,7 @@
   section.number("most_retry_after_ms", scenario.max_retry_after_ms, 0, 600'000);
   section.flag("affinity", scenario.affinity);
   section.flag("peers", scenario.peers);
-  section.flag("fair", scenario.fair);
+  section.flag("fair", scenario.fair_admission);
   section.count("affinity_entries", scenario.affinity_entries, 16, 100'000'000);
 }
 
--- a/src/emulator/scenario.hpp
+++ b/src/emulator/scenario.hpp
@@ -29,10 +29,10 @@
   Range speed{1, 1};
   Range slots{48, 64};
   Range waiting{48, 64};
-  Range memory_k{200, 300};
+  Range memory_k_tokens{200, 300};
   Range chunk{4096, 4096};
   Range step_ms{12, 16};
-  Range sequence_us{150, 250};
+  Range per_sequence_us{150, 250};
   Range context_us_per_k{30, 60};
   Range read_per_s{14'000, 20'000};
   bool caches_generated = true;
@@ -84,17 +84,17 @@
   Range seconds{0, 0};
   Range size{
       1, 1};  // burst: multiple of the rate; slow, ageing: times slower; flush: part of the cached prompts
-  bool silent = false;   // zone_lost: its replicas cannot be reached; else their processes die
-  bool routers = false;  // zone_lost: its routers are lost, too
-  Range every_s{1, 1};   // replacement: interval from one replica to the next
+  bool unreachable = false;  // zone_lost: its replicas cannot be reached; else their processes die
+  bool routers = false;      // zone_lost: its routers are lost, too
+  Range every_s{1, 1};       // replacement: interval from one replica to the next
 };
 
 struct Scenario {
   std::string name = "scenario";
-  double seconds = 50;   // in which clients send requests
-  double warm_up_s = 5;  // of the day, in which nothing is scored yet
-  double drain_s = 12;   // from draining to the end of a replica that is replaced
-  double end_s = 120;    // after the day, until when open requests are played on, at most
+  double seconds = 50;          // in which clients send requests
+  double warm_up_s = 5;         // of the day, in which nothing is scored yet
+  double drain_s = 12;          // from draining to the end of a replica that is replaced
+  double max_overtime_s = 120;  // after the day, until when open requests are played on, at most
   std::size_t routers = 4;
   std::size_t replicas = 12;
   std::vector<std::string> zones{"a"};
@@ -106,25 +106,25 @@
   double zone_skew = 0;          // part by which the zones' numbers of clients differ
   double hint_sigma = 0.1;       // of the logarithm of the work hint's error; below 0: requests have no hint
   // Network.
-  Range same_ms{0.2, 0.2};  // one way within a zone
-  Range cross_ms{10, 10};   // one way between zones
-  double jitter = 0.2;      // mean of what is added to each message, as part of the one-way time
+  Range same_zone_ms{0.2, 0.2};  // one way within a zone
+  Range cross_zone_ms{10, 10};   // one way between zones
+  double jitter = 0.2;           // mean of what is added to each message, as part of the one-way time
   double handshake_ms = 1;
-  double idle_s = 5;                  // after which an idle connection is closed
-  double dial_ms = 120;               // until a connection to an unreachable replica fails
+  double idle_timeout_s = 5;          // after which an idle connection is closed
+  double connect_timeout_ms = 120;    // until a connection to an unreachable replica fails
   std::size_t max_connections = 600;  // of a replica
   // Discovery: delays until a change is registered.
-  Range notice_s{1, 3};          // of a replica that drains or has ended
-  Range silent_notice_s{5, 12};  // of a replica that cannot be reached
-  Range add_s{0.3, 1.7};         // of a replica that has started
+  Range removal_delay_s{1, 3};       // of a replica that drains or has ended
+  Range unreachable_delay_s{5, 12};  // of a replica that cannot be reached
+  Range addition_delay_s{0.3, 1.7};  // of a replica that has started
   // Messages between routers.
   Range peer_ms{1.6, 22};
   double peer_loss = 0.02;
   // Clients.
   std::size_t retries = 3;
-  double try_share = 0.55;           // part of the deadline after which a try times out
-  double honor_probability = 0.2;    // that a client waits for Retry-After
-  double cancel_probability = 0.02;  // that a client cancels a try
+  double try_timeout_fraction = 0.55;  // part of the deadline after which a try times out
+  double honor_probability = 0.2;      // that a client waits for Retry-After
+  double cancel_probability = 0.02;    // that a client cancels a try
   Range backoff_ms{0, 160};
   // Settings of the routers.
   std::size_t attempts = 5;
@@ -136,7 +136,7 @@
   bool affinity = true;
   bool peers = true;  // routers may send each other messages
   std::size_t affinity_entries = 100'000;
-  bool fair = false;  // weighted fair admission by the members' shares (src/budgets/fair_share.hpp)
+  bool fair_admission = false;  // weighted fair admission by the members' shares (src/budgets/fair_share.hpp)
   std::string policy = "module";
   std::vector<DayFault> faults;
 };
--- a/src/experiments/results.cpp
+++ b/src/experiments/results.cpp
@@ -52,15 +52,15 @@
   row.point = point;
   row.seed = result.seed;
   row.score = result.score;
-  row.in_time_share = result.whole.share();
+  row.in_time_share = result.total_weight.share();
   row.cached_share = result.cached_share();
-  row.rejected_share = quotient(result.totals.rejected, result.totals.taken);
+  row.rejected_share = quotient(result.totals.rejected, result.totals.admitted);
   row.attempts_per_turn = quotient(result.attempts, result.turns);
   row.decision_us = kMicrosecondsPerSecond * quotient(result.module_s, result.turns);
   row.requests_per_s = quotient(result.turns, result.wall_s);
   row.turns = result.turns;
   row.rules_broken = result.violations.all();
-  if (detail == Detail::whole_result) row.json = emulator::to_json(result, emulator::Costs::left_out);
+  if (detail == Detail::whole_result) row.json = emulator::to_json(result, emulator::Costs::excluded);
   return row;
 }
 
--- a/src/experiments/run_command.cpp
+++ b/src/experiments/run_command.cpp
@@ -58,20 +58,21 @@
 
 std::string rules_text(const Result& result) {
   if (result.violations.all() == 0) return "kept";
-  return fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", result.violations.lost,
-                     result.violations.twice, result.violations.drained, result.violations.tipped);
+  return fmt::format("BROKEN (lost {}, twice {}, drained {}, tipped {})", result.violations.unanswered_tries,
+                     result.violations.concurrent_attempts, result.violations.attempts_to_draining,
+                     result.violations.overloaded_replicas);
 }
 
 void print(const Result& result, bool time) {
-  const auto requests = static_cast<double>(std::max<std::uint64_t>(1, result.totals.taken));
+  const auto requests = static_cast<double>(std::max<std::uint64_t>(1, result.totals.admitted));
   const auto turns = static_cast<double>(std::max<std::uint64_t>(1, result.turns));
   fmt::print(
       "{:<18} {:>4}  score {:.4f}  in time {:.4f}  kept {:.3f}  shed {:.4f}  attempts/turn {:.3f}  rules {}",
-      result.policy, result.seed, result.score, result.whole.share(), result.cached_share(),
+      result.policy, result.seed, result.score, result.total_weight.share(), result.cached_share(),
       static_cast<double>(result.totals.rejected) / requests, static_cast<double>(result.attempts) / turns,
       rules_text(result));
-  if (!result.totals.holds()) fmt::print("  SUM DOES NOT HOLD");
-  if (!result.totals.tokens_hold()) fmt::print("  TOKENS DO NOT HOLD");
+  if (!result.totals.counts_add_up()) fmt::print("  SUM DOES NOT HOLD");
+  if (!result.totals.token_counts_add_up()) fmt::print("  TOKENS DO NOT HOLD");
   if (time) {
     constexpr double kMicrosecondsPerSecond = 1e6;
     fmt::print("  {:.0f} requests/s, module {:.2f} us a request",
@@ -86,12 +87,12 @@
   for (const auto& result : play_days(days_of(options), options)) {
     if (options.json) {
       std::cout << emulator::to_json(result,
-                                     options.time ? emulator::Costs::included : emulator::Costs::left_out)
+                                     options.time ? emulator::Costs::included : emulator::Costs::excluded)
                 << '\n';
     } else {
       print(result, options.time);
     }
-    consistent = consistent && result.totals.holds() && result.totals.tokens_hold();
+    consistent = consistent && result.totals.counts_add_up() && result.totals.token_counts_add_up();
   }
   return consistent ? 0 : 1;
 }
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -267,9 +267,9 @@
     std::snprintf(uid, sizeof uid, "s-%08x", static_cast<unsigned>(hex));
     replicas_.push_back(std::make_unique<StandInReplica>(*this, emulator::draw_replica(s, i, fleet), uid));
   }
-  notice_s_ = directory.between(s.notice_s.low, s.notice_s.high);
-  directory.between(s.silent_notice_s.low, s.silent_notice_s.high);
-  add_s_ = directory.between(s.add_s.low, s.add_s.high);
+  notice_s_ = directory.between(s.removal_delay_s.low, s.removal_delay_s.high);
+  directory.between(s.unreachable_delay_s.low, s.unreachable_delay_s.high);
+  add_s_ = directory.between(s.addition_delay_s.low, s.addition_delay_s.high);
   discovery_ = std::make_unique<Server>(options.discovery, [this](Server::Line& line) { asked(line); });
 }
 
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -73,8 +73,8 @@
     turn.asked = options_.asked[next_];
     if (now - turn.asked.at >= kLateStart) ++metrics_.late_starts;
     ++result_.turns;
-    ++result_.classes[turn.asked.cls].turns;
-    result_.work_asked += turn.asked.work;
+    ++result_.classes[turn.asked.class_index].turns;
+    result_.requested_work += turn.asked.work;
     try_turn(turn);
   }
   if (next_ < options_.asked.size()) return pacer_.start(options_.asked[next_].at - now, [this] { go_on(); });
@@ -100,7 +100,7 @@
       {"Host", "thornwick"},
       {"Content-Type", "application/json"},
       {"X-Request-ID", fmt::format("{:016x}", mix(options_.seed ^ mix(last_id_)))},
-      {"X-Priority-Class", s.classes[a.cls].name},
+      {"X-Priority-Class", s.classes[a.class_index].name},
       {"X-Tenant-Id", s.members[a.member].name},
       {"X-Route-Key", fmt::format("{:016x}", a.session)},
       {"X-Timeout-Ms", std::to_string(std::max<Time>(1, limit / 1000))},
@@ -115,12 +115,13 @@
 
 void Load::try_turn(Turn& turn) {
   const Time now = net::now_us() - began_;
-  const auto& d = options_.scenario.classes[turn.asked.cls];
+  const auto& d = options_.scenario.classes[turn.asked.class_index];
   ++turn.tries;
   ++last_id_;
   ++result_.tries;
-  const Time limit = std::min(static_cast<Time>(options_.scenario.try_share * 1000 * d.deadline_ms),
-                              turn.asked.deadline - now);
+  const Time limit =
+      std::min(static_cast<Time>(options_.scenario.try_timeout_fraction * 1000 * d.deadline_ms),
+               turn.asked.deadline - now);
   Line* line = nullptr;
   for (auto& one : lines_) {
     if (one->turn == nullptr && one->stream->open()) line = one.get();
@@ -198,14 +199,14 @@
   }
   const Time now = net::now_us() - began_;
   if (turn.first_at == 0) turn.first_at = now;
-  const auto& d = options_.scenario.classes[turn.asked.cls];
-  const double part = emulator::earned_part(d, turn.asked.objective_at, turn.asked.deadline, turn.first_at,
-                                            now, turn.asked.generated);
-  auto& c = result_.classes[turn.asked.cls];
+  const auto& d = options_.scenario.classes[turn.asked.class_index];
+  const double part = emulator::earned_fraction(d, turn.asked.objective_at, turn.asked.deadline,
+                                                turn.first_at, now, turn.asked.generated);
+  auto& c = result_.classes[turn.asked.class_index];
   ++c.served;
   ++result_.totals.served;
   c.in_time += part == 1;
-  c.first_us.add(turn.first_at - turn.asked.at);
+  c.first_token_us.add(turn.first_at - turn.asked.at);
   c.answer_us.add(now - turn.asked.at);
   result_.prompt_tokens += turn.asked.prompt;
   result_.cached_tokens += std::max(number_after(line.tail, "\"cached_tokens\":"),
@@ -217,20 +218,20 @@
   const auto& s = options_.scenario;
   const Time now = net::now_us() - began_;
   if (broken) turn.resumed = true;
-  ++(broken ? result_.totals.broken : result_.totals.rejected);
+  ++(broken ? result_.totals.interrupted : result_.totals.rejected);
   Time pause = std::llround(backoff_us_);
   if (retry_after > 0 && chance_.happens(s.honor_probability)) pause = std::max(pause, retry_after);
   if (static_cast<std::size_t>(turn.tries) <= s.retries && now + pause < turn.asked.deadline) {
     turn.first_at = 0;
     return turn.again.start(pause, [this, &turn] { try_turn(turn); });
   }
-  ++result_.classes[turn.asked.cls].given_up;
+  ++result_.classes[turn.asked.class_index].given_up;
   end_turn(turn, 0);
 }
 
 void Load::end_turn(Turn& turn, double part) {
   const auto& a = turn.asked;
-  emulator::add_weight(result_, options_.scenario, a.at, a.cls, a.member, a.priority_weight, part);
+  emulator::add_weight(result_, options_.scenario, a.at, a.class_index, a.member, a.priority_weight, part);
   // Its own timer may be what runs now.
   const auto at = std::find_if(turns_.begin(), turns_.end(), [&](auto& t) { return t.get() == &turn; });
   struct DeferredDeletions : net::DeferredDeletable {
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -30,11 +30,11 @@
 void print_result(const testbed::Load& load) {
   const auto& result = load.result();
   fmt::print("score {:.4f}  in time {:.4f}  kept {:.3f}  requests {}  tries {}\n", result.score,
-             result.whole.share(), result.cached_share(), result.turns, result.tries);
+             result.total_weight.share(), result.cached_share(), result.turns, result.tries);
   fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9} {:>9} {:>9} {:>9}\n", "class", "requests", "served", "in time",
              "p50 ms", "p90 ms", "p99 ms", "p999 ms");
   for (const auto& cls : result.classes) {
-    const auto quantile_ms = [&cls](double quantile) { return cls.first_us.quantile(quantile) / 1000; };
+    const auto quantile_ms = [&cls](double quantile) { return cls.first_token_us.quantile(quantile) / 1000; };
     fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9.1f} {:>9.1f} {:>9.1f} {:>9.1f}\n", cls.name, cls.turns,
                cls.served, cls.in_time, quantile_ms(0.5), quantile_ms(0.9), quantile_ms(0.99),
                quantile_ms(0.999));
@@ -61,7 +61,7 @@
   load.start([&loop] { g_main_loop_quit(loop.get()); });
   g_main_loop_run(loop.get());
   if (options.json) {
-    fmt::print("{}\n", emulator::to_json(load.result(), emulator::Costs::left_out));
+    fmt::print("{}\n", emulator::to_json(load.result(), emulator::Costs::excluded));
   } else {
     print_result(load);
   }
--- a/src/tools/trace_file.cpp
+++ b/src/tools/trace_file.cpp
@@ -14,7 +14,7 @@
   request.at = json.at("at_us");
   request.objective_at = json.at("aim_us");
   request.deadline = json.at("deadline_us");
-  request.cls = json.at("class");
+  request.class_index = json.at("class");
   request.member = json.at("member");
   request.zone = json.at("hall");
   request.session = json.at("session");
@@ -33,7 +33,7 @@
   return {{"at_us", request.at},
           {"aim_us", request.objective_at},
           {"deadline_us", request.deadline},
-          {"class", request.cls},
+          {"class", request.class_index},
           {"member", request.member},
           {"hall", request.zone},
           {"session", request.session},
@@ -62,7 +62,7 @@
 // Returns none if the request is valid. `previous`: the time of the request in the line before.
 std::optional<TraceFault> check_request(const emulator::PlannedRequest& request,
                                         const emulator::Scenario& scenario, Time previous) {
-  if (request.cls >= scenario.classes.size() || request.member >= scenario.members.size())
+  if (request.class_index >= scenario.classes.size() || request.member >= scenario.members.size())
     return TraceFault::unknown_name;
   if (request.at < previous) return TraceFault::out_of_order;
   if (request.at < 0 || request.deadline <= request.at || request.generated < 1)
--- a/tests/emulator/days.cpp
+++ b/tests/emulator/days.cpp
@@ -25,7 +25,11 @@
   scenario.load = {0.6, 0.6};
   scenario.faults = {
       {.kind = DayFaultKind::burst, .at_s = {4, 6}, .seconds = {2, 4}, .size = {1.6, 2}},
-      {.kind = DayFaultKind::zone_lost, .at_s = {5, 7}, .seconds = {3, 5}, .silent = true, .routers = true},
+      {.kind = DayFaultKind::zone_lost,
+       .at_s = {5, 7},
+       .seconds = {3, 5},
+       .unreachable = true,
+       .routers = true},
       {.kind = DayFaultKind::zone_lost, .at_s = {12, 13}, .seconds = {2, 3}},
       {.kind = DayFaultKind::slow, .at_s = {8, 9}, .seconds = {2, 3}, .size = {1.5, 2}},
       {.kind = DayFaultKind::flush, .at_s = {10, 11}, .size = {0.9, 0.9}},
@@ -66,13 +70,13 @@
     scenario.policy = policy;
     for (const std::uint64_t seed : {1u, 2u}) {
       const Result result = play_day(scenario, seed);
-      INFO(policy << " seed " << seed << ": " << to_json(result, Costs::left_out).substr(0, 600));
-      CHECK(result.totals.holds());
+      INFO(policy << " seed " << seed << ": " << to_json(result, Costs::excluded).substr(0, 600));
+      CHECK(result.totals.counts_add_up());
       CHECK(result.totals.open == 0);
-      CHECK(result.totals.tokens_hold());
-      CHECK(result.violations.lost == 0);
-      CHECK(result.violations.twice == 0);
-      CHECK(result.totals.taken == result.tries);
+      CHECK(result.totals.token_counts_add_up());
+      CHECK(result.violations.unanswered_tries == 0);
+      CHECK(result.violations.concurrent_attempts == 0);
+      CHECK(result.totals.admitted == result.tries);
       CHECK(result.turns > 500);
     }
   }
@@ -81,8 +85,8 @@
 TEST_CASE("the routing policy breaks no rule with all faults at once") {
   for (const std::uint64_t seed : {3u, 4u, 5u, 6u}) {
     const Result result = play_day(day_with_all_faults(), seed);
-    INFO("seed " << seed << ": drained " << result.violations.drained << ", tipped "
-                 << result.violations.tipped);
+    INFO("seed " << seed << ": drained " << result.violations.attempts_to_draining << ", tipped "
+                 << result.violations.overloaded_replicas);
     CHECK(result.violations.all() == 0);
   }
 }
@@ -104,11 +108,11 @@
                      << " requests, answered " << all << ", of the longest "
                      << each.answered_of_longest(0, 0.1) << ", of the next "
                      << each.answered_of_longest(0.1, 0.3) << ", sessions singled out "
-                     << each.singled_out());
+                     << each.rejected_session_excess());
         REQUIRE(each.outcomes.size() > 100);
         CHECK(each.answered_of_longest(0, 0.1) >= floor * all);
         CHECK(each.answered_of_longest(0.1, 0.3) >= floor * all);
-        CHECK(each.singled_out() <= 0.12);
+        CHECK(each.rejected_session_excess() <= 0.12);
         rejected += each.given_up;
       }
       if (load > 1) CHECK(rejected > 300);  // else it shows nothing
@@ -120,21 +124,21 @@
     "fair shares before the routing policy break no rule, and every sum holds, with all faults at once") {
   for (const std::uint64_t seed : {3u, 4u}) {
     Scenario scenario = day_with_all_faults();
-    scenario.fair = true;
+    scenario.fair_admission = true;
     scenario.load = {1.2, 1.2};
     const Result result = play_day(scenario, seed);
-    CHECK(result.totals.holds());
+    CHECK(result.totals.counts_add_up());
     CHECK(result.totals.open == 0);
-    CHECK(result.totals.tokens_hold());
+    CHECK(result.totals.token_counts_add_up());
     CHECK(result.violations.all() == 0);
     CHECK(result.totals.served > 200);
   }
 }
 
 TEST_CASE("the same seed gives the same bytes, another one does not") {
-  const std::string first = to_json(play_day(day_with_all_faults(), 7), Costs::left_out);
-  CHECK(first == to_json(play_day(day_with_all_faults(), 7), Costs::left_out));
-  CHECK(first != to_json(play_day(day_with_all_faults(), 8), Costs::left_out));
+  const std::string first = to_json(play_day(day_with_all_faults(), 7), Costs::excluded);
+  CHECK(first == to_json(play_day(day_with_all_faults(), 7), Costs::excluded));
+  CHECK(first != to_json(play_day(day_with_all_faults(), 8), Costs::excluded));
 }
 
 TEST_CASE("the demand does not depend on the policy") {
@@ -145,7 +149,7 @@
     scenario.policy = policy;
     const Result result = play_day(scenario, 9);
     turns.push_back(result.turns);
-    work.push_back(result.work_asked);
+    work.push_back(result.requested_work);
   }
   for (std::size_t i = 1; i < turns.size(); ++i) {
     CHECK(turns[i] == turns[0]);
@@ -180,10 +184,10 @@
   ReplicaKind replica;
   replica.slots = {400, 400};
   replica.waiting = {400, 400};
-  replica.memory_k = {40'000, 40'000};
+  replica.memory_k_tokens = {40'000, 40'000};
   replica.chunk = {40'000, 40'000};
   replica.step_ms = {2, 2};
-  replica.sequence_us = {1, 1};
+  replica.per_sequence_us = {1, 1};
   replica.context_us_per_k = {0.1, 0.1};
   replica.read_per_s = {4e6, 4e6};
   scenario.kinds = {replica};
--- a/tests/emulator/result_json.cpp
+++ b/tests/emulator/result_json.cpp
@@ -23,7 +23,11 @@
   scenario.load = {0.9, 0.9};
   scenario.faults = {
       {.kind = DayFaultKind::burst, .at_s = {4, 5}, .seconds = {2, 3}, .size = {1.6, 2}},
-      {.kind = DayFaultKind::zone_lost, .at_s = {5, 6}, .seconds = {2, 3}, .silent = true, .routers = true},
+      {.kind = DayFaultKind::zone_lost,
+       .at_s = {5, 6},
+       .seconds = {2, 3},
+       .unreachable = true,
+       .routers = true},
       {.kind = DayFaultKind::zone_lost, .at_s = {10, 11}, .seconds = {2, 3}},
       {.kind = DayFaultKind::slow, .at_s = {8, 9}, .seconds = {2, 3}, .size = {1.5, 2}},
       {.kind = DayFaultKind::flush, .at_s = {9, 10}, .size = {0.9, 0.9}},
@@ -57,7 +61,7 @@
 }  // namespace
 
 TEST_CASE("the JSON object of a day with many kinds of faults has these keys and integer values") {
-  const Json day = Json::parse(to_json(play_day(day_with_faults(), 5), Costs::left_out));
+  const Json day = Json::parse(to_json(play_day(day_with_faults(), 5), Costs::excluded));
   CHECK(keys(day) ==
         "scenario policy seed seconds routers boxes score whole turns tries attempts crossings "
         "sample_s events kept_share wasted_share classes members windows sum trust rules fleet ");
--- a/tests/recordings/day_recording.cpp
+++ b/tests/recordings/day_recording.cpp
@@ -27,10 +27,10 @@
 void add(Digest& digest, const ClassResult& result) {
   add(digest, {result.turns, result.served, result.in_time, result.given_up});
   digest.add_rounded(result.priority_weight.share());
-  add(digest, result.first_us);
+  add(digest, result.first_token_us);
   add(digest, result.answer_us);
   digest.add_rounded(result.answered_of_longest(0, 0.1));
-  digest.add_rounded(result.singled_out());
+  digest.add_rounded(result.rejected_session_excess());
   for (const RequestOutcome& outcome : result.outcomes) {
     add(digest, {outcome.session, std::uint64_t{outcome.answered}});
     digest.add_rounded(outcome.prompt);
@@ -40,14 +40,14 @@
 void add(Digest& digest, const ReplicaResult& replica) {
   add(digest, {replica.id, replica.sent, replica.full});
   digest.add_rounded(replica.work / kMicrosecondsPerSecond);
-  for (const std::uint32_t held : replica.held) digest.add(std::uint64_t{held});
-  for (const double read : replica.read) digest.add_rounded(read);
+  for (const std::uint32_t held : replica.request_counts) digest.add(std::uint64_t{held});
+  for (const double read : replica.tokens_read) digest.add_rounded(read);
 }
 
 void add(Digest& digest, const RequestTotals& totals) {
-  add(digest, {totals.taken, totals.served, totals.rejected, totals.failed, totals.timed_out, totals.broken,
-               totals.gone, totals.open});
-  for (const double tokens : {totals.tokens_made, totals.tokens_charged, totals.tokens_for_nobody}) {
+  add(digest, {totals.admitted, totals.served, totals.rejected, totals.failed, totals.timed_out,
+               totals.interrupted, totals.client_disconnected, totals.open});
+  for (const double tokens : {totals.generated_tokens, totals.delivered_tokens, totals.discarded_tokens}) {
     digest.add_rounded(tokens);
   }
 }
@@ -57,18 +57,18 @@
 std::uint64_t digest_of(const Result& result) {
   Digest digest;
   add(digest, {result.seed, result.routers, result.replicas, result.turns, result.tries, result.attempts,
-               result.crossings, result.events, result.peer_bytes, result.fleet_losses, result.replica_losses,
-               result.regained, result.slowdowns});
-  add(digest,
-      {result.violations.lost, result.violations.twice, result.violations.drained, result.violations.tipped});
+               result.cross_zone_attempts, result.events, result.peer_bytes, result.fleet_losses,
+               result.replica_losses, result.regained, result.slowdowns});
+  add(digest, {result.violations.unanswered_tries, result.violations.concurrent_attempts,
+               result.violations.attempts_to_draining, result.violations.overloaded_replicas});
   add(digest, result.totals);
   for (const ClassResult& each : result.classes) add(digest, each);
   for (const ReplicaResult& replica : result.fleet) add(digest, replica);
   for (const EarnedWeight& window : result.windows) digest.add_rounded(window.share());
   for (const EarnedWeight& member : result.members) digest.add_rounded(member.share());
   for (const double figure :
-       {result.score, result.whole.share(), result.cached_share(), result.prompt_tokens,
-        result.work_asked / kMicrosecondsPerSecond, result.work_wasted / kMicrosecondsPerSecond,
+       {result.score, result.total_weight.share(), result.cached_share(), result.prompt_tokens,
+        result.requested_work / kMicrosecondsPerSecond, result.wasted_work / kMicrosecondsPerSecond,
         worst_share(result, 5, 0, result.seconds)}) {
     digest.add_rounded(figure);
   }
@@ -104,8 +104,8 @@
 
 DayRecording record_day(const Scenario& scenario, std::uint64_t seed) {
   const Result result = play_day(scenario, seed);
-  CHECK(result.totals.holds());
-  CHECK(result.totals.tokens_hold());
+  CHECK(result.totals.counts_add_up());
+  CHECK(result.totals.token_counts_add_up());
   return {.digest = digest_of(result),
           .turns = result.turns,
           .tries = result.tries,
@@ -114,8 +114,8 @@
           .rejected = result.totals.rejected,
           .failed = result.totals.failed,
           .timed_out = result.totals.timed_out,
-          .broken = result.totals.broken,
-          .gone = result.totals.gone,
+          .broken = result.totals.interrupted,
+          .gone = result.totals.client_disconnected,
           .rules_broken = result.violations.all()};
 }
 
@@ -149,7 +149,7 @@
 Scenario rough_day() {
   Scenario scenario = calm_day();
   scenario.load = {1.1, 1.1};
-  scenario.fair = true;
+  scenario.fair_admission = true;
   scenario.faults = {
       {.kind = DayFaultKind::burst, .at_s = {4, 6}, .seconds = {2, 4}, .size = {1.6, 2}},
       {.kind = DayFaultKind::zone_lost, .at_s = {5, 7}, .seconds = {3, 5}, .silent = true, .routers = true},
--- a/tests/recordings/result_json.cpp
+++ b/tests/recordings/result_json.cpp
@@ -113,7 +113,7 @@
 }  // namespace
 
 TEST_CASE("emulated days: the JSON of lab run has the recorded names") {
-  CHECK(keys_of(to_json(play_day(calm_day(), 41), Costs::left_out)) == kKeysOfDay);
+  CHECK(keys_of(to_json(play_day(calm_day(), 41), Costs::excluded)) == kKeysOfDay);
   CHECK(keys_of(to_json(play_day(queue_day(), 45), Costs::included)) ==
         with(kKeysOfDay, {"slowdown", "wait_us", "wall_s", "module_s"}));
 }
