--- a/src/emulator/disk.hpp
+++ b/src/emulator/disk.hpp
@@ -4,9 +4,9 @@
 namespace thornwick::emulator {
 
 enum class Disk {
-  kept,   // that of the process before it
+  same,   // that of the process before it
   empty,  // a new disk
-  older   // a copy from before the last start, if there is one; else as `kept`
+  older   // a copy from before the last start, if there is one; else as `same`
 };
 
 }  // namespace thornwick::emulator
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -138,11 +138,11 @@
   const bool first = node.identity.disk_id == 0;
   const membership::Identity identity = next_identity(node, disk);
   // An older copy of the disk is what it was before the last start.
-  node.older = disk == Disk::kept && !first ? node.identity : membership::Identity{};
+  node.older = disk == Disk::same && !first ? node.identity : membership::Identity{};
   node.identity = identity;
   node.swim =
       std::make_unique<membership::Swim>(roster_, router, identity, options_.swim, random_.bits(), now_);
-  if (options_.views && first) {
+  if (options_.share_views && first) {
     const auto interval = static_cast<double>(kViewPeriods * options_.swim.period);
     schedule(now_ + static_cast<Time>(random_.unit() * interval), EventKind::view, router);
   }
--- a/src/emulator/group.hpp
+++ b/src/emulator/group.hpp
@@ -24,7 +24,7 @@
   double loss = 0;            // probability that a datagram is lost
   double repeat = 0;          // probability that it is sent twice
   Range delay_ms = {0.2, 2};  // of a datagram
-  bool views = true;          // routers share whole views with two neighbours every ten periods
+  bool share_views = true;    // routers share whole views with two neighbours every ten periods
   std::uint64_t seed = 1;
 };
 
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -54,7 +54,7 @@
     write_log_(fmt::format("{:9.3f}  r{:03}: {}{}", in_seconds(group_.now()), router,
                            about_itself ? "" : fmt::format("r{:03} ", change.member), change.text));
     if (!change.text.starts_with("gone") || about_itself) return;
-    ++result_.gone_reports;
+    ++result_.failure_reports;
     if (group_.at(router).is_cut_off())
       fail(fmt::format("r{:03} is cut off and calls r{:03} gone", router, change.member));
     if (group_.now() - disturbed_at(router, change.member) > kUndisturbed) {
@@ -108,7 +108,7 @@
     group_.set_network(0, 0, script_.options.delay_ms);
     for (std::size_t i = 0; i < group_.size(); ++i) {
       group_.resume(i);
-      group_.start(i, Disk::kept);
+      group_.start(i, Disk::same);
     }
     const Time from = group_.now();
     while (!settled() && result_.violation.empty()) {
@@ -116,7 +116,7 @@
       if (group_.now() - from > kAgreeWithin)
         fail("they do not agree, or one is not sure: " + group_.disagreement());
     }
-    result_.agreed_after = group_.now() - from;
+    result_.agreement_time = group_.now() - from;
   }
 
   bool settled() const {
@@ -138,17 +138,17 @@
     write_log_(fmt::format("{:9.3f}  -- {}", in_seconds(group_.now()), describe(fault)));
     switch (fault.kind) {
       case GroupFaultKind::kill: return group_.kill(fault.router);
-      case GroupFaultKind::start_kept: return group_.start(fault.router, Disk::kept);
-      case GroupFaultKind::start_empty: return group_.start(fault.router, Disk::empty);
-      case GroupFaultKind::start_older: return group_.start(fault.router, Disk::older);
+      case GroupFaultKind::start_same_disk: return group_.start(fault.router, Disk::same);
+      case GroupFaultKind::start_empty_disk: return group_.start(fault.router, Disk::empty);
+      case GroupFaultKind::start_older_disk: return group_.start(fault.router, Disk::older);
       case GroupFaultKind::suspend: return group_.suspend(fault.router);
       case GroupFaultKind::resume: return group_.resume(fault.router);
       case GroupFaultKind::shut_down: return group_.shut_down(fault.router);
       case GroupFaultKind::cut_one_way: return group_.block(fault.router, fault.peer);
-      case GroupFaultKind::bridge: return disconnect(fault.router, fault.peer);
+      case GroupFaultKind::cut_pair: return disconnect(fault.router, fault.peer);
       case GroupFaultKind::isolate: return isolate(fault.router);
-      case GroupFaultKind::halves: return split_in_halves();
-      case GroupFaultKind::heal: return group_.unblock_all();
+      case GroupFaultKind::split_into_halves: return split_into_halves();
+      case GroupFaultKind::heal_all: return group_.unblock_all();
       case GroupFaultKind::network: return set_loss(fault.amount);
     }
   }
@@ -162,7 +162,7 @@
     for (std::size_t i = 0; i < group_.size(); ++i) disconnect(router, i);
   }
 
-  void split_in_halves() {
+  void split_into_halves() {
     const std::size_t half = group_.size() / 2;
     for (std::size_t i = 0; i < half; ++i) {
       for (std::size_t j = half; j < group_.size(); ++j) disconnect(i, j);
@@ -203,13 +203,14 @@
     case GroupFaultKind::suspend: recovery.kind = GroupFaultKind::resume; return recovery;
     case GroupFaultKind::kill:
     case GroupFaultKind::shut_down: {
-      static constexpr GroupFaultKind starts[] = {GroupFaultKind::start_kept, GroupFaultKind::start_empty,
-                                                  GroupFaultKind::start_older};
+      static constexpr GroupFaultKind starts[] = {GroupFaultKind::start_same_disk,
+                                                  GroupFaultKind::start_empty_disk,
+                                                  GroupFaultKind::start_older_disk};
       recovery.kind = starts[random.below(std::size(starts))];
       return recovery;
     }
     case GroupFaultKind::isolate:
-    case GroupFaultKind::halves: recovery.kind = GroupFaultKind::heal; return recovery;
+    case GroupFaultKind::split_into_halves: recovery.kind = GroupFaultKind::heal_all; return recovery;
     default: return std::nullopt;
   }
 }
@@ -220,21 +221,21 @@
   const std::string router = fmt::format("r{:03}", fault.router);
   switch (fault.kind) {
     case GroupFaultKind::kill: return router + " is killed";
-    case GroupFaultKind::start_kept: return router + " starts with its disk";
-    case GroupFaultKind::start_empty: return router + " starts with an empty disk";
-    case GroupFaultKind::start_older: return router + " starts with an older disk";
+    case GroupFaultKind::start_same_disk: return router + " starts with its disk";
+    case GroupFaultKind::start_empty_disk: return router + " starts with an empty disk";
+    case GroupFaultKind::start_older_disk: return router + " starts with an older disk";
     case GroupFaultKind::suspend: return router + " is stopped";
     case GroupFaultKind::resume: return router + " goes on";
     case GroupFaultKind::shut_down: return router + " is told to end";
     case GroupFaultKind::cut_one_way:
       return fmt::format("nothing passes from {} to r{:03}", router, fault.peer);
-    case GroupFaultKind::bridge:
+    case GroupFaultKind::cut_pair:
       return fmt::format("{} and r{:03} do not see each other", router, fault.peer);
     case GroupFaultKind::isolate: return router + " is cut off";
-    case GroupFaultKind::halves: return "cut into halves";
+    case GroupFaultKind::split_into_halves: return "cut into halves";
     case GroupFaultKind::network:
       return fmt::format("{:.0f} % of the datagrams are lost, half as many repeated", 100 * fault.amount);
-    case GroupFaultKind::heal: break;
+    case GroupFaultKind::heal_all: break;
   }
   return "all cuts are healed";
 }
@@ -245,7 +246,7 @@
   script.options.seed = seed;
   script.options.routers = 3 + random.below(7);
   script.options.sites = 1 + random.below(3);
-  script.options.views = random.happens(0.7);
+  script.options.share_views = random.happens(0.7);
   const std::size_t count = 4 + random.below(13);
   for (std::size_t i = 0; i < count; ++i) {
     const GroupFault fault = random_fault(random, script.options.routers);
--- a/src/emulator/group_faults.hpp
+++ b/src/emulator/group_faults.hpp
@@ -15,24 +15,24 @@
 enum class GroupFaultKind {
   // Of the process of `router`.
   kill,
-  start_kept,
-  start_empty,
-  start_older,
+  start_same_disk,
+  start_empty_disk,
+  start_older_disk,
   suspend,
   resume,
   shut_down,
   // Of the network.
-  cut_one_way,  // from `router` to `peer`
-  isolate,      // `router` from all others
-  halves,       // the first half of the routers from the second
-  bridge,       // `router` and `peer` from each other
-  heal,
+  cut_one_way,        // from `router` to `peer`
+  isolate,            // `router` from all others
+  split_into_halves,  // the first half of the routers from the second
+  cut_pair,           // `router` and `peer` from each other
+  heal_all,
   network  // loss of `amount`, half as many repeats, and delays to match
 };
 
 struct GroupFault {
   Time at = 0;
-  GroupFaultKind kind = GroupFaultKind::heal;
+  GroupFaultKind kind = GroupFaultKind::heal_all;
   std::size_t router = 0;
   std::size_t peer = 0;
   double amount = 0;  // of losses
@@ -51,10 +51,10 @@
 
 // The outcome of a script.
 struct GroupScriptResult {
-  std::string violation;  // the first check that failed; empty: none
-  Time agreed_after = 0;  // microseconds from the end of all faults until all routers agreed
+  std::string violation;    // the first check that failed; empty: none
+  Time agreement_time = 0;  // microseconds from the end of all faults until all routers agreed
   std::size_t faults = 0;
-  std::size_t gone_reports = 0;  // times that a router reported another one gone
+  std::size_t failure_reports = 0;  // times that a router reported another one gone
 };
 
 // Runs a script, and then ends all faults and waits until the routers agree. `write_log` gets a line for each
--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -48,9 +48,10 @@
   if (account.windows.empty()) return {};
   const auto units = -account.windows.begin()->second.correction_sum;
   const auto corrections = static_cast<std::size_t>(units / ReplicationClients::kCorrectionUnits);
-  if (corrections >= clients.confirmed().size() && corrections <= cluster.result().corrections) return {};
-  return fmt::format("{} corrections were confirmed, {} asked for, {} hold", clients.confirmed().size(),
-                     cluster.result().corrections, corrections);
+  if (corrections >= clients.confirmed_corrections().size() && corrections <= cluster.result().corrections)
+    return {};
+  return fmt::format("{} corrections were confirmed, {} asked for, {} hold",
+                     clients.confirmed_corrections().size(), cluster.result().corrections, corrections);
 }
 
 std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
@@ -62,7 +63,7 @@
     if (auto violation = check_corrections(cluster, clients, account); !violation.empty()) return violation;
   }
   if (ledger != replication::ledger_of(kCorrectedAccount, cluster.options().ledgers)) return {};
-  for (const auto id : clients.confirmed()) {
+  for (const auto id : clients.confirmed_corrections()) {
     if (!leader.ledger().has_applied(id)) return "a confirmed correction is gone";
   }
   return {};
@@ -79,11 +80,12 @@
 std::string check_usable_part(ReplicationCluster& cluster, const ReplicationClients& clients,
                               std::int64_t window) {
   if (cluster.options().demand <= kSaturatingDemand) return {};
-  double& usable = cluster.result().usable;
+  double& usable_fraction = cluster.result().usable_fraction;
   for (const auto* key : {"minute|a", "minute|b"})
-    usable = std::min(usable, static_cast<double>(clients.used(key, window)) / kWindowLimit);
-  if (usable >= kMinUsable) return {};
-  return fmt::format("{:.2f} of a limit could be used in a window without faults", usable);
+    usable_fraction =
+        std::min(usable_fraction, static_cast<double>(clients.used(key, window)) / kWindowLimit);
+  if (usable_fraction >= kMinUsable) return {};
+  return fmt::format("{:.2f} of a limit could be used in a window without faults", usable_fraction);
 }
 
 }  // namespace
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -76,7 +76,7 @@
   Units& total = used_[{account.key, window}];
   total += used;
   if (account.rule.kind == budgets::LimitKind::bucket) return count_in_bucket(account, used);
-  const auto overdraft = static_cast<Units>(cluster_.options().overdraft * kWindowLimit);
+  const auto overdraft = static_cast<Units>(cluster_.options().overdraft_fraction * kWindowLimit);
   if (total > kWindowLimit + overdraft * static_cast<Units>(cluster_.size())) {
     cluster_.report_violation(fmt::format("{}, window {}: {} granted, the limit is {}", account.key, window,
                                           total,
@@ -89,7 +89,8 @@
   bucket_ = std::min<double>(kBucketBurst, bucket_ + elapsed_s * kBucketRefillPerSecond * kFastestClock);
   bucket_at_ = cluster_.now();
   bucket_ -= static_cast<double>(used);
-  const double overdraft = cluster_.options().overdraft * kBucketBurst * static_cast<double>(cluster_.size());
+  const double overdraft =
+      cluster_.options().overdraft_fraction * kBucketBurst * static_cast<double>(cluster_.size());
   if (bucket_ < -1 - overdraft)
     cluster_.report_violation(fmt::format("{}: {:.0f} beyond burst and refill", account.key, -bucket_));
 }
@@ -112,7 +113,7 @@
                                                   confirmed ? "yes" : "no", outcome.reason));
                    if (!confirmed) return;
                    confirmed_.insert(id);
-                   ++cluster_.result().confirmed;
+                   ++cluster_.result().confirmed_corrections;
                  });
 }
 
--- a/src/emulator/replication_clients.hpp
+++ b/src/emulator/replication_clients.hpp
@@ -30,7 +30,7 @@
   budgets::Units used(const std::string& account, std::int64_t window) const;
 
   // Ids of the corrections that a router confirmed.
-  const std::set<std::uint64_t>& confirmed() const { return confirmed_; }
+  const std::set<std::uint64_t>& confirmed_corrections() const { return confirmed_; }
 
   // Units of each correction. The number of corrections can be read from the sum.
   static constexpr budgets::Units kCorrectionUnits = 1000;
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -32,7 +32,7 @@
 
 const char* name_of(Disk disk) {
   switch (disk) {
-    case Disk::kept: return "kept";
+    case Disk::same: return "kept";
     case Disk::empty: return "empty";
     case Disk::older: return "older";
   }
@@ -141,7 +141,7 @@
 
 void ReplicationCluster::load_disk(std::size_t router, Disk disk) {
   Router& its = routers_[router];
-  if (disk != Disk::kept) {
+  if (disk != Disk::same) {
     for (std::size_t ledger = 0; ledger < options_.ledgers; ++ledger) {
       const auto holders = replication::place_replicas(*roster_, ledger, options_.replicas);
       if (std::find(holders.begin(), holders.end(), router) != holders.end()) its.recovering.insert(ledger);
@@ -167,7 +167,7 @@
 // ---------------------------------------------------------------- processes
 
 void ReplicationCluster::start_all() {
-  for (std::size_t i = 0; i < size(); ++i) start(i, Disk::kept);
+  for (std::size_t i = 0; i < size(); ++i) start(i, Disk::same);
   schedule_tick();
 }
 
@@ -198,7 +198,7 @@
   options.replica.snapshot_threshold = kSnapshotEvery;
   options.replica.trailing_entries = kTrailingEntries;
   options.replica.trust_any_disk = options_.trust_any_disk;
-  options.replica.respond_before_majority = options_.answer_before_majority;
+  options.replica.respond_before_majority = options_.respond_before_majority;
   options.quota_client.self = router;
   options.quota_client.replica_count = options_.replicas;
   options.quota_client.roster = roster_;
@@ -207,8 +207,8 @@
   options.quota_client.instance_id = static_cast<std::uint32_t>(random_.bits());
   options.quota_client.max_prefetch_fraction = kLeaseBlock;
   options.quota_client.response_timeout = kClientPatience;
-  options.quota_client.overdraft_fraction = options_.overdraft;
-  options.quota_client.use_expired_leases = options_.outlive_lease;
+  options.quota_client.overdraft_fraction = options_.overdraft_fraction;
+  options.quota_client.use_expired_leases = options_.use_expired_leases;
   return options;
 }
 
@@ -246,7 +246,7 @@
 void ReplicationCluster::suspend(std::size_t router) {
   if (!running(router)) return;
   write_log(fmt::format("r{} is stopped", router));
-  ++result_.stops;
+  ++result_.suspensions;
   routers_[router].suspended = true;
 }
 
--- a/src/emulator/replication_faults.cpp
+++ b/src/emulator/replication_faults.cpp
@@ -34,7 +34,7 @@
     cluster_.resume(i);
     cluster_.free_disk(i);
     cluster_.restore_disk_speed(i);
-    cluster_.start(i, Disk::kept);
+    cluster_.start(i, Disk::same);
   }
   cluster_.set_loss(0);
   cluster_.write_log("all is mended");
@@ -79,7 +79,7 @@
 }
 
 Disk ReplicationFaults::draw_disk(bool may_lose) {
-  if (!may_lose || !cluster_.random().happens(0.6)) return Disk::kept;
+  if (!may_lose || !cluster_.random().happens(0.6)) return Disk::same;
   return cluster_.random().happens(0.7) ? Disk::empty : Disk::older;
 }
 
@@ -89,7 +89,7 @@
   cluster_.kill(router);
   cluster_.schedule(cluster_.now() + duration, [this, router, disk] {
     // Another disk may have been lost meanwhile.
-    const Disk allowed = may_lose_a_disk() ? disk : Disk::kept;
+    const Disk allowed = may_lose_a_disk() ? disk : Disk::same;
     if (!ended_) cluster_.start(router, allowed);
   });
 }
--- a/src/emulator/replication_simulation.hpp
+++ b/src/emulator/replication_simulation.hpp
@@ -17,11 +17,11 @@
   double seconds = 90;  // after which all faults end
   double demand = 2;    // of the limits, by the clients of all routers together
   bool faults = true;
-  double overdraft = 0;  // part of a limit that a router may grant without a lease
+  double overdraft_fraction = 0;  // part of a limit that a router may grant without a lease
   // Faults of the program, which the checks have to find.
   bool trust_any_disk = false;
-  bool answer_before_majority = false;
-  bool outlive_lease = false;
+  bool respond_before_majority = false;
+  bool use_expired_leases = false;
 };
 
 struct ReplicationResult {
@@ -29,13 +29,14 @@
   std::size_t kills = 0;
   std::size_t lost_disks = 0;
   std::size_t older_disks = 0;
-  std::size_t stops = 0;  // of processes that are resumed later
-  std::size_t cuts = 0;   // of the network
+  std::size_t suspensions = 0;  // of processes that are resumed later
+  std::size_t cuts = 0;         // of the network
   std::size_t corrections = 0;
-  std::size_t confirmed = 0;  // of the corrections
+  std::size_t confirmed_corrections = 0;  // of the corrections
   std::size_t granted = 0;
   std::size_t rejected = 0;
-  double usable = 1;  // part of a limit that was granted in the last window, in which there were no faults
+  double usable_fraction =
+      1;  // part of a limit that was granted in the last window, in which there were no faults
   std::string timeline;
 };
 
--- a/src/experiments/closed_forms.cpp
+++ b/src/experiments/closed_forms.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kObservedJobs = 10;     // of a size and above, for it to count as observable
 constexpr double kZeroExponent = 1e-12;  // nearer to 0, an integral of x^(exponent-1) is taken as a logarithm
-constexpr double kSmallestLeastSize = 1e-9;  // of the mean, where the search for the least size begins
+constexpr double kSearchStart = 1e-9;    // of the mean, where the search for the minimum size begins
 constexpr std::uintmax_t kMaxSolverSteps = 200;
 constexpr int kSolverBits = 50;
 
@@ -19,40 +19,40 @@
 }  // namespace
 
 double BoundedPareto::moment(double power, double low, double high) const {
-  const double scale = alpha * std::pow(least, alpha) / (1 - std::pow(least / most, alpha));
+  const double scale = alpha * std::pow(min_size, alpha) / (1 - std::pow(min_size / max_size, alpha));
   const double exponent = power - alpha;
   if (is_zero(exponent)) return scale * std::log(high / low);
   return scale * (std::pow(high, exponent) - std::pow(low, exponent)) / exponent;
 }
 
-BoundedPareto bounded_pareto_with_mean(double alpha, double most, double mean) {
-  const auto mean_error = [&](double log_least) {
-    return BoundedPareto{alpha, std::exp(log_least), most}.moment(1) - mean;
+BoundedPareto bounded_pareto_with_mean(double alpha, double max_size, double mean) {
+  const auto mean_error = [&](double log_min_size) {
+    return BoundedPareto{alpha, std::exp(log_min_size), max_size}.moment(1) - mean;
   };
-  const double low = std::log(mean * kSmallestLeastSize);
+  const double low = std::log(mean * kSearchStart);
   const double high = std::log(mean);
-  const bool in_range = mean > 0 && mean < most;
+  const bool in_range = mean > 0 && mean < max_size;
   if (!in_range || mean_error(low) > 0) {
     throw ExperimentError(ErrorKind::bad_sizes, "no Bounded Pareto with this mean");
   }
   std::uintmax_t steps = kMaxSolverSteps;
   const boost::math::tools::eps_tolerance<double> tolerance(kSolverBits);
   const auto bracket = boost::math::tools::toms748_solve(mean_error, low, high, tolerance, steps);
-  return {alpha, std::exp((bracket.first + bracket.second) / 2), most};
+  return {alpha, std::exp((bracket.first + bracket.second) / 2), max_size};
 }
 
 std::vector<double> equal_work_edges(const BoundedPareto& sizes, int hosts) {
-  std::vector<double> edges{sizes.least};
+  std::vector<double> edges{sizes.min_size};
   const double exponent = 1 - sizes.alpha;
-  const double low = std::pow(sizes.least, exponent);
-  const double high = std::pow(sizes.most, exponent);
+  const double low = std::pow(sizes.min_size, exponent);
+  const double high = std::pow(sizes.max_size, exponent);
   for (int i = 1; i < hosts; ++i) {
     const double share = static_cast<double>(i) / hosts;
-    const double edge = is_zero(exponent) ? sizes.least * std::pow(sizes.most / sizes.least, share)
+    const double edge = is_zero(exponent) ? sizes.min_size * std::pow(sizes.max_size / sizes.min_size, share)
                                           : std::pow(low + share * (high - low), 1 / exponent);
     edges.push_back(edge);
   }
-  edges.push_back(sizes.most);
+  edges.push_back(sizes.max_size);
   return edges;
 }
 
@@ -79,10 +79,10 @@
 
 double observable_share(const BoundedPareto& sizes, double jobs) {
   // The largest size that kObservedJobs of the jobs exceed in the mean.
-  const double cut_off = std::pow(sizes.least / sizes.most, sizes.alpha);
+  const double cut_off = std::pow(sizes.min_size / sizes.max_size, sizes.alpha);
   const double tail = kObservedJobs / jobs * (1 - cut_off) + cut_off;
-  const double size = std::min(sizes.most, sizes.least * std::pow(tail, -1 / sizes.alpha));
-  return size <= sizes.least ? 0 : sizes.moment(2, sizes.least, size) / sizes.moment(2);
+  const double size = std::min(sizes.max_size, sizes.min_size * std::pow(tail, -1 / sizes.alpha));
+  return size <= sizes.min_size ? 0 : sizes.moment(2, sizes.min_size, size) / sizes.moment(2);
 }
 
 }  // namespace thornwick::experiments
--- a/src/experiments/closed_forms.hpp
+++ b/src/experiments/closed_forms.hpp
@@ -8,20 +8,20 @@
 
 namespace thornwick::experiments {
 
-// Sizes on [least, most] with density proportional to x^(-alpha-1).
+// Sizes on [min_size, max_size] with density proportional to x^(-alpha-1).
 struct BoundedPareto {
   double alpha = 1.5;
-  double least = 1;
-  double most = 1e10;
+  double min_size = 1;
+  double max_size = 1e10;
 
   // The integral of x^power times the density between low and high; not divided by the probability of that
   // interval.
   double moment(double power, double low, double high) const;
-  double moment(double power) const { return moment(power, least, most); }
+  double moment(double power) const { return moment(power, min_size, max_size); }
 };
 
-// The distribution with this mean. Throws ExperimentError(bad_sizes) if there is none below `most`.
-BoundedPareto bounded_pareto_with_mean(double alpha, double most, double mean);
+// The distribution with this mean. Throws ExperimentError(bad_sizes) if there is none below `max_size`.
+BoundedPareto bounded_pareto_with_mean(double alpha, double max_size, double mean);
 
 // The hosts + 1 edges of `hosts` intervals of equal work, ascending.
 std::vector<double> equal_work_edges(const BoundedPareto& sizes, int hosts);
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -122,7 +122,7 @@
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
           const ProgressObserver& on_progress) {
   const unsigned threads = plan.measure_time ? 1 : plan.threads;
-  const std::size_t at_most = cells.size() * plan.max_days;
+  const std::size_t day_count = cells.size() * plan.max_days;
   std::size_t finished = 0;
   std::mutex results_mutex;
   for (unsigned day = 0; day < plan.max_days; ++day) {
@@ -131,7 +131,7 @@
     for (std::size_t i = 0; i < cells.size(); ++i) {
       const std::string& key = cells[i].key;
       if (results.has(key, seed) || is_precise_enough(plan, results.rows_of(key))) {
-        on_progress(++finished, at_most);
+        on_progress(++finished, day_count);
       } else {
         jobs.push_back({i, seed});
       }
@@ -143,7 +143,7 @@
       const std::lock_guard lock(results_mutex);
       const Detail detail = day == 0 ? Detail::whole_result : Detail::figures;
       results.add(cell.key, summarise(cell.point, result, detail));
-      on_progress(++finished, at_most);
+      on_progress(++finished, day_count);
     });
   }
 }
--- a/src/experiments/experiment.hpp
+++ b/src/experiments/experiment.hpp
@@ -45,7 +45,7 @@
 
 // Called when a day is finished, with the number of finished days and the number of days if no cell finishes
 // early.
-using ProgressObserver = std::function<void(std::size_t finished, std::size_t at_most)>;
+using ProgressObserver = std::function<void(std::size_t finished, std::size_t day_count)>;
 
 // Plays the days that the results do not have yet, and adds them.
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
--- a/src/experiments/grid_commands.cpp
+++ b/src/experiments/grid_commands.cpp
@@ -23,11 +23,11 @@
   bool quiet = false;
 };
 
-void show_progress(std::size_t finished, std::size_t at_most) {
+void show_progress(std::size_t finished, std::size_t day_count) {
   constexpr std::size_t kWidth = 40;
-  const std::size_t filled = at_most == 0 ? kWidth : kWidth * finished / at_most;
+  const std::size_t filled = day_count == 0 ? kWidth : kWidth * finished / day_count;
   fmt::print(stderr, "\r[{}{}] {}/{} days{}", std::string(filled, '#'), std::string(kWidth - filled, ' '),
-             finished, at_most, finished == at_most ? "\n" : "");
+             finished, day_count, finished == day_count ? "\n" : "");
   std::fflush(stderr);
 }
 
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -41,7 +41,7 @@
 struct Totals {
   std::uint64_t sent = 0;
   std::uint64_t bytes = 0;
-  std::uint64_t gone = 0;
+  std::uint64_t failures = 0;
   std::uint64_t suspicions = 0;
 };
 
@@ -51,7 +51,7 @@
     const membership::Metrics& metrics = group.at(i).metrics();
     totals.sent += metrics.sent;
     totals.bytes += metrics.sent_bytes;
-    totals.gone += metrics.failures;
+    totals.failures += metrics.failures;
     totals.suspicions += metrics.announced_suspicions;
   }
   return totals;
@@ -65,7 +65,7 @@
   const double router_seconds = calm_s * static_cast<double>(group.size());
   row.messages_per_s = static_cast<double>(after.sent - before.sent) / router_seconds;
   row.bytes_per_s = static_cast<double>(after.bytes - before.bytes) / router_seconds;
-  row.false_gone_per_h = static_cast<double>(after.gone - before.gone) * kSecondsPerHour / calm_s;
+  row.false_failures_per_h = static_cast<double>(after.failures - before.failures) * kSecondsPerHour / calm_s;
   row.false_suspicions_per_h =
       static_cast<double>(after.suspicions - before.suspicions) * kSecondsPerHour / calm_s;
 }
@@ -94,13 +94,13 @@
   std::vector<Time> detection_times;
   for (std::size_t i = 0; i < kills; ++i) {
     const std::size_t victim = i * kStride % group.size();
-    row.not_found += measure_kill(group, victim, detection_times);
-    group.start(victim, Disk::kept);
+    row.undetected_failures += measure_kill(group, victim, detection_times);
+    group.start(victim, Disk::same);
     wait_for(group, seconds(1), [&] { return group.agree(); });
   }
   row.kills = kills;
-  row.found_p50_s = quantile_s(detection_times, 0.5);
-  row.found_p99_s = quantile_s(detection_times, 0.99);
+  row.detection_p50_s = quantile_s(detection_times, 0.5);
+  row.detection_p99_s = quantile_s(detection_times, 0.99);
 }
 
 void measure_partition(Group& group, GroupRow& row) {
@@ -114,36 +114,36 @@
   group.run_until(group.now() + kPartition);
   group.unblock_all();
   const Time agreed = wait_for(group, milliseconds(250), [&] { return group.agree(); });
-  row.agreed_after_s = static_cast<double>(agreed) / 1e6;
+  row.agreement_time_s = static_cast<double>(agreed) / 1e6;
 }
 
 }  // namespace
 
-membership::Options options_of_way(const std::string& way) {
+membership::Options detector_options(const std::string& detector) {
   membership::Options options;
-  if (way == "measured") return options;
+  if (detector == "measured") return options;
   options.adaptive = false;
-  if (way == "plain") {
+  if (detector == "plain") {
     options.buddy_system = false;
-  } else if (way == "lifeguard") {
+  } else if (detector == "lifeguard") {
     options.local_health = true;
   } else {
-    throw ExperimentError(ErrorKind::bad_arguments, "no such way: " + way);
+    throw ExperimentError(ErrorKind::bad_arguments, "no such way: " + detector);
   }
   return options;
 }
 
-GroupRow measure_group(const std::string& way, std::size_t routers, double loss,
+GroupRow measure_group(const std::string& detector, std::size_t routers, double loss,
                        const GroupTableOptions& options) {
   emulator::GroupOptions group_options;
   group_options.routers = routers;
   group_options.sites = std::min<std::size_t>(3, routers);
   group_options.loss = loss;
-  group_options.swim = options_of_way(way);
+  group_options.swim = detector_options(detector);
   group_options.seed = options.seed;
   Group group(group_options);
   GroupRow row;
-  row.way = way;
+  row.detector = detector;
   row.routers = routers;
   row.loss = loss;
   wait_for(group, seconds(1), [&] { return group.agree(); });
@@ -162,9 +162,9 @@
     out += fmt::format(
         "{:<10} {:>7} {:>5.2f} {:>6} {:>8.1f} {:>8.1f} {:>9} {:>12.2f} {:>12.1f} {:>7.2f} {:>8.0f} "
         "{:>9.1f}\n",
-        row.way, row.routers, row.loss, row.kills, row.found_p50_s, row.found_p99_s, row.not_found,
-        row.false_gone_per_h, row.false_suspicions_per_h, row.messages_per_s, row.bytes_per_s,
-        row.agreed_after_s);
+        row.detector, row.routers, row.loss, row.kills, row.detection_p50_s, row.detection_p99_s,
+        row.undetected_failures, row.false_failures_per_h, row.false_suspicions_per_h, row.messages_per_s,
+        row.bytes_per_s, row.agreement_time_s);
   }
   return out;
 }
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -47,7 +47,7 @@
       high_ = 1;
     }
     if (scale_ == Scale::linear && low_ > 0 && low_ < kNearZero * high_) low_ = 0;
-    if (high_ - low_ < kLeastExtent) {
+    if (high_ - low_ < kMinExtent) {
       high_ += 0.5;
       low_ -= 0.5;
     }
@@ -66,7 +66,7 @@
 
  private:
   static constexpr double kNearZero = 0.5;  // of the largest value
-  static constexpr double kLeastExtent = 1e-9;
+  static constexpr double kMinExtent = 1e-9;
 
   double scaled(double value) const { return scale_ == Scale::logarithmic ? std::log10(value) : value; }
 
--- a/src/experiments/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -53,8 +53,8 @@
   jobs.deadline_ms = kUnlimitedMs;
   jobs.token_ms = kUnlimitedMs;
   jobs.alpha = sizes.alpha;
-  jobs.min_us = sizes.least * kMicrosecondsPerUnit;
-  jobs.max_us = sizes.most * kMicrosecondsPerUnit;
+  jobs.min_us = sizes.min_size * kMicrosecondsPerUnit;
+  jobs.max_us = sizes.max_size * kMicrosecondsPerUnit;
   jobs.mean_us = plan.mean_size * kMicrosecondsPerUnit;
   scenario.classes = {jobs};
   return scenario;
--- a/src/tools/group.cpp
+++ b/src/tools/group.cpp
@@ -33,7 +33,7 @@
     const auto played =
         emulator::play_script(emulator::random_script(seed), options.verbose ? print_line : ignore_line);
     faults += played.faults;
-    gone_claims += played.gone_reports;
+    gone_claims += played.failure_reports;
     if (played.violation.empty()) continue;
     ++broken;
     fmt::print("seed {}: {}\n  again: thornwick group virtual --seed {} --count 1 --say\n", seed,
@@ -59,7 +59,7 @@
 
 int run_table(const experiments::GroupTableOptions& options) {
   std::vector<experiments::GroupRow> rows;
-  for (const auto& detector : options.ways) {
+  for (const auto& detector : options.detectors) {
     for (const auto routers : options.routers) {
       for (const auto loss : options.losses) {
         rows.push_back(experiments::measure_group(detector, routers, loss, options));
@@ -81,7 +81,7 @@
   command->add_option("--loss", options->losses, "parts of the datagrams")
       ->check(CLI::Range(0.0, 0.9))
       ->capture_default_str();
-  command->add_option("--way", options->ways, "how silence is judged")
+  command->add_option("--way", options->detectors, "how silence is judged")
       ->check(CLI::IsMember({"measured", "plain", "lifeguard"}))
       ->capture_default_str();
   command->add_option("--calm", options->calm_s, "seconds without a fault")
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -62,10 +62,10 @@
   total.kills += played.kills;
   total.lost_disks += played.lost_disks;
   total.older_disks += played.older_disks;
-  total.stops += played.stops;
+  total.suspensions += played.suspensions;
   total.cuts += played.cuts;
   total.corrections += played.corrections;
-  total.confirmed += played.confirmed;
+  total.confirmed_corrections += played.confirmed_corrections;
   total.granted += played.granted;
 }
 
@@ -89,8 +89,8 @@
   fmt::print(
       "{} scripts: {} kills, {} disks lost, {} older, {} stops, {} cuts, {} of {} corrections confirmed, {} "
       "requests granted; {} broken\n",
-      options.count, total.kills, total.lost_disks, total.older_disks, total.stops, total.cuts,
-      total.confirmed, total.corrections, total.granted, broken);
+      options.count, total.kills, total.lost_disks, total.older_disks, total.suspensions, total.cuts,
+      total.confirmed_corrections, total.corrections, total.granted, broken);
   return broken == 0 ? 0 : 1;
 }
 
--- a/tests/group/membership.cpp
+++ b/tests/group/membership.cpp
@@ -86,7 +86,7 @@
   std::size_t failures_reported = 0;
   for (std::uint64_t seed = first_seed; seed < first_seed + kScripts; ++seed) {
     const auto result = emulator::play_script(emulator::random_script(seed));
-    failures_reported += result.gone_reports;
+    failures_reported += result.failure_reports;
     INFO("play it again: thornwick group virtual --seed " << seed << " --count 1 --say");
     REQUIRE(result.violation == "");
   }
@@ -178,7 +178,7 @@
       [&] { return settled.all_see(2, MemberState::suspected) || settled.all_see(2, MemberState::failed); });
   settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
   const auto [disk, recovery, text] = GENERATE(table<Disk, RecoveryState, std::string>(
-      {{Disk::kept, RecoveryState::same_disk, "started anew with its disk"},
+      {{Disk::same, RecoveryState::same_disk, "started anew with its disk"},
        {Disk::empty, RecoveryState::new_disk, "started anew with an empty disk"}}));
   settled.group.start(2, disk);
   settled.require_soon([&] { return settled.group.agree(); });
@@ -187,7 +187,7 @@
   settled.require_soon([&] {
     return settled.group.at(2).view(2).recovery == recovery;
   });  // it learns its own recovery state, too
-  if (disk != Disk::kept) return;
+  if (disk != Disk::same) return;
   settled.group.kill(2);
   settled.require_soon([&] { return settled.all_see(2, MemberState::failed); });
   settled.group.start(2, Disk::older);  // the disk as it was before its last start
@@ -347,8 +347,8 @@
   const auto calm = experiments::measure_group("measured", routers, 0, options);
   CHECK(calm.messages_per_s <= 1.0);
   CHECK(calm.bytes_per_s <= 256);
-  CHECK((calm.false_gone_per_h == 0 && calm.not_found == 0 && calm.agreed_after_s >= 0));
+  CHECK((calm.false_failures_per_h == 0 && calm.undetected_failures == 0 && calm.agreement_time_s >= 0));
   const auto lossy = experiments::measure_group("measured", routers, 0.3, options);
   CHECK(lossy.messages_per_s <= 1.3);
-  CHECK((lossy.not_found == 0 && lossy.agreed_after_s >= 0));
+  CHECK((lossy.undetected_failures == 0 && lossy.agreement_time_s >= 0));
 }
--- a/tests/recordings/simulations.cpp
+++ b/tests/recordings/simulations.cpp
@@ -52,11 +52,16 @@
 ReplicationRecording record_replication(const ReplicationOptions& options) {
   const ReplicationResult result = simulate_replication(options);
   CHECK(result.violation == "");
-  return {result.kills,       result.lost_disks,
-          result.older_disks, result.stops,
-          result.cuts,        result.corrections,
-          result.confirmed,   result.granted,
-          result.rejected,    std::llround(result.usable * 1000)};
+  return {result.kills,
+          result.lost_disks,
+          result.older_disks,
+          result.suspensions,
+          result.cuts,
+          result.corrections,
+          result.confirmed_corrections,
+          result.granted,
+          result.rejected,
+          std::llround(result.usable_fraction * 1000)};
 }
 
 struct GroupRecording {
@@ -77,15 +82,15 @@
   std::uint64_t lines = 0;
   const GroupScriptResult played = play_script(random_script(seed), [&](const std::string&) { ++lines; });
   CHECK(played.violation == "");
-  return {played.faults, played.gone_reports, lines, played.agreed_after};
+  return {played.faults, played.failure_reports, lines, played.agreement_time};
 }
 
 std::uint64_t digest_of(const experiments::GroupRow& row) {
   Digest digest;
-  for (const std::uint64_t count : {row.routers, row.kills, row.not_found}) digest.add(count);
+  for (const std::uint64_t count : {row.routers, row.kills, row.undetected_failures}) digest.add(count);
   for (const double figure :
-       {row.loss, row.found_p50_s, row.found_p99_s, row.false_gone_per_h, row.false_suspicions_per_h,
-        row.messages_per_s, row.bytes_per_s, row.agreed_after_s}) {
+       {row.loss, row.detection_p50_s, row.detection_p99_s, row.false_failures_per_h,
+        row.false_suspicions_per_h, row.messages_per_s, row.bytes_per_s, row.agreement_time_s}) {
     digest.add_rounded(figure);
   }
   return digest.value();
--- a/tests/replication/virtual_time.cpp
+++ b/tests/replication/virtual_time.cpp
@@ -63,7 +63,7 @@
   const auto result = simulate_replication(options);
   INFO(result.timeline);
   REQUIRE(result.violation == "");
-  CHECK(result.usable > 0.9);
+  CHECK(result.usable_fraction > 0.9);
 }
 
 TEST_CASE(
@@ -86,5 +86,5 @@
     "ledgers in virtual time: the simulation finds a second vote after a lost disk, and a response before "
     "commitment") {
   CHECK(finds_fault(26, [](ReplicationOptions& options) { options.trust_any_disk = true; }));
-  CHECK(finds_fault(1, [](ReplicationOptions& options) { options.answer_before_majority = true; }));
+  CHECK(finds_fault(1, [](ReplicationOptions& options) { options.respond_before_majority = true; }));
 }
