--- a/src/emulator/attempts.cpp
+++ b/src/emulator/attempts.cpp
@@ -1,4 +1,4 @@
-// Attempts of an emulated day: connections to replicas, and the answers on their way back.
+// The attempts of an emulated day: connections to replicas, and the answers of the replicas.
 #include <utility>
 
 #include "emulator/day_simulation.hpp"
@@ -22,7 +22,7 @@
   connect(router, handle);
 }
 
-// Takes an idle connection, the one that is idle for the shortest time, or makes a new one.
+// Uses the connection that has been idle for the shortest time, or opens a new one.
 void DaySimulation::connect(EmulatedRouter& router, Handle handle) {
   const Attempt& attempt = *attempts_.find(handle);
   Replica& replica = replicas_[attempt.replica];
@@ -33,7 +33,7 @@
   if (!replica.up) return schedule(now_ + 2 * one_way, EventType::attempt_connect_failed, handle);
   auto& idle = router.idle_connections[attempt.replica];
   const Time oldest = now_ - static_cast<Time>(1e6 * scenario_.idle_timeout_s);
-  // If the newest one is idle for too long, all are, and all are closed.
+  // If the most recently used connection has been idle for too long, all have, and all are closed.
   if (!idle.empty() && idle.back() < oldest) replica.connections -= std::exchange(idle, {}).size();
   if (!idle.empty()) {
     idle.pop_back();
@@ -77,7 +77,7 @@
     return schedule(now_ + back, EventType::attempt_rejected, handle);
   }
   attempt->in_engine = true;
-  result_.wasted_work += plan.work;  // until it is answered
+  result_.wasted_work += plan.work;  // on_answered() subtracts the work of the answered request
   check_overload(index, plan.work);
   schedule_replica(index);
 }
@@ -110,7 +110,7 @@
   end_attempt(handle, Outcome::served);
 }
 
-// Ends an attempt that its core still waits for.
+// Ends an attempt that the router's core still waits for.
 void DaySimulation::end_attempt(Handle handle, Outcome outcome) {
   const Attempt* attempt = attempts_.find(handle);
   if (attempt == nullptr) return;
@@ -126,7 +126,7 @@
   router.core->attempt_ended(id, outcome);
 }
 
-// The connection closes. The replica completes what it has begun, and nobody receives it.
+// Closes the attempt's connection. The replica still completes the answer, whose tokens are discarded.
 bool DaySimulation::cancel_attempt(EmulatedRouter& router, core::AttemptId id) {
   const auto found = router.attempts.find(id.request_id);
   if (found == router.attempts.end()) return false;
--- a/src/emulator/baseline_policies.cpp
+++ b/src/emulator/baseline_policies.cpp
@@ -15,8 +15,9 @@
 namespace thornwick::emulator {
 namespace {
 
-// What all baseline policies share: the ready replicas in the order of their ids, the attempts in flight, and
-// retries until a request's attempts are used up. They reject only then, or if no replica is ready.
+// The base of all baseline policies. The class keeps the ready replicas in the order of their ids and the
+// attempts in flight, and retries a request until its attempts are used up. A request is rejected only then,
+// or if no replica is ready.
 class BaselinePolicy : public core::Decider {
  public:
   explicit BaselinePolicy(const BaselineSettings& settings)
@@ -61,21 +62,21 @@
   struct OpenRequest {
     Request request;
     std::uint32_t attempts = 0;
-    ReplicaId last = 0;  // the replica of the last attempt, which failed
+    ReplicaId last = 0;  // replica of the last attempt, which failed
   };
 
-  // Returns an index into ready(), which is not empty.
+  // Returns an index into ready(), which is not empty when choose() is called.
   virtual std::size_t choose(const OpenRequest& open) = 0;
 
   const std::vector<ReplicaId>& ready() const { return ready_; }
 
-  // Attempts in flight at a ready replica.
+  // Returns the number of attempts in flight at a ready replica.
   int in_flight(std::size_t index) const {
     const auto found = in_flight_.find(ready_[index]);
     return found == in_flight_.end() ? 0 : found->second;
   }
 
-  // The capacity of a ready replica, as discovery lists it.
+  // Returns the capacity of a ready replica that discovery lists.
   double weight(std::size_t index) const { return weights_.at(ready_[index]); }
 
   RandomStream& random() { return random_; }
@@ -128,7 +129,7 @@
 
 class RoundRobin final : public BaselinePolicy {
  public:
-  // Routers with different seeds begin with different replicas.
+  // The first replica depends on the seed, so that routers begin with different replicas.
   explicit RoundRobin(const BaselineSettings& settings) : BaselinePolicy(settings), next_(settings.seed) {}
 
  private:
@@ -143,7 +144,7 @@
 
  private:
   std::size_t choose(const OpenRequest&) override {
-    const std::size_t start = random().below(ready().size());  // ties go to any of them
+    const std::size_t start = random().below(ready().size());  // a random start breaks ties evenly
     std::size_t best = start;
     for (std::size_t i = 1; i < ready().size(); ++i) {
       const std::size_t index = (start + i) % ready().size();
@@ -153,7 +154,8 @@
   }
 };
 
-// Mitzenmacher 2001, "The power of two choices in randomized load balancing".
+// Chooses the less loaded of two random replicas: Mitzenmacher 2001, "The power of two choices in randomized
+// load balancing".
 class TwoChoices final : public BaselinePolicy {
  public:
   using BaselinePolicy::BaselinePolicy;
@@ -168,8 +170,9 @@
 
 enum class Weighting { equal, by_capacity };
 
-// Thaler and Ravishankar 1998: the highest hash of session and replica. With weights: Schindelhauer and
-// Schomaker 2005, each replica gets sessions in proportion to its listed capacity.
+// Chooses the replica with the highest hash of session and replica (Thaler and Ravishankar 1998). With
+// weights, each replica gets sessions in proportion to its listed capacity (Schindelhauer and Schomaker
+// 2005).
 template <Weighting weighting>
 class Rendezvous final : public BaselinePolicy {
  public:
@@ -191,8 +194,8 @@
   }
 };
 
-// Size interval task assignment with equal work (Harchol-Balter, Crovella and Murta 1999, section 5). The
-// request's hint is its size, and the edges of the intervals are settings.
+// Size interval task assignment with equal work (Harchol-Balter, Crovella and Murta 1999, section 5). A
+// request's work hint is its size. The edges of the intervals are in BaselineSettings::cutoffs.
 class Sita final : public BaselinePolicy {
  public:
   using BaselinePolicy::BaselinePolicy;
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -1,4 +1,4 @@
-// Clients of an emulated day: sessions, and requests with their tries until the outcome is final.
+// The clients of an emulated day: sessions, and requests with their tries until the outcome is final.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -7,10 +7,8 @@
 
 namespace thornwick::emulator {
 
-// ---------------------------------------------------------------- sessions
-
-// Sessions arrive as a Poisson stream whose rate changes with bursts. Candidates are drawn at the highest
-// rate and thinned to the current one.
+// Handles the arrival of a candidate session. Sessions arrive as a Poisson process whose rate changes with
+// bursts: candidates are drawn at the highest rate and thinned to the current rate.
 void DaySimulation::on_session_arrived() {
   const double gap = demand_->draw_gap(max_rate_factor_);
   if (static_cast<double>(now_) + gap < static_cast<double>(day_end_))
@@ -22,12 +20,13 @@
   send_next_turn(handle);
 }
 
-// Sessions go on whatever becomes of their requests: the demand does not depend on the policy.
+// Sends the next request of a session. Sessions continue whatever the outcomes of their requests, so that the
+// demand does not depend on the policy.
 void DaySimulation::send_next_turn(Handle handle) {
   if (now_ > day_end_) return sessions_.erase(handle);
   Session& session = *sessions_.find(handle);
   const PlannedRequest plan = demand_->draw_request(session, now_);
-  if (session.turns_left > 0) {
+  if (session.remaining_turns > 0) {
     schedule(now_ + demand_->draw_think_time(plan), EventType::session_turn_due, handle);
   } else {
     sessions_.erase(handle);
@@ -51,10 +50,8 @@
   send_try(handle);
 }
 
-// ---------------------------------------------------------------- tries
-
-// A load balancer in front spreads clients over the routers of their zone, or over all if none of these is
-// up.
+// Chooses a router as a load balancer in front of the routers does: a random one of the client's zone, or of
+// all zones if none of the client's zone is up.
 EmulatedRouter& DaySimulation::choose_router(std::uint16_t zone) {
   const auto draw_of = [this](auto eligible) -> EmulatedRouter* {
     std::vector<EmulatedRouter*> candidates;
@@ -94,9 +91,10 @@
     const auto latest = static_cast<double>(request.deadline - now_);
     schedule(now_ + std::llround(client_random_.between(0, latest)), EventType::client_cancelled, handle);
   }
-  // The client's request is the payload. It outlives the core's use of it, so the pointer owns nothing.
+  // The ClientRequest is the payload. The pointer does not own the request, which outlives the core's use of
+  // the payload.
   std::shared_ptr<const core::Payload> payload(std::shared_ptr<void>{}, sent);
-  // The outcome may come before admit() returns: then the request is gone, or on its next try already.
+  // The outcome may come before admit() returns. Then the request is erased, or its next try has begun.
   const int this_try = sent->tries;
   sent->request_id = 1;
   const RequestId id = router.core->admit({request, std::move(payload)}, *sent);
@@ -104,7 +102,7 @@
   if (sent != nullptr && sent->tries == this_try && sent->request_id != 0) sent->request_id = id;
 }
 
-// Clients cancel only before the first token.
+// Cancels a request, unless its first token has arrived or no try is open.
 void DaySimulation::cancel_request(Handle handle) {
   ClientRequest* request = requests_.find(handle);
   if (request == nullptr || request->request_id == 0 || request->first_at > 0) return;
@@ -113,8 +111,6 @@
   give_up(*request);
 }
 
-// ---------------------------------------------------------------- outcomes
-
 void ClientRequest::send_event(const core::StreamEvent& event) {
   if (first_at == 0 && event.kind != core::EventKind::comment) first_at = day->now();
 }
@@ -126,12 +122,12 @@
 void DaySimulation::on_answered(ClientRequest& request) {
   const PlannedRequest& plan = request.plan;
   const RequestClass& request_class = scenario_.classes[plan.class_index];
-  const double part = earned_fraction(request_class, plan.objective_at, plan.deadline, request.first_at, now_,
-                                      plan.generated);
+  const double fraction = earned_fraction(request_class, plan.objective_at, plan.deadline, request.first_at,
+                                          now_, plan.generated);
   ClassResult& result = result_.classes[plan.class_index];
   request.answered = true;
   ++result.served;
-  if (part == 1) ++result.in_time;
+  if (fraction == 1) ++result.in_time;
   result.first_token_us.add(request.first_at - plan.at);
   result.answer_us.add(now_ - plan.at);
   result_.wasted_work -= plan.work;
@@ -142,7 +138,7 @@
     result_.slowdown_sum += waiting_time / service_time;
     ++result_.slowdowns;
   }
-  end_request(request, part);
+  end_request(request, fraction);
 }
 
 void DaySimulation::on_rejected(ClientRequest& request, Time retry_after) {
@@ -154,14 +150,14 @@
   retry_or_give_up(request, 0);
 }
 
-// The client retries after a backoff if a retry and time are left.
+// Lets the client retry after a backoff, or gives up if no retry or no time remains.
 void DaySimulation::retry_or_give_up(ClientRequest& request, Time retry_after) {
   request.request_id = 0;
   Time backoff = std::llround(backoff_us_);
   if (retry_after > 0 && client_random_.happens(scenario_.honor_probability))
     backoff = std::max(backoff, retry_after);
-  const bool retries_left = static_cast<std::size_t>(request.tries) <= scenario_.retries;
-  if (!retries_left || now_ + backoff >= request.plan.deadline) return give_up(request);
+  const bool retries_remain = static_cast<std::size_t>(request.tries) <= scenario_.retries;
+  if (!retries_remain || now_ + backoff >= request.plan.deadline) return give_up(request);
   request.first_at = 0;
   schedule(now_ + backoff, EventType::retry_due, request.handle);
 }
--- a/src/emulator/day_entities.hpp
+++ b/src/emulator/day_entities.hpp
@@ -17,8 +17,8 @@
 
 class DaySimulation;
 
-// One request of a client with all its tries. It is the payload and the reply of its current try, and lives
-// until the outcome is final.
+// One request of a client with all its tries. The object serves the core as the payload and the reply of the
+// current try, and exists until the outcome is final.
 struct ClientRequest : core::Payload, core::Reply {
   void send_event(const core::StreamEvent& event) override;
   void finish() override;
@@ -29,25 +29,25 @@
   DaySimulation* day = nullptr;
   Handle handle = 0;
   PlannedRequest plan;
-  Time first_at = 0;  // of the current try: when its first token came; 0: not yet
+  Time first_at = 0;  // time of the first token of the current try; 0: none has arrived
   std::uint32_t router = 0;
-  RequestId request_id = 0;  // of the current try; 0: none is open
+  RequestId request_id = 0;  // id of the current try; 0: no try is open
   int tries = 0;
-  bool resumed = false;  // an earlier answer ended in the middle
+  bool resumed = false;  // an earlier answer was interrupted
   bool answered = false;
 };
 
-// One attempt of a router, from its start until its router forgets it.
+// One attempt of a router. The object exists from the attempt's start until the router erases the attempt.
 struct Attempt {
   core::AttemptId id;
   std::uint32_t router = 0;
   std::uint32_t replica = 0;
-  Handle request = 0;        // of the client
-  bool in_engine = false;    // the replica's engine has its work
-  Time delivered_until = 0;  // when the latest of the answer's bytes reaches the router
-  double cached = 0;         // prompt tokens that were found in the replica's cache
-  double generated = 0;      // tokens of the whole answer
-  double undelivered = 0;    // tokens of a completed answer that has not reached the router yet
+  Handle request = 0;        // handle of the client's request
+  bool in_engine = false;    // the replica's engine holds the attempt's work
+  Time delivered_until = 0;  // time at which the last bytes sent so far reach the router
+  double cached = 0;         // number of prompt tokens that the replica found in its cache
+  double generated = 0;      // number of tokens of the complete answer
+  double undelivered = 0;    // number of tokens of a completed answer that has not reached the router yet
 };
 
 struct Replica {
@@ -61,35 +61,36 @@
   std::uint16_t kind = 0;
   std::unique_ptr<Engine> engine;
   double speed = 1;
-  double speed_factor = 1;  // multiple of the speed that faults leave
-  Time started = 0;         // 0: before the day
+  double speed_factor = 1;  // multiple of `speed` at which the replica works under the current faults
+  Time started_at = 0;      // 0: the replica started before the day
   Time warm_up = 0;
   double initial_capacity = 1;
   bool up = true;
-  bool unreachable = false;  // while it is not up: nothing answers in its place
+  bool unreachable = false;  // only used while `up` is false: connections time out instead of being refused
   bool draining = false;
   std::size_t connections = 0;
-  std::uint64_t timer_version = 0;  // timer events of earlier versions are void
+  std::uint64_t timer_version = 0;  // timer events of earlier versions are ignored
   Time timer_at = kNever;
-  std::deque<SentWork> recent_work;  // sent to it while it warmed up
+  std::deque<SentWork> recent_work;  // work that arrived lately, while the replica warmed up
   double recent_work_sum = 0;
   ReplicaResult result;
 };
 
-// A message between two routers.
+// A message from one router to another.
 struct Datagram {
   std::uint32_t from = 0;
   std::uint32_t to = 0;
   std::string text;
 };
 
-// A fault of the scenario, as drawn for the day.
+// A fault of the scenario with the values that were drawn for the day.
 struct ActiveFault {
   double size = 1;
   Time from = 0;
   Time until = 0;
   std::uint16_t zone = 0;
-  std::uint32_t replica = 0;  // ageing: the slow one; replacement: the next one
+  // ageing: the replica that becomes slow; replacement: the replica to replace next.
+  std::uint32_t replica = 0;
   bool active = false;
 };
 
--- a/src/emulator/day_simulation.cpp
+++ b/src/emulator/day_simulation.cpp
@@ -10,9 +10,9 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kSamples = 200;  // of each replica's load, at most
+constexpr double kSamples = 200;  // maximum number of samples of each replica's load
 constexpr double kMinSampleSeconds = 0.25;
-constexpr double kMaxWindows = 600;  // of the weights
+constexpr double kMaxWindows = 600;  // maximum number of windows in which weights are summed
 constexpr double kMinWindowSeconds = 10;
 constexpr double kMinFaultSeconds = 0.001;
 constexpr std::size_t kMaxZones = 1000;
@@ -21,6 +21,7 @@
 
 Time from_seconds(double seconds) { return static_cast<Time>(seconds * 1e6); }
 
+// Throws std::invalid_argument for an invalid scenario.
 void check(const Scenario& scenario) {
   const auto reject = [](const std::string& what) { throw std::invalid_argument("scenario: " + what); };
   if (scenario.routers == 0 || scenario.replicas == 0) reject("no router or no box");
@@ -33,7 +34,7 @@
     reject("no such policy: " + scenario.policy);
 }
 
-// The scenario itself, if it makes sense.
+// Returns the scenario if it is valid. Throws std::invalid_argument otherwise.
 const Scenario& checked(const Scenario& scenario) {
   check(scenario);
   return scenario;
@@ -41,8 +42,6 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- setup
-
 DaySimulation::DaySimulation(const Scenario& scenario, std::uint64_t seed, const DayOptions& options)
     : scenario_(checked(scenario)),
       seed_(seed),
@@ -71,7 +70,7 @@
   set_up_faults();
 }
 
-// All routers know of these replicas from the start.
+// Creates the replicas that discovery has registered from the start.
 void DaySimulation::set_up_fleet() {
   for (std::size_t i = 0; i < scenario_.replicas; ++i) create_replica();
   for (const auto& replica : replicas_) discovery_.add(endpoint_of(replica, EndpointState::ready));
@@ -101,8 +100,6 @@
   }
 }
 
-// ---------------------------------------------------------------- events
-
 void DaySimulation::schedule(Time at, EventType type, std::uint64_t subject, std::uint32_t index) {
   events_.schedule(std::max(at, now_), type, subject, index);
 }
@@ -190,8 +187,6 @@
   set_score(result_);
 }
 
-// ---------------------------------------------------------------- days
-
 Result play_day(const Scenario& scenario, std::uint64_t seed, const DayOptions& options) {
   return std::make_unique<DaySimulation>(scenario, seed, options)->run();
 }
--- a/src/emulator/day_simulation.hpp
+++ b/src/emulator/day_simulation.hpp
@@ -1,6 +1,5 @@
-// The simulation of one day: its events, and the operations of the parties that act when their events come
-// up. Each source file has the operations of one party: attempts.cpp, clients.cpp, faults.cpp, replicas.cpp,
-// routers.cpp; day_simulation.cpp has the setup and the dispatch of events.
+// The simulation of one day. Each of attempts.cpp, clients.cpp, faults.cpp, replicas.cpp and routers.cpp has
+// the operations on one kind of object; day_simulation.cpp has the setup and the dispatch of events.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -23,37 +22,38 @@
 
 class DaySimulation {
  public:
-  // Throws std::invalid_argument for a scenario that makes no sense. The scenario must outlive this.
+  // Throws std::invalid_argument for an invalid scenario. The scenario must outlive the simulation.
   DaySimulation(const Scenario& scenario, std::uint64_t seed, const DayOptions& options);
 
-  // Plays the day to its end. May be called once.
+  // Runs the day to its end. May be called once.
   [[nodiscard]] Result run();
 
-  // Plays a day on which no request is sent. Returns what would have been sent. May be called once.
+  // Runs a day on which no request is sent, and returns the requests that would have been sent. May be called
+  // once.
   [[nodiscard]] std::vector<PlannedRequest> run_without_requests();
 
   Time now() const { return now_; }
 
-  // ---- the interfaces around a router's core, called by EmulatedRouter
+  // The interfaces around a router's core, called by EmulatedRouter.
   void set_router_timer(EmulatedRouter& router, Time when);
   void start_attempt(EmulatedRouter& router, core::AttemptId id, ReplicaId replica_id,
                      const ClientRequest& request);
-  // False: the attempt has ended before.
+  // Returns false if the attempt has already ended.
   bool cancel_attempt(EmulatedRouter& router, core::AttemptId id);
   void probe(const EmulatedRouter& router, ReplicaId replica_id);
   void request_endpoint_list(EmulatedRouter& router);
-  // `rank`: index of the receiver, or Gossip::kAllPeers.
+  // `rank` is the index of the receiver, or Gossip::kAllPeers.
   void send_peer_message(const EmulatedRouter& sender, std::uint32_t rank, const std::string& message);
 
-  // ---- the outcome of a try, called by ClientRequest
+  // The outcomes of a try, called by ClientRequest.
   void on_answered(ClientRequest& request);
-  void on_rejected(ClientRequest& request, Time retry_after);  // or failed
-  void on_interrupted(ClientRequest& request);                 // in the middle of the answer
+  void on_rejected(ClientRequest& request, Time retry_after);  // the try was rejected or failed
+  void on_interrupted(ClientRequest& request);                 // the answer ended before it was complete
 
  private:
   enum class ReplicaLoss { process_died, unreachable };
 
-  // ---- events (day_simulation.cpp)
+  // Events (day_simulation.cpp).
   void schedule(Time at, EventType type, std::uint64_t subject = 0, std::uint32_t index = 0);
   void handle(const Event& event);
   void play();
@@ -63,7 +63,7 @@
   void sample_load();
   void finish_result();
 
-  // ---- attempts (attempts.cpp)
+  // Attempts (attempts.cpp).
   void connect(EmulatedRouter& router, Handle handle);
   void on_attempt_arrived(Handle handle);
   void on_first_token(Handle handle);
@@ -73,9 +73,9 @@
   void keep_connection(EmulatedRouter& router, const Attempt& attempt);
   void close_connection(const Attempt& attempt);
 
-  // ---- replicas (replicas.cpp)
+  // Replicas (replicas.cpp).
   std::uint32_t create_replica();
-  void add_replica();  // one more, which starts now
+  void add_replica();  // adds a replica that starts now
   void lose_replica(std::uint32_t index, ReplicaLoss loss);
   void restore_replica(std::uint32_t index);
   void set_replica_speed(std::uint32_t index);
@@ -85,7 +85,7 @@
   void deliver(const Replica& replica, const Report& report);
   void check_overload(std::uint32_t index, double work);
 
-  // ---- routers and discovery (routers.cpp)
+  // Routers and discovery (routers.cpp).
   Settings settings_for(const EmulatedRouter& router) const;
   std::unique_ptr<core::Decider> make_decider(EmulatedRouter& router, const Settings& settings);
   void start_router(EmulatedRouter& router);
@@ -100,7 +100,7 @@
   void deliver_watch_event(std::uint64_t change, EmulatedRouter& router);
   void deliver_endpoint_list(EmulatedRouter& router);
 
-  // ---- clients (clients.cpp)
+  // Clients (clients.cpp).
   void on_session_arrived();
   void send_next_turn(Handle handle);
   void send_request(const PlannedRequest& plan);
@@ -111,7 +111,7 @@
   void end_request(ClientRequest& request, double earned_fraction);
   EmulatedRouter& choose_router(std::uint16_t zone);
 
-  // ---- faults (faults.cpp)
+  // Faults (faults.cpp).
   void start_fault(std::uint32_t index);
   void progress_fault(std::uint32_t index);
   void end_fault(std::uint32_t index);
@@ -126,7 +126,7 @@
   const std::uint64_t seed_;
   const DayOptions options_;
   Time now_ = 0;
-  const Time day_end_;  // no request is sent later
+  const Time day_end_;  // time after which no request is sent
   EventQueue events_;
   RandomStream fleet_random_;
   RandomStream client_random_;
@@ -135,26 +135,26 @@
   RandomStream fault_random_;
   Network network_;
   DiscoveryService discovery_;
-  std::unique_ptr<DemandModel> demand_;  // made when the fleet's capacity is known
+  std::unique_ptr<DemandModel> demand_;  // created once the fleet's capacity is known
 
   std::vector<Replica> replicas_;
   absl::flat_hash_map<ReplicaId, std::uint32_t> replica_index_;
   std::vector<std::unique_ptr<EmulatedRouter>> routers_;
-  std::vector<ActiveFault> faults_;  // in the order of the scenario
+  std::vector<ActiveFault> faults_;  // in the order of Scenario::faults
   Slab<Session> sessions_;
   Slab<ClientRequest> requests_;
   Slab<Attempt> attempts_;
   Slab<Datagram> datagrams_;
 
-  double peer_delay_us_ = 1;  // mean
+  double peer_delay_us_ = 1;  // mean delay of a message between routers
   double backoff_us_ = 0;
-  double max_rate_factor_ = 1;  // of all bursts together
-  // Frames of an answer's stream as the core receives them. They have no text.
+  double max_rate_factor_ = 1;  // maximum of rate_factor(), with all bursts at once
+  // Events of an answer's stream as the core receives them. They carry no text.
   core::StreamEvent first_frame_;
   core::StreamEvent usage_frame_;
   core::StreamEvent end_frame_;
-  std::vector<Report> reports_;                     // reused from call to call
-  std::vector<PlannedRequest>* planned_ = nullptr;  // receives the requests, which are then not sent
+  std::vector<Report> reports_;                     // buffer that on_replica_timer() reuses
+  std::vector<PlannedRequest>* planned_ = nullptr;  // if set, receives the requests instead of the routers
   double module_ns_ = 0;
   Result result_;
 };
--- a/src/emulator/demand.cpp
+++ b/src/emulator/demand.cpp
@@ -9,12 +9,16 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr int kSampledSessions = 4000;     // drawn in advance, to estimate the work of one
-constexpr int kMaxTurns = 1000;            // of a session
-constexpr double kTypicalOccupancy = 0.5;  // part of the slots in use, at which a token's work is measured
-constexpr double kReadingMsPerToken = 20;  // that a client needs for an answer before its next request
-constexpr double kBurstSeconds = 2;        // of its share that a member may save up
-constexpr double kMaxTokensFactor = 2.5;   // of the answer's length, up to which a client sets its limit
+constexpr int kSampledSessions =
+    4000;                        // number of sessions drawn in advance to estimate the work of one session
+constexpr int kMaxTurns = 1000;  // maximum number of requests of a session
+constexpr double kTypicalOccupancy =
+    0.5;  // fraction of the slots in use for which the work of a token is computed
+constexpr double kReadingMsPerToken =
+    20;  // time that a client needs to read a token of an answer before its next request
+constexpr double kBurstSeconds = 2;  // seconds of its share that a member may save up
+constexpr double kMaxTokensFactor =
+    2.5;  // maximum multiple of the answer's length that a client sets as its limit
 
 double mean_of(const Range& range) { return (range.low + range.high) / 2; }
 
@@ -28,8 +32,6 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- the day's means
-
 DemandModel::DemandModel(const Scenario& scenario, std::uint64_t seed, double capacity, RandomStream& clients)
     : scenario_(scenario),
       seed_(seed),
@@ -82,7 +84,7 @@
   zone_choice_ = WeightedChoice(std::move(zones));
 }
 
-// Sampled instead of calculated, because answers are cut at their limit.
+// Estimates the mean work by sampling. The mean is not calculated, because answers are cut at their limit.
 DemandModel::Sample DemandModel::sample_sessions(std::uint64_t seed) const {
   RandomStream random(seed, StreamPurpose::sizes, 1);
   double work = 0;
@@ -103,8 +105,9 @@
   return {work / requests, requests};
 }
 
-// In microseconds of a replica of speed 1: the new tokens are read, and each token of the answer is a part of
-// a step whose length grows with the context.
+// Returns the work of a request in microseconds on a replica of speed 1. The replica reads the new tokens,
+// and each token of the answer takes its share of a step, whose duration grows with the context. Service
+// times of plain queues are drawn instead.
 double DemandModel::draw_work(RandomStream& random, const RequestClass& request_class, double unread,
                               double context, double generated) const {
   if (request_class.alpha > 0)
@@ -116,8 +119,6 @@
   return 1e6 * unread / mean_of(kind.read_per_s) + generated * token;
 }
 
-// ---------------------------------------------------------------- sessions
-
 double DemandModel::draw_gap(double rate_factor) {
   return arrivals_.exponential(1e6 / (sessions_per_s_ * rate_factor));
 }
@@ -137,14 +138,13 @@
     session.prefix_tokens = mean.prefix_sizes[number];
     session.context = session.prefix_tokens;
   }
-  // Geometric, with the class's mean.
-  session.turns_left = 1;
-  while (session.turns_left < kMaxTurns && arrivals_.happens(1 - 1 / mean.turns)) ++session.turns_left;
+  // The number of turns has a geometric distribution with the class's mean.
+  session.remaining_turns = 1;
+  while (session.remaining_turns < kMaxTurns && arrivals_.happens(1 - 1 / mean.turns))
+    ++session.remaining_turns;
   return session;
 }
 
-// ---------------------------------------------------------------- requests
-
 PlannedRequest DemandModel::draw_request(Session& session, Time now) {
   const RequestClass& request_class = scenario_.classes[session.class_index];
   const ClassMeans& mean = means_[session.class_index];
@@ -166,7 +166,7 @@
   request.work = draw_work(sizes_, request_class, new_tokens, request.prompt, request.generated);
   request.hint = scenario_.hint_sigma < 0 ? 0 : sizes_.lognormal(request.work, scenario_.hint_sigma);
   session.context = request.prompt + request.generated;
-  --session.turns_left;
+  --session.remaining_turns;
   const double per_k_ms = request_class.latency_objective_ms_per_k * request.prompt / 1000;
   request.objective_at = now + static_cast<Time>(1000 * (request_class.latency_objective_ms + per_k_ms));
   request.deadline =
@@ -178,8 +178,8 @@
   return request;
 }
 
-// Whether the request is within its member's share, or the share does not matter. What goes beyond a share
-// has a low weight, whatever becomes of it.
+// Takes the work of a request from its member's allowance. Returns false if the request exceeds the member's
+// share and such requests have a lower weight. The weight does not depend on the request's outcome.
 bool DemandModel::take_from_allowance(std::uint16_t member, double work, Time now) {
   const double total = total_share(scenario_.members);
   const double elapsed_s = static_cast<double>(now - allowance_at_) / 1e6;
--- a/src/emulator/demand.hpp
+++ b/src/emulator/demand.hpp
@@ -1,5 +1,5 @@
-// The demand of a day: sessions, and the requests of each session. It does not depend on the policy, nor on
-// the answers.
+// The demand of a day: sessions, and the requests of each session. The demand depends neither on the policy
+// nor on the answers.
 #pragma once
 
 #include <cstdint>
@@ -15,35 +15,36 @@
   std::uint16_t class_index = 0;
   std::uint16_t member = 0;
   std::uint16_t zone = 0;
-  std::uint64_t key = 0;     // sticky key of its requests, never 0
-  std::uint64_t prefix = 0;  // 0: none
+  std::uint64_t key = 0;     // session key of the requests, never 0
+  std::uint64_t prefix = 0;  // 0: the session has no shared prefix
   double prefix_tokens = 0;
-  double context = 0;  // tokens of the prefix and of all requests and answers so far
-  int turns_left = 0;
+  double context = 0;  // number of tokens of the prefix and of all requests and answers so far
+  int remaining_turns = 0;
 };
 
 class DemandModel {
  public:
-  // `capacity`: of the fleet, in microseconds of work at speed 1 a second. Draws from `clients` how the zones
-  // differ. The scenario must outlive this.
+  // `capacity` is the work that the fleet can do in a second, in microseconds at speed 1. The differences
+  // between the zones are drawn from `clients`. The scenario must outlive the model.
   DemandModel(const Scenario& scenario, std::uint64_t seed, double capacity, RandomStream& clients);
 
-  // Microseconds to the next candidate of a Poisson stream whose rate is this multiple of the usual one.
+  // Draws the microseconds until the next candidate session of a Poisson process, whose rate is `rate_factor`
+  // times the usual one.
   [[nodiscard]] double draw_gap(double rate_factor);
 
-  // Whether a candidate is a session; thins the stream to a lower rate.
+  // Returns whether a candidate becomes a session. Rejected candidates thin the process to a lower rate.
   [[nodiscard]] bool accept_candidate(double probability);
 
   [[nodiscard]] Session draw_session();
 
-  // The next request of a session, which advances by it. Times must not decrease from call to call.
+  // Draws the next request of a session and advances the session. `now` must not decrease from call to call.
   [[nodiscard]] PlannedRequest draw_request(Session& session, Time now);
 
-  // Microseconds between a request and the next one of its session.
+  // Draws the microseconds between a request and the next request of the same session.
   [[nodiscard]] Time draw_think_time(const PlannedRequest& request);
 
  private:
-  // One class's means, drawn for the day.
+  // The means of one request class, drawn for the day.
   struct ClassMeans {
     double turns = 1;
     double new_tokens = 0;
@@ -52,10 +53,10 @@
     WeightedChoice prefix_choice;
   };
 
-  // Of sampled sessions.
+  // The totals over sampled sessions.
   struct Sample {
-    double work = 0;      // mean of a request
-    double requests = 0;  // of all these sessions
+    double work = 0;      // mean work of a request
+    double requests = 0;  // number of requests of all sampled sessions
   };
 
   void draw_means();
@@ -71,12 +72,12 @@
   double capacity_;
   RandomStream arrivals_;
   RandomStream sizes_;
-  double sessions_per_s_ = 0;  // at the usual rate
+  double sessions_per_s_ = 0;  // rate of sessions without bursts
   std::vector<ClassMeans> means_;
   WeightedChoice class_choice_;
   WeightedChoice member_choice_;
   WeightedChoice zone_choice_;
-  // For each member, the work within its share that it has not used yet. Rises with time.
+  // For each member, the unused work of the member's share. The value rises with time up to a bound.
   std::vector<double> allowance_;
   Time allowance_at_ = 0;
 };
--- a/src/emulator/discovery.hpp
+++ b/src/emulator/discovery.hpp
@@ -1,4 +1,5 @@
-// The discovery service of an emulated day: what it knows of the replicas, and how late it learns of changes.
+// The discovery service of an emulated day: the endpoints that it has registered, and the delays after which
+// it registers changes.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -21,25 +22,25 @@
   // Draws the delays.
   DiscoveryService(const Scenario& scenario, std::uint64_t seed);
 
-  // Seconds until a change is registered: of a replica that drains or has ended, of one that cannot be
-  // reached, of one that has started.
+  // Delays, in seconds, until a change is registered: of a replica that drains or has ended, of a replica
+  // that cannot be reached, and of a replica that has started.
   double removal_delay_s() const { return removal_delay_s_; }
   double unreachable_delay_s() const { return unreachable_delay_s_; }
   double addition_delay_s() const { return addition_delay_s_; }
 
-  // Registers an endpoint at once.
+  // Registers an endpoint without a delay.
   void add(const Endpoint& endpoint) { registered_[endpoint.id] = endpoint; }
 
-  // Keeps a change that happened and is not registered yet. Returns its index.
+  // Stores a change that has happened and is not registered yet. Returns the change's index.
   [[nodiscard]] std::uint64_t record(const EndpointChange& change);
 
-  // The change of this index stays valid to the end of the day.
+  // The returned reference stays valid until the end of the day.
   const EndpointChange& change(std::uint64_t index) const { return changes_[index]; }
 
   // Registers a recorded change.
   void apply(std::uint64_t index);
 
-  // The registered endpoints, by their ids.
+  // Returns the registered endpoints in the order of their ids.
   std::vector<Endpoint> endpoints() const;
 
  private:
--- a/src/emulator/disk.hpp
+++ b/src/emulator/disk.hpp
@@ -4,9 +4,9 @@
 namespace thornwick::emulator {
 
 enum class Disk {
-  same,   // that of the process before it
-  empty,  // a new disk
-  older   // a copy from before the last start, if there is one; else as `same`
+  same,   // the disk of the previous process
+  empty,  // a new disk without records
+  older   // a copy from before the last start, or `same` if there is none
 };
 
 }  // namespace thornwick::emulator
--- a/src/emulator/emulated_router.hpp
+++ b/src/emulator/emulated_router.hpp
@@ -1,4 +1,4 @@
-// A router of an emulated day: the real core, and the interfaces around it that the day provides.
+// A router of an emulated day: the real core, and the interfaces that the simulation provides for the core.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -21,7 +21,7 @@
                              public core::Discovery,
                              public core::PeerTransport {
  public:
-  // Connections to one replica that are idle, by the times since when they are.
+  // The idle connections to one replica: the time at which each became idle, ascending.
   using IdleConnections = std::vector<Time>;
 
   EmulatedRouter(DaySimulation& simulation, std::uint32_t its_index, std::uint16_t its_zone)
@@ -46,15 +46,18 @@
   const std::uint32_t index;
   const std::uint16_t zone;
   std::unique_ptr<affinity::AffinityTable> affinity_table;
-  std::unique_ptr<budgets::QuotaService> quota_service;  // before the core, whose decider uses both
+  // Declared before `core`, whose decider uses `quota_service` and `fair_share`.
+  std::unique_ptr<budgets::QuotaService> quota_service;
   std::unique_ptr<budgets::FairShare> fair_share;
   std::unique_ptr<core::RequestManager> core;       // null while the router is lost
   absl::flat_hash_map<RequestId, Handle> attempts;  // the attempt in flight of each request
-  std::vector<IdleConnections> idle_connections;    // by replica
-  std::vector<Time> unavailable_since;  // by replica: when it was notified that it drains or is gone; 0: not
-  bool subscribed = false;              // discovery sends it watch events
+  std::vector<IdleConnections> idle_connections;    // by index of the replica
+  // By index of the replica: time at which the router learned that the replica drains or is removed; 0: it is
+  // ready.
+  std::vector<Time> unavailable_since;
+  bool subscribed = false;  // discovery sends watch events to the router
   bool up = true;
-  std::uint64_t timer_version = 0;  // timer events of earlier versions are void
+  std::uint64_t timer_version = 0;  // timer events of earlier versions are ignored
 };
 
 }  // namespace thornwick::emulator
--- a/src/emulator/event_queue.hpp
+++ b/src/emulator/event_queue.hpp
@@ -8,7 +8,7 @@
 
 namespace thornwick::emulator {
 
-// The comment of each type says what its event's `subject` and `index` are; without one they are not used.
+// The comment of each type names the event's `subject` and `index`. A type without a comment uses neither.
 enum class EventType : std::uint8_t {
   session_arrived,
   session_turn_due,            // subject: session
@@ -22,7 +22,7 @@
   attempt_completed,           // subject: attempt
   attempt_reset,               // subject: attempt
   replica_timer,               // subject: version of the timer; index: replica
-  replica_warm_up,             // index: replica; its pace is set anew while it warms up
+  replica_warm_up,             // index: replica, whose speed is updated while it warms up
   endpoint_change_registered,  // subject: index of the change
   watch_event_delivered,       // subject: index of the change; index: router
   endpoint_list_delivered,     // index: router
@@ -35,13 +35,13 @@
 
 struct Event {
   Time at = 0;                 // microseconds from the day's start
-  std::uint64_t sequence = 0;  // events of the same time happen in the order in which they were scheduled
+  std::uint64_t sequence = 0;  // orders events of the same time by when they were scheduled
   std::uint64_t subject = 0;
   std::uint32_t index = 0;
   EventType type = EventType::load_sampled;
 };
 
-// A d-ary heap with four children: half the depth of a binary one.
+// The queue is a heap with four children for each node: half the depth of a binary heap.
 class EventQueue {
  public:
   void schedule(Time at, EventType type, std::uint64_t subject, std::uint32_t index) {
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -7,12 +7,13 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kRampPart = 0.1;  // of a burst's length, over which it rises, and falls again
-constexpr int kAgeingSteps = 10;   // until a replica has become as slow as the fault makes it
+constexpr double kRampFraction =
+    0.1;  // fraction of a burst's duration over which the rate rises, and over which it falls again
+constexpr int kAgeingSteps = 10;  // steps in which a replica reaches the slowness of the fault
 
 }  // namespace
 
-// The current multiple of the usual rate of sessions.
+// Returns the current multiple of the usual rate of sessions.
 double DaySimulation::rate_factor() const {
   double factor = 1;
   for (std::size_t i = 0; i < faults_.size(); ++i) {
@@ -21,7 +22,7 @@
     const auto length = static_cast<double>(fault.until - fault.from);
     const double since_start = static_cast<double>(now_ - fault.from) / length;
     const double until_end = static_cast<double>(fault.until - now_) / length;
-    factor *= 1 + (fault.size - 1) * std::clamp(std::min(since_start, until_end) / kRampPart, 0.0, 1.0);
+    factor *= 1 + (fault.size - 1) * std::clamp(std::min(since_start, until_end) / kRampFraction, 0.0, 1.0);
   }
   return factor;
 }
@@ -81,7 +82,7 @@
   }
 }
 
-// Its replicas, and every router that is lost.
+// Restores the replicas of a zone, and every lost router.
 void DaySimulation::restore_zone(std::uint16_t zone) {
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
     if (replicas_[i].zone == zone) restore_replica(i);
@@ -98,7 +99,7 @@
   }
 }
 
-// One step on the way to its full slowness.
+// Slows a replica by one of kAgeingSteps steps, and schedules the next step.
 void DaySimulation::age_replica(std::uint32_t index) {
   const ActiveFault& fault = faults_[index];
   replicas_[fault.replica].speed_factor /= std::pow(fault.size, 1.0 / kAgeingSteps);
@@ -107,7 +108,7 @@
   schedule(now_ + (fault.until - fault.from) / kAgeingSteps, EventType::fault_progressed, 0, index);
 }
 
-// The next replica drains and ends after a while, and another one starts in its place.
+// Lets the next replica drain and end, and starts another one in its place.
 void DaySimulation::replace_next_replica(std::uint32_t index) {
   const DayFault& drawn = scenario_.faults[index];
   std::uint32_t& next = faults_[index].replica;
--- a/src/emulator/fleet.cpp
+++ b/src/emulator/fleet.cpp
@@ -26,7 +26,7 @@
   return make_model_replica(limits, speed);
 }
 
-// The kind of replica `number`, so that each kind has its share of the fleet.
+// Returns the kind of replica `number`. Each kind gets its share of the fleet.
 std::uint16_t kind_of(const Scenario& scenario, std::size_t number) {
   double total = 0;
   for (const auto& kind : scenario.kinds) total += kind.share;
--- a/src/emulator/group.cpp
+++ b/src/emulator/group.cpp
@@ -8,11 +8,12 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr std::size_t kMaxWaiting = 256;     // datagrams in a suspended process's socket
-constexpr Time kShutdownTime = seconds(2);   // from SIGTERM to the end of the process
-constexpr std::size_t kResumeSpread = 1000;  // microseconds over which a resumed process finds its events
-constexpr std::size_t kNeighbours = 2;       // that a router shares whole views with
-constexpr Time kViewPeriods = 10;
+constexpr std::size_t kMaxWaiting = 256;  // maximum number of datagrams in the socket of a suspended process
+constexpr Time kShutdownDuration = seconds(2);  // time from SIGTERM to the end of the process
+constexpr std::size_t kResumeSpread =
+    1000;                               // microseconds over which the events of a resumed process are spread
+constexpr std::size_t kNeighbours = 2;  // number of neighbours that a router shares full views with
+constexpr Time kViewPeriods = 10;       // protocol periods after which views are shared again
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
 }  // namespace
@@ -35,8 +36,6 @@
   for (std::size_t i = 0; i < size(); ++i) start(i, Disk::empty);
 }
 
-// ---------------------------------------------------------------- events
-
 void Group::schedule(Time at, EventKind kind, std::size_t router, std::uint64_t version, std::string bytes) {
   events_.push({at, ++last_event_, kind, router, version, std::move(bytes)});
 }
@@ -81,10 +80,10 @@
   Node& node = nodes_[router];
   for (const auto& change : node.swim->take_changes()) on_change(router, change);
   for (const auto& sending : node.swim->take_datagrams()) transmit(router, sending);
-  const Time due = std::max(now_ + 1, node.swim->next_tick());
-  if (due == node.due) return;
-  node.due = due;
-  schedule(due, EventKind::timer, router, ++node.timer_version);
+  const Time timer_at = std::max(now_ + 1, node.swim->next_tick());
+  if (timer_at == node.timer_at) return;
+  node.timer_at = timer_at;
+  schedule(timer_at, EventKind::timer, router, ++node.timer_version);
 }
 
 void Group::transmit(std::size_t from, const membership::OutgoingDatagram& sending) {
@@ -110,8 +109,6 @@
   }
 }
 
-// ---------------------------------------------------------------- faults
-
 void Group::kill(std::size_t router) {
   Node& node = nodes_[router];
   node.swim.reset();
@@ -137,7 +134,7 @@
   if (node.swim) return;
   const bool first = node.identity.disk_id == 0;
   const membership::Identity identity = next_identity(node, disk);
-  // An older copy of the disk is what it was before the last start.
+  // The older copy of the disk has the state from before the last start.
   node.older = disk == Disk::same && !first ? node.identity : membership::Identity{};
   node.identity = identity;
   node.swim =
@@ -153,7 +150,7 @@
   if (running(router)) nodes_[router].suspended = true;
 }
 
-// What waits in its socket and its timer come in any order.
+// Resumes a suspended process. The waiting datagrams and the timer event come in a random order.
 void Group::resume(std::size_t router) {
   Node& node = nodes_[router];
   if (!node.swim || !node.suspended) return;
@@ -167,7 +164,7 @@
 void Group::shut_down(std::size_t router) {
   if (!running(router)) return;
   nodes_[router].swim->leave(now_);
-  schedule(now_ + kShutdownTime, EventKind::end, router, nodes_[router].identity.instance_id);
+  schedule(now_ + kShutdownDuration, EventKind::end, router, nodes_[router].identity.instance_id);
   flush(router);
 }
 
@@ -181,8 +178,6 @@
   options_.delay_ms = delay_ms;
 }
 
-// ---------------------------------------------------------------- beliefs against the truth
-
 bool Group::believes_truth(std::size_t observer, std::size_t member) const {
   using membership::MemberState;
   const membership::MemberView& view = at(observer).view(member);
--- a/src/emulator/group_faults.cpp
+++ b/src/emulator/group_faults.cpp
@@ -9,13 +9,13 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kFaultTime = seconds(120);
+constexpr Time kFaultDuration = seconds(120);
 constexpr Time kStep = milliseconds(250);
-// A pair that was undisturbed for so long may not be called gone any more.
+// A member may not be reported as failed by an observer if the pair has been undisturbed for longer.
 constexpr Time kUndisturbed = seconds(20);
-constexpr Time kAgreeWithin = seconds(180);
-constexpr double kMaxLoss = 0.3;          // up to which nobody is called gone in error
-constexpr double kMaxIndirectLoss = 0.1;  // the same where a pair reaches each other only through others
+constexpr Time kAgreementTimeout = seconds(180);
+constexpr double kMaxLoss = 0.3;          // maximum loss at which no running member may be reported as failed
+constexpr double kMaxIndirectLoss = 0.1;  // the same for a pair that is only connected through another router
 
 double in_seconds(Time time) { return static_cast<double>(time) / 1e6; }
 
@@ -63,13 +63,11 @@
     }
   }
 
-  // ---- checks
-
   bool connected(std::size_t a, std::size_t b) const {
     return !group_.is_blocked(a, b) && !group_.is_blocked(b, a);
   }
 
-  // Directly, or through one other router.
+  // Whether two routers can reach each other directly or through one other router.
   bool reachable(std::size_t a, std::size_t b) const {
     if (connected(a, b)) return true;
     for (std::size_t i = 0; i < group_.size(); ++i) {
@@ -113,7 +111,7 @@
     const Time from = group_.now();
     while (!settled() && result_.violation.empty()) {
       group_.run_until(group_.now() + kStep);
-      if (group_.now() - from > kAgreeWithin)
+      if (group_.now() - from > kAgreementTimeout)
         fail("they do not agree, or one is not sure: " + group_.disagreement());
     }
     result_.agreement_time = group_.now() - from;
@@ -126,8 +124,6 @@
     return group_.agree();
   }
 
-  // ---- faults
-
   void apply_due_faults() {
     std::size_t& next = result_.faults;
     for (; next < script_.faults.size() && script_.faults[next].at <= group_.now(); ++next)
@@ -177,16 +173,16 @@
   const GroupScript& script_;
   const std::function<void(const std::string&)>& write_log_;
   Group group_;
-  std::vector<Time> disturbed_at_;  // by observer and member: when the pair was disturbed last
+  std::vector<Time> disturbed_at_;  // time of the last disturbance, indexed by observer * size() + member
   double loss_ = 0;
   GroupScriptResult result_;
 };
 
-// A fault of any kind, at any time.
+// Draws a fault of any kind at any time.
 GroupFault random_fault(RandomStream& random, std::size_t routers) {
   constexpr auto kKinds = static_cast<std::size_t>(GroupFaultKind::network) + 1;
   GroupFault fault;
-  fault.at = seconds(20) + static_cast<Time>(random.unit() * static_cast<double>(kFaultTime));
+  fault.at = seconds(20) + static_cast<Time>(random.unit() * static_cast<double>(kFaultDuration));
   fault.kind = static_cast<GroupFaultKind>(random.below(kKinds));
   fault.router = random.below(routers);
   fault.peer = (fault.router + 1 + random.below(routers - 1)) % routers;
@@ -194,7 +190,8 @@
   return fault;
 }
 
-// What ends a fault sooner or later, unless it may last. Draws the time in any case.
+// Draws the fault that ends another one; none for kinds that may last until the end of the script. The time
+// is always drawn, so that every fault draws as many numbers.
 std::optional<GroupFault> random_recovery(RandomStream& random, const GroupFault& fault) {
   constexpr double kMeanSeconds = 15;
   GroupFault recovery = fault;
@@ -255,8 +252,8 @@
   }
   std::stable_sort(script.faults.begin(), script.faults.end(),
                    [](const GroupFault& a, const GroupFault& b) { return a.at < b.at; });
-  // Processes that were shutting down have ended by then.
-  script.ends = std::max(kFaultTime, script.faults.back().at) + seconds(3);
+  // The margin is longer than a shutdown, so that processes that were shutting down have ended.
+  script.ends = std::max(kFaultDuration, script.faults.back().at) + seconds(3);
   return script;
 }
 
--- a/src/emulator/histogram.hpp
+++ b/src/emulator/histogram.hpp
@@ -1,5 +1,5 @@
-// Counts of values over a high dynamic range. Values below 128 are exact, larger ones within 1/128 (0.8 %).
-// Memory grows with the logarithm of the largest value, not with the number of values.
+// A histogram with a high dynamic range. Values below 128 are exact, larger ones are within 1/128 (0.8 %).
+// Memory use grows with the logarithm of the largest value, not with the number of values.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class Histogram {
  public:
-  // Relative error of quantile(), at most.
+  // Maximum relative error of quantile().
   static constexpr double kError = 1.0 / 128;
 
   // Negative values count as 0.
@@ -31,18 +31,18 @@
     sum_ += other.sum_;
   }
 
-  // Number of values.
+  // Returns the number of values.
   std::uint64_t total() const { return total_; }
 
-  // Exact; 0 without values.
+  // Returns the exact mean; 0 if there are no values.
   double mean() const { return total_ == 0 ? 0 : sum_ / static_cast<double>(total_); }
 
-  // The value that this part (0..1) of all values does not exceed, as the middle of its bucket; 0 without
-  // values.
-  double quantile(double part) const {
+  // Returns the middle of the bucket of the smallest value that at least this fraction (0..1) of all values
+  // does not exceed; 0 if there are no values.
+  double quantile(double fraction) const {
     if (total_ == 0) return 0;
-    const auto rank =
-        std::max<std::uint64_t>(1, static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(total_))));
+    const auto rank = std::max<std::uint64_t>(
+        1, static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(total_))));
     std::uint64_t counted = 0;
     for (std::size_t i = 0; i < counts_.size(); ++i) {
       counted += counts_[i];
@@ -52,7 +52,7 @@
   }
 
  private:
-  // 128 buckets up to 128, then 64 for each doubling.
+  // There are 128 buckets for the values below 128, and 64 more for each doubling.
   static std::size_t bucket_of(std::uint64_t value) {
     if (value < 128) return static_cast<std::size_t>(value);
     const unsigned shift = static_cast<unsigned>(std::bit_width(value)) - 7;
--- a/src/emulator/model_replica.cpp
+++ b/src/emulator/model_replica.cpp
@@ -17,7 +17,7 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kMaxSteps = 1e6;  // of one run
+constexpr double kMaxSteps = 1e6;  // maximum number of steps that are planned at once
 
 class ModelReplica final : public Engine {
  public:
@@ -31,7 +31,7 @@
       plan_run(now, nullptr);
       return true;
     }
-    // The new request is admitted at the end of the current step.
+    // The run ends with the current step, so that the new request is admitted then.
     if (steps_ > 1 && running_.size() < limits_.slots) cut_run(now);
     return true;
   }
@@ -48,7 +48,7 @@
 
   void set_speed_factor(Time now, double speed_factor) override {
     speed_factor_ = speed_factor;
-    if (run_end_ != kNever && steps_ > 1) cut_run(now);  // the current step ends with the pace it began with
+    if (run_end_ != kNever && steps_ > 1) cut_run(now);  // the current step keeps its speed
   }
 
   void clear() override {
@@ -69,8 +69,8 @@
     return 0;
   }
 
-  void evict_cached(double part) override {
-    cache_.erase_if([part](std::uint64_t key) { return unit_interval(mix(key)) < part; });
+  void evict_cached(double fraction) override {
+    cache_.erase_if([fraction](std::uint64_t key) { return unit_interval(mix(key)) < fraction; });
   }
 
   EngineLoad load() const override {
@@ -80,13 +80,13 @@
  private:
   struct Sequence {
     Work work;
-    double unread = 0;     // prompt tokens
-    double generated = 0;  // tokens so far
-    double context = 0;    // tokens in memory
-    double cached = 0;     // prompt tokens that were found in the cache
+    double unread = 0;     // prompt tokens that have not been read yet
+    double generated = 0;  // tokens of the answer so far
+    double context = 0;    // tokens of the context in memory
+    double cached = 0;     // prompt tokens that were found in the cache at the first admission
     bool first_token_reported = false;
   };
-  // After the first admission, only a preempted sequence has values other than 0 and false.
+  // A request that waits. Only a preempted one has values other than 0 and false next to its work.
   struct Waiting {
     Work work;
     double generated = 0;
@@ -94,9 +94,8 @@
     bool first_token_reported = false;
   };
 
-  // ------------------------------------------------------------ steps
-
-  // Plans the next run of steps. `reports` is null while work is offered: nothing expires then.
+  // Plans the next run of steps, at whose end the running requests may change. `reports` is null when offer()
+  // calls, in which case no work expires.
   void plan_run(Time now, std::vector<Report>* reports) {
     admit(now, reports);
     run_start_ = now;
@@ -115,19 +114,21 @@
     run_end_ = now + std::max<Time>(1, std::llround(duration_of(steps_)));
   }
 
-  // Steps until the first request ends, or the memory is full.
+  // Returns the number of steps until the first request ends or the memory is full.
   double steps_ahead() const {
     double steps = kMaxSteps;
     for (const auto& sequence : running_)
       steps = std::min(steps, sequence.work.generated - sequence.generated);
-    const double room = (limits_.memory_tokens - held_) / static_cast<double>(running_.size());
-    return std::max(1.0, std::floor(std::min(steps, room)));
+    const double free_steps = (limits_.memory_tokens - held_) / static_cast<double>(running_.size());
+    return std::max(1.0, std::floor(std::min(steps, free_steps)));
   }
 
-  // In microseconds. Each step is longer than the one before, because every context grew by a token.
+  // Returns the duration of a number of steps in microseconds. Each step is longer than the previous one,
+  // because every context has grown by a token.
   double duration_of(double steps) const { return steps * first_us_ + growth_us_ * steps * (steps - 1) / 2; }
 
-  // The inverse of duration_of(): the steps that are done by `now`, with the part of the current one.
+  // Returns the inverse of duration_of(): the number of steps that are done at `now`, including the fraction
+  // of the current one.
   double steps_by(Time now) const {
     const auto elapsed = static_cast<double>(now - run_start_);
     const double half_growth = growth_us_ / 2;
@@ -136,7 +137,7 @@
     return (std::sqrt(linear * linear + 4 * half_growth * elapsed) - linear) / (2 * half_growth);
   }
 
-  // Ends the run with the step that is current at `now`.
+  // Shortens the run so that it ends with the step that is current at `now`.
   void cut_run(Time now) {
     const double steps = std::clamp(std::ceil(steps_by(now)), 1.0, steps_);
     if (steps >= steps_) return;
@@ -147,11 +148,11 @@
   void finish_run(std::vector<Report>& reports) {
     double unassigned = read_;
     for (auto& sequence : running_) {
-      const double part = std::min(sequence.unread, unassigned);
-      unassigned -= part;
-      unread_ -= part;
+      const double tokens_read = std::min(sequence.unread, unassigned);
+      unassigned -= tokens_read;
+      unread_ -= tokens_read;
       const bool was_read = sequence.unread <= 0;
-      sequence.unread -= part;
+      sequence.unread -= tokens_read;
       if (sequence.unread > 0) continue;
       const double generated = was_read ? steps_ : 1;
       sequence.generated += generated;
@@ -159,14 +160,14 @@
       held_ += generated;
       if (!std::exchange(sequence.first_token_reported, true))
         reports.push_back({sequence.work.job, ReportKind::first_token, sequence.cached, 0});
-      // From now on other sessions find the prefix.
+      // Other sessions find the prefix in the cache once it has been read.
       if (!was_read) cache_.insert(sequence.work.prefix, sequence.work.prefix_tokens);
     }
     std::erase_if(running_, [&](const Sequence& sequence) { return complete(sequence, reports); });
     make_room();
   }
 
-  // Whether the sequence is complete. If so, it is reported and its context is cached.
+  // Returns whether the sequence is complete. Reports a complete sequence and caches its context.
   bool complete(const Sequence& sequence, std::vector<Report>& reports) {
     if (sequence.unread > 0 || sequence.generated < sequence.work.generated) return false;
     reports.push_back({sequence.work.job, ReportKind::completed, sequence.cached, sequence.generated});
@@ -176,11 +177,9 @@
     return true;
   }
 
-  // ------------------------------------------------------------ memory
-
   void make_room() {
     cache_.shrink_to(limits_.memory_tokens - held_);
-    // The newest sequence is preempted, and its context is read again later.
+    // Preempts the newest sequence, whose context is read again later.
     while (held_ > limits_.memory_tokens && running_.size() > 1) {
       Sequence& newest = running_.back();
       held_ -= newest.context;
@@ -211,7 +210,8 @@
     const Work& work = next.work;
     const double found =
         std::max(cache_.find(work.session), std::min(cache_.find(work.prefix), work.prefix_tokens));
-    // The last token is always read, because the first one of the answer is computed from it.
+    // The last token of the prompt is always read, because the answer's first token is computed from the last
+    // token.
     const double cached = std::floor(std::min(found, prompt - 1) / limits_.block) * limits_.block;
     cache_.remove(work.session);
     unread_ -= cached;
@@ -223,19 +223,19 @@
   ModelLimits limits_;
   double speed_;
   double speed_factor_ = 1;
-  std::vector<Sequence> running_;  // in the order of their admission
+  std::vector<Sequence> running_;  // running sequences in the order of their admission
   std::deque<Waiting> waiting_;
   PromptCache cache_;
-  double held_ = 0;    // tokens of running contexts
-  double unread_ = 0;  // prompt tokens of running and waiting requests
+  double held_ = 0;    // tokens of the running contexts
+  double unread_ = 0;  // unread prompt tokens of running and waiting requests
   double finished_ = 0;
   // The current run of steps.
   Time run_start_ = 0;
-  Time run_end_ = kNever;  // kNever: idle
+  Time run_end_ = kNever;  // kNever: the replica is idle
   double steps_ = 1;
-  double read_ = 0;       // prompt tokens that the run reads
-  double first_us_ = 1;   // duration of its first step
-  double growth_us_ = 0;  // by which each step is longer than the one before
+  double read_ = 0;       // number of prompt tokens that the run reads
+  double first_us_ = 1;   // duration of the run's first step in microseconds
+  double growth_us_ = 0;  // microseconds by which each step is longer than the previous one
 };
 
 }  // namespace
--- a/src/emulator/prompt_cache.hpp
+++ b/src/emulator/prompt_cache.hpp
@@ -1,4 +1,4 @@
-// The cached prompts of a replica. The least recently used one is evicted first.
+// The cached prompts of a replica. The least recently used prompt is evicted first.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -11,10 +11,10 @@
 
 class PromptCache {
  public:
-  // Tokens of all entries.
+  // Returns the number of tokens of all entries.
   double tokens() const { return tokens_; }
 
-  // Tokens cached under this key, 0 if there are none. Counts as a use.
+  // Returns the number of tokens cached under `key`; 0 if there are none. Counts as a use of the entry.
   double find(std::uint64_t key) {
     const auto found = entries_.find(key);
     if (key == 0 || found == entries_.end()) return 0;
@@ -22,7 +22,8 @@
     return found->second->tokens;
   }
 
-  // Adds or grows an entry; an entry never shrinks. Key 0 and zero tokens are ignored.
+  // Adds an entry, or enlarges an existing one; an entry never shrinks. Key 0 and sizes of 0 tokens are
+  // ignored.
   void insert(std::uint64_t key, double tokens) {
     if (key == 0 || tokens <= 0) return;
     const double size = std::max(remove(key), tokens);
@@ -30,7 +31,7 @@
     tokens_ += size;
   }
 
-  // Removes an entry. Returns its tokens, 0 if there was none.
+  // Removes an entry. Returns the entry's tokens; 0 if there was no entry.
   double remove(std::uint64_t key) {
     const auto found = entries_.find(key);
     if (found == entries_.end()) return 0;
@@ -41,13 +42,13 @@
     return tokens;
   }
 
-  // Evicts until at most so many tokens are cached.
+  // Evicts entries until at most `max_tokens` tokens are cached.
   void shrink_to(double max_tokens) {
     while (tokens_ > std::max(0.0, max_tokens) && !order_.empty()) remove(order_.front().key);
     if (order_.empty()) tokens_ = 0;
   }
 
-  // Removes the entries for whose key the predicate holds.
+  // Removes the entries whose keys satisfy the predicate.
   template <typename Predicate>
   void erase_if(Predicate predicate) {
     for (auto at = order_.begin(); at != order_.end();) {
@@ -68,7 +69,7 @@
     double tokens;
   };
 
-  std::list<Entry> order_;  // the last used one at the back
+  std::list<Entry> order_;  // the most recently used entry is at the back
   absl::flat_hash_map<std::uint64_t, std::list<Entry>::iterator> entries_;
   double tokens_ = 0;
 };
--- a/src/emulator/queue_replica.cpp
+++ b/src/emulator/queue_replica.cpp
@@ -27,7 +27,7 @@
       reports.push_back({work.job, ReportKind::completed, 0, work.generated});
       finished_ += work.generated;
       queue_.pop_front();
-      // Unrounded: the rounding of the clock would add up over a busy period.
+      // The end is not rounded, because rounding errors would add up over a busy period.
       if (!queue_.empty()) end_ += duration_of_front();
     }
   }
@@ -54,7 +54,7 @@
 
   double speed_;
   double speed_factor_ = 1;
-  double end_ = 0;  // microseconds: when the front's request is done
+  double end_ = 0;  // time, in microseconds, at which the first request of the queue is complete
   double finished_ = 0;
   std::deque<Work> queue_;
 };
--- a/src/emulator/random_stream.hpp
+++ b/src/emulator/random_stream.hpp
@@ -1,6 +1,6 @@
-// Random numbers of the emulator. Each concern has a stream of its own, so that a day with another policy, or
-// with one fault more, has the same arrivals. Boost.Random's generators and distributions give the same
-// numbers on every machine, which the standard library does not promise of its distributions.
+// Random numbers of the emulator. Each purpose has its own stream, so that a day with another policy, or with
+// one more fault, has the same arrivals. Boost.Random's generators and distributions give the same numbers on
+// every machine; the standard library does not guarantee the same numbers for its distributions.
 #pragma once
 
 #include <algorithm>
@@ -17,18 +17,18 @@
 
 namespace thornwick::emulator {
 
-// What a stream's numbers decide. The values are part of the seed: they must not change.
+// The purpose of a stream's numbers. The values must not change, because they are part of each stream's seed.
 enum class StreamPurpose : std::uint32_t {
-  fleet = 1,  // what the replicas are like
-  arrivals,   // when sessions begin, and whose they are
-  sizes,      // how long prompts and answers are
-  clients,    // when clients cancel and retry
+  fleet = 1,  // parameters of the replicas
+  arrivals,   // times, members, classes and zones of sessions
+  sizes,      // lengths of prompts and answers
+  clients,    // choices of the clients: routers, cancellations and retries
   network,
-  replicas,  // errors
+  replicas,  // errors of the replicas
   discovery,
   peers,
   faults,
-  policy  // the choices of baseline policies
+  policy  // choices of the baseline policies
 };
 
 class RandomStream {
@@ -41,15 +41,15 @@
 
   std::uint64_t bits() { return generator_(); }
 
-  // [0, 1)
+  // Draws from [0, 1).
   double unit() { return boost::random::uniform_01<double>()(generator_); }
 
-  // [low, high)
+  // Draws from [low, high).
   double between(double low, double high) { return low + (high - low) * unit(); }
 
   bool happens(double probability) { return unit() < probability; }
 
-  // An index below `count`, which must not be 0.
+  // Draws an index below `count`, which must not be 0.
   std::size_t below(std::size_t count) {
     return boost::random::uniform_int_distribution<std::size_t>(0, count - 1)(generator_);
   }
@@ -58,14 +58,16 @@
     return mean * boost::random::exponential_distribution<double>(1)(generator_);
   }
 
-  // `sigma` is the standard deviation of the logarithm. Draws nothing if it is 0.
+  // `sigma` is the standard deviation of the logarithm. Returns `mean` without drawing a number if `sigma` is
+  // 0.
   double lognormal(double mean, double sigma) {
     if (sigma <= 0) return mean;
     return mean *
            std::exp(sigma * boost::random::normal_distribution<double>()(generator_) - sigma * sigma / 2);
   }
 
-  // Bounded Pareto on [min, max] (Harchol-Balter, Crovella and Murta 1999, section 5).
+  // Draws from the Bounded Pareto distribution on [min, max] (Harchol-Balter, Crovella and Murta 1999,
+  // section 5).
   double bounded_pareto(double alpha, double min, double max) {
     return min * std::pow(1 - unit() * (1 - std::pow(min / max, alpha)), -1 / alpha);
   }
@@ -74,10 +76,10 @@
   boost::random::mt19937_64 generator_;
 };
 
-// Draws indices, each in proportion to its weight.
+// Draws indexes, each with a probability in proportion to its weight.
 class WeightedChoice {
  public:
-  // At least one weight, none negative.
+  // There must be at least one weight, and none may be negative.
   explicit WeightedChoice(std::vector<double> weights) : sums_(std::move(weights)) {
     for (std::size_t i = 1; i < sums_.size(); ++i) sums_[i] += sums_[i - 1];
   }
--- a/src/emulator/replicas.cpp
+++ b/src/emulator/replicas.cpp
@@ -8,8 +8,9 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kStreamTimeout = seconds(3);      // after which a router ends an answer without events
-constexpr Time kWarmUpStep = milliseconds(250);  // interval at which the pace of a cold replica is set anew
+constexpr Time kStreamTimeout = seconds(3);  // time after which a router ends an answer without events
+constexpr Time kWarmUpStep =
+    milliseconds(250);  // interval at which the speed of a replica that warms up is updated
 
 EventType event_type_of(ReportKind kind) {
   switch (kind) {
@@ -22,9 +23,8 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- start and end
-
-// Returns its index. Nothing can be learned of its kind or zone from its id.
+// Creates a replica and returns its index. The replica's id is a hash, so that it reveals neither the kind
+// nor the zone.
 std::uint32_t DaySimulation::create_replica() {
   const auto index = static_cast<std::uint32_t>(replicas_.size());
   Replica& replica = replicas_.emplace_back();
@@ -51,12 +51,13 @@
 
 void DaySimulation::add_replica() {
   const std::uint32_t index = create_replica();
-  replicas_[index].started = now_;
+  replicas_[index].started_at = now_;
   set_replica_speed(index);
   announce(index, EndpointState::ready, discovery_.addition_delay_s());
 }
 
-// Routers that wait for a dead process see their connections break; an unreachable one's time out.
+// Makes a replica fail. Connections to a dead process break at once; connections to an unreachable replica
+// time out.
 void DaySimulation::lose_replica(std::uint32_t index, ReplicaLoss loss) {
   Replica& replica = replicas_[index];
   if (!replica.up) return;
@@ -87,17 +88,15 @@
   if (replica.up) return;
   replica.up = true;
   replica.unreachable = false;
-  replica.started = now_;
+  replica.started_at = now_;
   set_replica_speed(index);
   announce(index, EndpointState::ready, discovery_.addition_delay_s());
 }
 
-// ---------------------------------------------------------------- speed
-
-// Part of its full speed that warming up leaves.
+// Returns the fraction of its full speed that a replica has reached since its start.
 double DaySimulation::current_capacity(const Replica& replica) const {
-  if (replica.started == 0) return 1;
-  return warm_up_factor(now_ - replica.started, replica.warm_up, replica.initial_capacity);
+  if (replica.started_at == 0) return 1;
+  return warm_up_factor(now_ - replica.started_at, replica.warm_up, replica.initial_capacity);
 }
 
 void DaySimulation::set_replica_speed(std::uint32_t index) {
@@ -109,8 +108,8 @@
   schedule_replica(index);
 }
 
-// The operators' rule of cold replicas: it fails if all routers together send it more than a multiple of what
-// it can do, for so long.
+// Applies the operators' rule for replicas that warm up: a replica fails if all routers together send it more
+// than overload_multiple times the work that it can do in overload_ms.
 void DaySimulation::check_overload(std::uint32_t index, double work) {
   Replica& replica = replicas_[index];
   const double capacity = current_capacity(replica);
@@ -128,9 +127,7 @@
   lose_replica(index, ReplicaLoss::process_died);
 }
 
-// ---------------------------------------------------------------- work
-
-// To be called after every change of the replica's engine.
+// Schedules the replica's next event. To be called after every change of the replica's engine.
 void DaySimulation::schedule_replica(std::uint32_t index) {
   Replica& replica = replicas_[index];
   const Time next = replica.up ? replica.engine->next_event_at() : kNever;
@@ -150,7 +147,7 @@
   schedule_replica(index);
 }
 
-// Sends what an engine reports to the router that waits for it.
+// Sends the event that an engine reports to the router of the attempt.
 void DaySimulation::deliver(const Replica& replica, const Report& report) {
   Attempt* attempt = attempts_.find(report.job);
   if (attempt == nullptr) {
@@ -160,7 +157,7 @@
   attempt->undelivered = report.generated;
   attempt->cached = report.cached;
   const Time back = network_.one_way(replica.zone, routers_[attempt->router]->zone);
-  // The bytes of one connection keep their order.
+  // The bytes of one connection arrive in order.
   attempt->delivered_until = std::max(attempt->delivered_until, now_ + back);
   if (report.kind != ReportKind::first_token) attempt->in_engine = false;
   schedule(attempt->delivered_until, event_type_of(report.kind), report.job);
--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -7,9 +7,10 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr std::uint64_t kMaxLag = 50;      // entries that a replica may lack
-constexpr double kSaturatingDemand = 1.2;  // above which clients use all that they can
-constexpr double kMinUsable = 0.8;         // of a limit
+constexpr std::uint64_t kMaxLag = 50;  // maximum number of committed entries that a replica may lack
+constexpr double kSaturatingDemand =
+    1.2;                            // multiple of the limits above which clients use all that is granted
+constexpr double kMinUsable = 0.8;  // fraction of a limit
 
 std::string check_members(const ReplicationCluster& cluster, const replication::LedgerReplica& leader,
                           std::size_t ledger) {
@@ -26,22 +27,22 @@
   return {};
 }
 
-// The books of one account have all that clients used.
+// Checks that an account contains all that clients used.
 template <typename LedgerAccount>
 std::string check_usage(const ReplicationClients& clients, const std::string& key,
                         const LedgerAccount& account) {
-  if (account.span == 0) return {};  // a bucket has no windows
-  for (const auto& [window, book] : account.windows) {
+  if (account.span == 0) return {};  // an account of kind bucket has no windows
+  for (const auto& [window, usage] : account.windows) {
     const auto used = clients.used(key, window);
-    if (book.charged + book.leased() < used) {
+    if (usage.charged + usage.leased() < used) {
       return fmt::format("{}, window {}: {} used, {} in the books", key, window, used,
-                         book.charged + book.leased());
+                         usage.charged + usage.leased());
     }
   }
   return {};
 }
 
-// The books have each confirmed correction once, and none that was not sent.
+// Checks that an account contains each confirmed correction once, and no correction that was not sent.
 template <typename LedgerAccount>
 std::string check_corrections(ReplicationCluster& cluster, const ReplicationClients& clients,
                               const LedgerAccount& account) {
@@ -54,9 +55,9 @@
                      clients.confirmed_corrections().size(), cluster.result().corrections, corrections);
 }
 
-std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
-                        const replication::LedgerReplica& leader, std::size_t ledger) {
-  if (auto fault = leader.ledger().invariant_violation(); !fault.empty()) return fault;
+std::string check_accounts(ReplicationCluster& cluster, const ReplicationClients& clients,
+                           const replication::LedgerReplica& leader, std::size_t ledger) {
+  if (auto violation = leader.ledger().invariant_violation(); !violation.empty()) return violation;
   for (const auto& [key, account] : leader.ledger().accounts()) {
     if (auto violation = check_usage(clients, key, account); !violation.empty()) return violation;
     if (key != kCorrectedAccount) continue;
@@ -74,11 +75,11 @@
   if (!router) return fmt::format("ledger {} has no leader at the end", ledger);
   const auto& leader = *cluster.replica_at(*router, ledger);
   if (auto violation = check_members(cluster, leader, ledger); !violation.empty()) return violation;
-  return check_books(cluster, clients, leader, ledger);
+  return check_accounts(cluster, clients, leader, ledger);
 }
 
-std::string check_usable_part(ReplicationCluster& cluster, const ReplicationClients& clients,
-                              std::int64_t window) {
+std::string check_usable_fraction(ReplicationCluster& cluster, const ReplicationClients& clients,
+                                  std::int64_t window) {
   if (cluster.options().demand <= kSaturatingDemand) return {};
   double& usable_fraction = cluster.result().usable_fraction;
   for (const auto* key : {"minute|a", "minute|b"})
@@ -95,7 +96,7 @@
   for (std::size_t ledger = 0; ledger < cluster.options().ledgers; ++ledger) {
     if (auto violation = check_ledger(cluster, clients, ledger); !violation.empty()) return violation;
   }
-  return check_usable_part(cluster, clients, window);
+  return check_usable_fraction(cluster, clients, window);
 }
 
 }  // namespace thornwick::emulator
--- a/src/emulator/replication_clients.cpp
+++ b/src/emulator/replication_clients.cpp
@@ -10,7 +10,7 @@
 using budgets::Units;
 using replication::QuotaLeaseClient;
 
-constexpr double kMeanUnits = 6600;  // that a request uses
+constexpr double kMeanUnits = 6600;  // mean number of units that a request uses
 constexpr Units kMinReserved = 4000;
 constexpr std::size_t kReservedSpread = 14'000;
 constexpr double kFastestClock = 1.01;
--- a/src/emulator/replication_clients.hpp
+++ b/src/emulator/replication_clients.hpp
@@ -1,5 +1,5 @@
-// The clients of a replication simulation: requests at all routers, and what they were granted, counted
-// outside of the routers; corrections of an account.
+// The clients of a replication simulation. The clients send requests to all routers, count the granted units
+// outside of the routers, and send corrections of one account.
 #pragma once
 
 #include <cstdint>
@@ -14,36 +14,37 @@
 
 class ReplicationClients {
  public:
-  // The cluster must outlive this.
+  // The cluster must outlive the clients.
   explicit ReplicationClients(ReplicationCluster& cluster);
 
-  // Clients of every router send requests from now on.
+  // Makes the clients of every router send requests from now on.
   void start();
 
-  // One request, to a router that may not run.
+  // Sends one request to a router. Does nothing if the router does not run.
   void send_request(std::size_t router);
 
-  // Takes kCorrectionUnits from kCorrectedAccount through a router that may not run.
+  // Takes kCorrectionUnits from kCorrectedAccount through a router. Does nothing if the router does not run.
   void send_correction(std::size_t router);
 
-  // What requests used of an account in a window, whatever became of their routers.
+  // Returns the units that requests used of an account in a window, also at routers that have failed since.
   budgets::Units used(const std::string& account, std::int64_t window) const;
 
-  // Ids of the corrections that a router confirmed.
+  // Returns the ids of the corrections that a router confirmed.
   const std::set<std::uint64_t>& confirmed_corrections() const { return confirmed_; }
 
-  // Units of each correction. The number of corrections can be read from the sum.
+  // Units of each correction. All corrections have the same units, so that their sum shows how many there
+  // were.
   static constexpr budgets::Units kCorrectionUnits = 1000;
   static constexpr Time kWindow = seconds(60);
 
  private:
   struct Grant {
     std::size_t router = 0;
-    std::uint64_t epoch = 0;  // of the router's process
+    std::uint64_t epoch = 0;  // epoch of the router's process that granted the units
     std::size_t account = 0;
     budgets::Units reserved = 0;
     budgets::Units used = 0;
-    Time reserved_at = 0;  // on the router's clock
+    Time reserved_at = 0;  // time on the router's clock
   };
 
   void schedule_request(std::size_t router);
@@ -54,7 +55,7 @@
   ReplicationCluster& cluster_;
   RandomStream random_;
   std::map<std::pair<std::string, std::int64_t>, budgets::Units> used_;  // by account and window
-  // The bucket as a single one would be, filled at the rate of the fastest clock.
+  // Units in a reference bucket that all routers share, refilled at the rate of the fastest clock.
   double bucket_ = kBucketBurst;
   Time bucket_at_ = 0;
   std::set<std::uint64_t> confirmed_;
--- a/src/emulator/replication_cluster.cpp
+++ b/src/emulator/replication_cluster.cpp
@@ -10,12 +10,12 @@
 
 constexpr Time kTick = milliseconds(20);
 constexpr Time kWallClockStart = seconds(1'800'000'000);  // a whole minute
-constexpr double kClockDrift = 0.008;                     // of a clock's rate, at most
-constexpr Time kReplicaPatience = seconds(25);
-constexpr Time kClientPatience = milliseconds(300);
-constexpr std::size_t kSnapshotEvery = 64;  // entries
+constexpr double kClockDrift = 0.008;                     // maximum deviation of a clock's rate from 1
+constexpr Time kEntryTimeout = seconds(25);
+constexpr Time kResponseTimeout = milliseconds(300);
+constexpr std::size_t kSnapshotThreshold = 64;  // number of log entries
 constexpr std::size_t kTrailingEntries = 16;
-constexpr double kLeaseBlock = 0.02;  // of a limit, that a router leases at a time
+constexpr double kLeaseBlock = 0.02;  // fraction of a limit that a router leases at a time
 constexpr double kMaxDelayMs = 400;
 
 std::shared_ptr<membership::Roster> make_virtual_roster(const ReplicationOptions& options) {
@@ -75,11 +75,10 @@
 
 ReplicationCluster::~ReplicationCluster() = default;
 
-// ---------------------------------------------------------------- time
-
 Time ReplicationCluster::local_time(std::size_t router) const {
-  const Router& its = routers_[router];
-  return kWallClockStart + its.clock_offset + static_cast<Time>(static_cast<double>(now_) * its.clock_rate);
+  const Router& state = routers_[router];
+  return kWallClockStart + state.clock_offset +
+         static_cast<Time>(static_cast<double>(now_) * state.clock_rate);
 }
 
 void ReplicationCluster::schedule(Time at, std::function<void()> action) {
@@ -106,13 +105,11 @@
   write_log("BROKEN: " + text);
 }
 
-// ---------------------------------------------------------------- disks
-
 void ReplicationCluster::write(std::size_t router, RecordKey key, std::optional<std::string> value) {
-  Router& its = routers_[router];
-  ++its.writes;
-  its.pending_writes.push_back({std::move(key), std::move(value)});
-  if (!std::exchange(its.flush_scheduled, true)) schedule_flush(router);
+  Router& state = routers_[router];
+  ++state.writes;
+  state.pending_writes.push_back({std::move(key), std::move(value)});
+  if (!std::exchange(state.flush_scheduled, true)) schedule_flush(router);
 }
 
 void ReplicationCluster::schedule_flush(std::size_t router) {
@@ -125,37 +122,37 @@
 }
 
 void ReplicationCluster::flush(std::size_t router) {
-  Router& its = routers_[router];
-  if (its.disk_full) return schedule_flush(router);
-  for (auto& write : its.pending_writes) {
+  Router& state = routers_[router];
+  if (state.disk_full) return schedule_flush(router);
+  for (auto& write : state.pending_writes) {
     if (write.value) {
-      its.disk[write.key] = *write.value;
+      state.disk[write.key] = *write.value;
     } else {
-      its.disk.erase(write.key);
+      state.disk.erase(write.key);
     }
   }
-  its.pending_writes.clear();
-  its.flush_scheduled = false;
-  its.node->on_durable(local_time(router), its.writes);
+  state.pending_writes.clear();
+  state.flush_scheduled = false;
+  state.node->on_durable(local_time(router), state.writes);
 }
 
 void ReplicationCluster::load_disk(std::size_t router, Disk disk) {
-  Router& its = routers_[router];
+  Router& state = routers_[router];
   if (disk != Disk::same) {
     for (std::size_t ledger = 0; ledger < options_.ledgers; ++ledger) {
       const auto holders = replication::place_replicas(*roster_, ledger, options_.replicas);
-      if (std::find(holders.begin(), holders.end(), router) != holders.end()) its.recovering.insert(ledger);
+      if (std::find(holders.begin(), holders.end(), router) != holders.end()) state.recovering.insert(ledger);
     }
   }
   if (disk == Disk::empty) {
-    its.disk.clear();
+    state.disk.clear();
     ++result_.lost_disks;
   }
   if (disk == Disk::older) {
-    its.disk = its.older_disk;
+    state.disk = state.older_disk;
     ++result_.older_disks;
   } else {
-    its.older_disk = its.disk;
+    state.older_disk = state.disk;
   }
 }
 
@@ -164,28 +161,26 @@
                                                 [](const Router& each) { return !each.recovering.empty(); }));
 }
 
-// ---------------------------------------------------------------- processes
-
 void ReplicationCluster::start_all() {
   for (std::size_t i = 0; i < size(); ++i) start(i, Disk::same);
   schedule_tick();
 }
 
 void ReplicationCluster::start(std::size_t router, Disk disk) {
-  Router& its = routers_[router];
-  if (its.alive) return;
+  Router& state = routers_[router];
+  if (state.alive) return;
   write_log(fmt::format("r{} starts, disk {}", router, name_of(disk)));
   load_disk(router, disk);
-  its.alive = true;
-  its.suspended = false;
-  ++its.epoch;
-  its.writes = 0;
-  its.flush_scheduled = false;
-  its.pending_writes.clear();
-  its.deferred.clear();
-  its.node = std::make_unique<replication::ReplicationNode>(node_options(router), node_dependencies(router),
-                                                            local_time(router));
-  for (const auto& account : accounts_) its.node->quota_client().open(account.key, account.rule);
+  state.alive = true;
+  state.suspended = false;
+  ++state.epoch;
+  state.writes = 0;
+  state.flush_scheduled = false;
+  state.pending_writes.clear();
+  state.deferred.clear();
+  state.node = std::make_unique<replication::ReplicationNode>(node_options(router), node_dependencies(router),
+                                                              local_time(router));
+  for (const auto& account : accounts_) state.node->quota_client().open(account.key, account.rule);
 }
 
 replication::Options ReplicationCluster::node_options(std::size_t router) {
@@ -194,8 +189,8 @@
   options.replica.replica_count = options_.replicas;
   options.replica.roster = roster_;
   options.replica.lease_duration = kLeaseDuration;
-  options.replica.entry_timeout = kReplicaPatience;
-  options.replica.snapshot_threshold = kSnapshotEvery;
+  options.replica.entry_timeout = kEntryTimeout;
+  options.replica.snapshot_threshold = kSnapshotThreshold;
   options.replica.trailing_entries = kTrailingEntries;
   options.replica.trust_any_disk = options_.trust_any_disk;
   options.replica.respond_before_majority = options_.respond_before_majority;
@@ -206,7 +201,7 @@
   options.quota_client.ledger_count = options_.ledgers;
   options.quota_client.instance_id = static_cast<std::uint32_t>(random_.bits());
   options.quota_client.max_prefetch_fraction = kLeaseBlock;
-  options.quota_client.response_timeout = kClientPatience;
+  options.quota_client.response_timeout = kResponseTimeout;
   options.quota_client.overdraft_fraction = options_.overdraft_fraction;
   options.quota_client.use_expired_leases = options_.use_expired_leases;
   return options;
@@ -232,15 +227,15 @@
 }
 
 void ReplicationCluster::kill(std::size_t router) {
-  Router& its = routers_[router];
-  if (!its.alive || now_ < no_kills_until_) return;
+  Router& state = routers_[router];
+  if (!state.alive || now_ < no_kills_until_) return;
   write_log(fmt::format("r{} is killed", router));
   ++result_.kills;
-  ++its.epoch;
-  its.alive = false;
-  its.suspended = false;
-  its.pending_writes.clear();
-  its.node.reset();
+  ++state.epoch;
+  state.alive = false;
+  state.suspended = false;
+  state.pending_writes.clear();
+  state.node.reset();
 }
 
 void ReplicationCluster::suspend(std::size_t router) {
@@ -251,19 +246,17 @@
 }
 
 void ReplicationCluster::resume(std::size_t router) {
-  Router& its = routers_[router];
-  if (!its.suspended) return;
+  Router& state = routers_[router];
+  if (!state.suspended) return;
   write_log(fmt::format("r{} goes on", router));
-  its.suspended = false;
-  for (auto& action : std::exchange(its.deferred, {})) action();
+  state.suspended = false;
+  for (auto& action : std::exchange(state.deferred, {})) action();
 }
 
 void ReplicationCluster::defer(std::size_t router, std::function<void()> action) {
   routers_[router].deferred.push_back(std::move(action));
 }
 
-// ---------------------------------------------------------------- ticks
-
 void ReplicationCluster::schedule_tick() {
   schedule(now_ + kTick, [this] {
     tick();
@@ -281,7 +274,8 @@
   }
 }
 
-// A lost replica has recovered when it votes, and its disk has all that was committed a moment ago.
+// Marks lost replicas as recovered. A replica has recovered when it is a voter and its disk has all entries
+// that the leader had committed, except for the last one.
 void ReplicationCluster::check_recovered(const replication::LedgerReplica& leader, std::size_t ledger) {
   if (leader.consensus()->is_changing_members()) return;
   for (const auto& member : leader.consensus()->members()) {
@@ -296,8 +290,6 @@
   }
 }
 
-// ---------------------------------------------------------------- network
-
 void ReplicationCluster::send(std::size_t from, std::size_t to, const std::string& bytes) {
   if (blocked_[from][to] || random_.happens(loss_)) return;
   const int times = random_.happens(loss_ / 2) ? 2 : 1;
@@ -314,8 +306,6 @@
   routers_[to].node->on_message(local_time(to), from, bytes);
 }
 
-// ---------------------------------------------------------------- ledgers
-
 const replication::LedgerReplica* ReplicationCluster::replica_at(std::size_t router,
                                                                  std::size_t ledger) const {
   if (!alive(router)) return nullptr;
--- a/src/emulator/replication_faults.cpp
+++ b/src/emulator/replication_faults.cpp
@@ -9,7 +9,8 @@
 
 constexpr double kMeanIntervalSeconds = 2.5;
 constexpr std::size_t kFaultKinds = 12;
-constexpr std::size_t kAmnesiaReplicas = 3;  // for which restore_older_disk_behind_cut() is made
+constexpr std::size_t kAmnesiaReplicas =
+    3;  // number of replicas for which restore_older_disk_behind_cut() works
 constexpr int kRequestsAtResume = 20;
 
 Time from_seconds(double seconds) { return static_cast<Time>(1e6 * seconds); }
@@ -40,7 +41,8 @@
   cluster_.write_log("all is mended");
 }
 
-// One fault of a random kind. The order in which its numbers are drawn is part of the recorded plays.
+// Injects one fault of a random kind. The order in which random numbers are drawn must not change, because
+// recorded simulations depend on the order.
 void ReplicationFaults::inject() {
   RandomStream& random = cluster_.random();
   const std::size_t router = random.below(cluster_.size());
@@ -64,7 +66,8 @@
   }
 }
 
-// Before every ledger has a leader for the first time, no loss is covered.
+// Whether every ledger has a leader. The ledgers tolerate no loss before each has a leader for the first
+// time.
 bool ReplicationFaults::all_ledgers_led() const {
   for (std::size_t ledger = 0; ledger < cluster_.options().ledgers; ++ledger) {
     if (!cluster_.leader_of(ledger)) return false;
@@ -72,8 +75,8 @@
   return true;
 }
 
-// The ledgers bear the loss of a minority of their replicas at a time. The next disk is lost when the
-// replicas of the ones before have recovered.
+// The ledgers tolerate the loss of a minority of their replicas at a time. Another disk may be lost once the
+// replicas on the previous ones have recovered.
 bool ReplicationFaults::may_lose_a_disk() const {
   return all_ledgers_led() && cluster_.recovering_routers() < cluster_.options().replicas / 2;
 }
@@ -83,12 +86,10 @@
   return cluster_.random().happens(0.7) ? Disk::empty : Disk::older;
 }
 
-// ---------------------------------------------------------------- processes
-
 void ReplicationFaults::restart(std::size_t router, Disk disk, Time duration) {
   cluster_.kill(router);
   cluster_.schedule(cluster_.now() + duration, [this, router, disk] {
-    // Another disk may have been lost meanwhile.
+    // Another disk may have been lost in the meantime.
     const Disk allowed = may_lose_a_disk() ? disk : Disk::same;
     if (!ended_) cluster_.start(router, allowed);
   });
@@ -99,7 +100,7 @@
   cluster_.schedule(cluster_.now() + duration, [this, router] { cluster_.resume(router); });
 }
 
-// Requests are there as soon as the process is resumed.
+// Suspends a process for longer than its leases last. Requests arrive as soon as the process is resumed.
 void ReplicationFaults::suspend_beyond_lease(std::size_t router) {
   cluster_.suspend(router);
   cluster_.schedule(cluster_.now() + 3 * kLeaseDuration, [this, router] {
@@ -108,9 +109,7 @@
   });
 }
 
-// ---------------------------------------------------------------- network
-
-// Separates these routers from the others, sometimes in one direction only.
+// Separates these routers from the others, with a probability of 0.2 in one direction only.
 void ReplicationFaults::cut(const Routers& separated, Time duration) {
   ++cluster_.result().cuts;
   cluster_.write_log(fmt::format("cut off: {}", fmt::join(separated, " ")));
@@ -143,8 +142,6 @@
   cluster_.schedule(cluster_.now() + duration, [this] { cluster_.set_loss(0); });
 }
 
-// ---------------------------------------------------------------- disks
-
 void ReplicationFaults::slow_disk(std::size_t router, Time duration) {
   cluster_.slow_disk_down(router);
   cluster_.schedule(cluster_.now() + duration, [this, router] { cluster_.restore_disk_speed(router); });
@@ -156,17 +153,15 @@
   cluster_.schedule(cluster_.now() + duration, [this, router] { cluster_.free_disk(router); });
 }
 
-// ---------------------------------------------------------------- combinations
-
-// A leader without a majority must not confirm.
+// Sends a correction to a leader without a majority, which must not confirm the correction.
 void ReplicationFaults::correct_at_isolated_leader(Time duration) {
   const std::size_t leader = cluster_.leader_of(0).value_or(0);
   cut({leader}, duration);
   cluster_.schedule(cluster_.now() + milliseconds(50), [this, leader] { clients_.send_correction(leader); });
 }
 
-// A replica has a leader's entries and loses them with an older disk, while the replica that lacks them can
-// be reached and the leader cannot, for less time than a replica's patience.
+// Makes a replica lose a leader's entries by restoring an older disk. At that time the replica that lacks the
+// entries can be reached and the leader cannot, for a shorter time than a replica's entry timeout.
 void ReplicationFaults::restore_older_disk_behind_cut() {
   if (cluster_.options().replicas != kAmnesiaReplicas) return;
   const std::size_t leader = cluster_.leader_of(0).value_or(0);
@@ -182,7 +177,8 @@
     cluster_.kill(forgetting);
     cluster_.start(forgetting, Disk::older);
     cut({leader}, seconds(5));
-    // The loss of so new a replica, when nobody else knows more of it, is not covered.
+    // The ledgers do not tolerate the loss of a replica that has just started while no other replica has its
+    // state.
     cluster_.forbid_kills_until(cluster_.now() + seconds(10));
   });
 }
--- a/src/emulator/replication_faults.hpp
+++ b/src/emulator/replication_faults.hpp
@@ -1,5 +1,5 @@
-// Random faults of a replication simulation: processes, disks and the network, within what the ledgers
-// promise to bear.
+// Random faults of a replication simulation: faults of processes, disks and the network that the ledgers are
+// specified to tolerate.
 #pragma once
 
 #include <set>
@@ -13,14 +13,14 @@
 
 class ReplicationFaults {
  public:
-  // Both must outlive this.
+  // The cluster and the clients must outlive the faults.
   ReplicationFaults(ReplicationCluster& cluster, ReplicationClients& clients)
       : cluster_(cluster), clients_(clients) {}
 
-  // Faults happen from now on.
+  // Makes faults happen from now on.
   void start();
 
-  // No fault begins from now on, and all that last are ended.
+  // Ends all current faults. No fault begins from now on.
   void end_all();
 
  private:
--- a/src/emulator/replication_simulation.cpp
+++ b/src/emulator/replication_simulation.cpp
@@ -13,10 +13,11 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kSettlingTime = seconds(10);  // before the first fault
-constexpr Time kRecoveryTime = seconds(40);  // after the last one
-constexpr Time kWindowMargin = seconds(2);   // before the end of the last window
-constexpr std::uint64_t kShownIds = 1000;    // ids are logged modulo this
+constexpr Time kSettlingDuration = seconds(10);  // time before the first fault
+constexpr Time kRecoveryDuration = seconds(40);  // time after the last fault
+constexpr Time kWindowMargin =
+    seconds(2);  // time between the end of the simulation and the end of the last window
+constexpr std::uint64_t kShownIds = 1000;  // ids are logged modulo this
 
 void log_final_state(ReplicationCluster& cluster) {
   for (std::size_t router = 0; router < cluster.size(); ++router) {
@@ -38,12 +39,12 @@
   ReplicationFaults faults(cluster, clients);
   cluster.start_all();
   clients.start();
-  cluster.run_for(kSettlingTime);
+  cluster.run_for(kSettlingDuration);
   if (options.faults) faults.start();
   cluster.run_for(std::max<Time>(0, static_cast<Time>(options.seconds * 1e6) - cluster.now()));
   faults.end_all();
-  cluster.run_for(kRecoveryTime);
-  // One whole window without a fault shows how much of the limits can be used.
+  cluster.run_for(kRecoveryDuration);
+  // One complete window without a fault shows how much of the limits can be used.
   constexpr Time kWindow = ReplicationClients::kWindow;
   const std::int64_t window = (cluster.local_time(0) + kWindow) / kWindow;
   cluster.run_for((window + 1) * kWindow - cluster.local_time(0) - kWindowMargin);
--- a/src/emulator/result.cpp
+++ b/src/emulator/result.cpp
@@ -7,15 +7,15 @@
 namespace thornwick::emulator {
 namespace {
 
-// Of the score.
-constexpr double kWholePart = 0.6;
-constexpr double kWindowPart = 0.1;
-constexpr double kClassPart = 0.2;
-constexpr double kMemberPart = 0.1;
-constexpr double kWastePrice = 0.19;
-constexpr double kCrossingPrice = 0.022;
+// Coefficients of the score (docs/experiments.md, "Score").
+constexpr double kTotalCoefficient = 0.6;
+constexpr double kWorstWindowCoefficient = 0.1;
+constexpr double kWorstClassCoefficient = 0.2;
+constexpr double kWorstMemberCoefficient = 0.1;
+constexpr double kWasteCoefficient = 0.19;
+constexpr double kCrossingCoefficient = 0.022;
 
-// Tokens that a replica read in `width` samples from this one on.
+// Returns the number of tokens that a replica read in `width` samples, beginning with sample `from`.
 double sum_tokens_read(const ReplicaResult& replica, std::size_t from, std::size_t width) {
   double tokens = 0;
   for (std::size_t i = from; i < std::min(from + width, replica.tokens_read.size()); ++i)
@@ -30,8 +30,8 @@
   order.reserve(outcomes.size());
   for (const auto& outcome : outcomes) order.push_back(&outcome);
   std::sort(order.begin(), order.end(), [](const auto* a, const auto* b) { return a->prompt > b->prompt; });
-  const auto index_of = [&](double part) {
-    return static_cast<std::size_t>(part * static_cast<double>(order.size()));
+  const auto index_of = [&](double fraction) {
+    return static_cast<std::size_t>(fraction * static_cast<double>(order.size()));
   };
   std::size_t answered = 0;
   std::size_t total = 0;
@@ -98,8 +98,8 @@
 }
 
 double earned_fraction(const RequestClass& request_class, Time objective_at, Time deadline, Time first_at,
-                       Time ended, double generated) {
-  const double token_ms = static_cast<double>(ended - first_at) / 1000 / generated;
+                       Time ended_at, double generated) {
+  const double token_ms = static_cast<double>(ended_at - first_at) / 1000 / generated;
   if (first_at <= objective_at && token_ms <= request_class.token_ms) return 1;
   const bool late = first_at <= deadline && token_ms <= 2 * request_class.token_ms;
   return late ? request_class.late_weight : 0;
@@ -110,14 +110,14 @@
 }
 
 void add_weight(Result& result, const Scenario& scenario, Time requested_at, std::size_t class_index,
-                std::size_t member, double priority_weight, double part) {
+                std::size_t member, double priority_weight, double earned_fraction) {
   if (!is_scored(scenario, requested_at)) return;
   const auto window = static_cast<std::size_t>(static_cast<double>(requested_at) / 1e6 / result.window_s);
   if (window >= result.windows.size()) result.windows.resize(window + 1);
   for (EarnedWeight* weight : {&result.total_weight, &result.classes[class_index].priority_weight,
                                &result.members[member], &result.windows[window]}) {
     weight->requested += priority_weight;
-    weight->earned += priority_weight * part;
+    weight->earned += priority_weight * earned_fraction;
   }
 }
 
@@ -132,9 +132,9 @@
   const double crossed =
       result.turns > 0 ? static_cast<double>(result.cross_zone_attempts) / static_cast<double>(result.turns)
                        : 0;
-  result.score = kWholePart * result.total_weight.share() + kWindowPart * worst_window +
-                 kClassPart * worst_class + kMemberPart * worst_member - kWastePrice * std::max(0.0, wasted) -
-                 kCrossingPrice * crossed;
+  result.score = kTotalCoefficient * result.total_weight.share() + kWorstWindowCoefficient * worst_window +
+                 kWorstClassCoefficient * worst_class + kWorstMemberCoefficient * worst_member -
+                 kWasteCoefficient * std::max(0.0, wasted) - kCrossingCoefficient * crossed;
 }
 
 }  // namespace thornwick::emulator
--- a/src/emulator/result_json.cpp
+++ b/src/emulator/result_json.cpp
@@ -1,4 +1,4 @@
-// The JSON of a result. Its keys are read by the operators' programs and stay as they are.
+// The JSON of a result. The keys must not change, because the operators' programs read them.
 #include <array>
 #include <nlohmann/json.hpp>
 
@@ -11,14 +11,14 @@
 
 struct NamedQuantile {
   const char* name;
-  double part;
+  double fraction;
 };
 constexpr std::array<NamedQuantile, 4> kQuantiles{
     {{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p999", 0.999}}};
 
 Json json_of(const Histogram& histogram) {
   Json json = {{"count", histogram.total()}, {"mean", histogram.mean()}};
-  for (const auto& quantile : kQuantiles) json[quantile.name] = histogram.quantile(quantile.part);
+  for (const auto& quantile : kQuantiles) json[quantile.name] = histogram.quantile(quantile.fraction);
   return json;
 }
 
--- a/src/emulator/routers.cpp
+++ b/src/emulator/routers.cpp
@@ -12,27 +12,27 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr Time kDiscoveryTime = milliseconds(2);  // that discovery needs for an answer
+constexpr Time kDiscoveryDelay = milliseconds(2);  // time that discovery needs for an answer
 constexpr std::uint16_t kDiscoveryZone = 0;
-constexpr std::size_t kAffinityBytes = std::size_t{1} << 36;  // no limit in practice
+constexpr std::size_t kAffinityBytes = std::size_t{1} << 36;  // in practice no limit
 constexpr double kMinShare = 1e-6;
 
 Time from_milliseconds(double milliseconds) { return static_cast<Time>(1000 * milliseconds); }
 
-// Edges of intervals with equal work between Bounded Pareto sizes (Harchol-Balter, Crovella and Murta 1999,
-// section 5). Empty for classes with other sizes.
+// Returns the edges between size intervals of equal work for Bounded Pareto sizes (Harchol-Balter, Crovella
+// and Murta 1999, section 5). Empty for classes with other sizes.
 std::vector<double> equal_work_cutoffs(const RequestClass& request_class, std::size_t intervals) {
   std::vector<double> edges;
   if (request_class.alpha <= 0) return edges;
   const double exponent = 1 - request_class.alpha;
   for (std::size_t i = 1; i < intervals; ++i) {
-    const double part = static_cast<double>(i) / static_cast<double>(intervals);
+    const double fraction = static_cast<double>(i) / static_cast<double>(intervals);
     if (std::abs(exponent) < 1e-9) {
-      edges.push_back(request_class.min_us * std::pow(request_class.max_us / request_class.min_us, part));
+      edges.push_back(request_class.min_us * std::pow(request_class.max_us / request_class.min_us, fraction));
     } else {
       const double low = std::pow(request_class.min_us, exponent);
       const double high = std::pow(request_class.max_us, exponent);
-      edges.push_back(std::pow(low + part * (high - low), 1 / exponent));
+      edges.push_back(std::pow(low + fraction * (high - low), 1 / exponent));
     }
   }
   return edges;
@@ -51,8 +51,6 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- start and end
-
 Settings DaySimulation::settings_for(const EmulatedRouter& router) const {
   Settings settings;
   settings.seed = mix(seed_ ^ (router.index + 1));
@@ -106,7 +104,7 @@
 
 void DaySimulation::start_router(EmulatedRouter& router) {
   const Settings settings = settings_for(router);
-  router.core.reset();  // before what it refers to
+  router.core.reset();  // the core refers to the objects that are replaced below
   if (scenario_.affinity && scenario_.policy == "module") {
     affinity::Options affinity;
     affinity.table.entries = scenario_.affinity_entries;
@@ -122,7 +120,8 @@
   deliver_endpoint_list(router);
 }
 
-// Its machine is lost: clients that wait for it see their connections break, and what it learned is lost.
+// Makes a router's machine fail. The connections of waiting clients break, and all that the router has
+// learned is lost.
 void DaySimulation::lose_router(EmulatedRouter& router) {
   if (!router.up) return;
   router.up = false;
@@ -132,7 +131,7 @@
   result_.totals.client_disconnected += std::exchange(result_.totals.open, 0);
   std::vector<Handle> in_flight;
   for (const auto& [request_id, handle] : router.attempts) in_flight.push_back(handle);
-  std::sort(in_flight.begin(), in_flight.end());  // the order of a hash table differs from process to process
+  std::sort(in_flight.begin(), in_flight.end());  // the order of a hash table differs between processes
   for (const Handle handle : in_flight) {
     if (const Attempt* attempt = attempts_.find(handle)) close_connection(*attempt);
     forget_attempt(handle);
@@ -173,8 +172,6 @@
   result_.totals.open += router.core->open_requests();
 }
 
-// ---------------------------------------------------------------- timers and probes
-
 void DaySimulation::set_router_timer(EmulatedRouter& router, Time when) {
   schedule(when, EventType::router_timer, ++router.timer_version, router.index);
 }
@@ -189,20 +186,18 @@
   if (found != replica_index_.end()) router.core->probe_ended(replica_id, replicas_[found->second].up, {});
 }
 
-// ---------------------------------------------------------------- discovery
-
 Endpoint DaySimulation::endpoint_of(const Replica& replica, EndpointState state) const {
   const Range& speed = scenario_.kinds[replica.kind].speed;
   return {.id = replica.id,
           .state = state,
-          .started_at = replica.started,
+          .started_at = replica.started_at,
           .zone = replica.zone,
           .cell = 0,
           .kind = replica.kind,
           .weight = static_cast<float>((speed.low + speed.high) / 2)};
 }
 
-// The change happens now, and discovery registers it `after_s` seconds later.
+// Records a change that happens now, and that discovery registers `after_s` seconds later.
 void DaySimulation::announce(std::uint32_t replica, EndpointState state, double after_s) {
   const std::uint64_t change = discovery_.record({endpoint_of(replicas_[replica], state), replica});
   schedule(now_ + static_cast<Time>(1e6 * after_s), EventType::endpoint_change_registered, change);
@@ -228,17 +223,15 @@
 void DaySimulation::request_endpoint_list(EmulatedRouter& router) {
   router.subscribed = false;
   const Time round_trip = 2 * network_.one_way(router.zone, kDiscoveryZone);
-  schedule(now_ + round_trip + kDiscoveryTime, EventType::endpoint_list_delivered, 0, router.index);
+  schedule(now_ + round_trip + kDiscoveryDelay, EventType::endpoint_list_delivered, 0, router.index);
 }
 
-// From then on the router receives watch events.
+// Delivers the full list of endpoints. The router receives watch events from then on.
 void DaySimulation::deliver_endpoint_list(EmulatedRouter& router) {
   router.subscribed = true;
   router.core->on_endpoints(EndpointUpdate::full, discovery_.endpoints());
 }
 
-// ---------------------------------------------------------------- messages between routers
-
 void DaySimulation::send_peer_message(const EmulatedRouter& sender, std::uint32_t rank,
                                       const std::string& message) {
   if (rank == Gossip::kAllPeers) {
@@ -256,7 +249,7 @@
            handle);
 }
 
-// Whether a fault separates the zones of two routers.
+// Returns whether a fault separates the zones of two routers.
 bool DaySimulation::partitioned(const EmulatedRouter& sender, const EmulatedRouter& receiver) const {
   for (std::size_t i = 0; i < faults_.size(); ++i) {
     if (!faults_[i].active || scenario_.faults[i].kind != DayFaultKind::partition) continue;
--- a/src/emulator/slab.hpp
+++ b/src/emulator/slab.hpp
@@ -1,4 +1,4 @@
-// Storage whose slots are reused, addressed by handles.
+// A container that reuses its slots and addresses objects by handles.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace thornwick::emulator {
 
-// Names one object of a Slab: the low 32 bits are the index of its slot, the high ones the slot's generation.
-// A handle is never 0, and never names another object once its own was erased.
+// Identifies one object of a Slab: the low 32 bits are the index of the object's slot, the high 32 bits the
+// slot's generation. A handle is never 0, and never identifies another object after its own was erased.
 using Handle = std::uint64_t;
 
 // Owns objects of one type. Addresses of objects stay valid until they are erased.
@@ -24,7 +24,7 @@
     return handle_of(index, slot);
   }
 
-  // The object, or null if it was erased.
+  // Returns the object, or null if the object was erased.
   T* find(Handle handle) {
     const auto index = static_cast<std::uint32_t>(handle);
     if (index >= slots_.size()) return nullptr;
@@ -32,7 +32,7 @@
     return slot.used && slot.generation == handle >> 32 ? &slot.value : nullptr;
   }
 
-  // Has no effect if the object was erased before.
+  // Erases an object. Has no effect if the object was already erased.
   void erase(Handle handle) {
     if (find(handle) == nullptr) return;
     const auto index = static_cast<std::uint32_t>(handle);
@@ -41,7 +41,7 @@
     free_.push_back(index);
   }
 
-  // Number of objects.
+  // Returns the number of objects.
   std::size_t size() const { return slots_.size() - free_.size(); }
 
   // Calls visit(handle, object) for every object, in the order of the slots. `visit` must not create or
@@ -74,7 +74,7 @@
     return index;
   }
 
-  std::deque<Slot> slots_;  // a deque, so that addresses stay valid
+  std::deque<Slot> slots_;  // a deque, because addresses of its elements stay valid when it grows
   std::vector<std::uint32_t> free_;
 };
 
--- a/src/emulator/timed_decider.hpp
+++ b/src/emulator/timed_decider.hpp
@@ -1,4 +1,4 @@
-// Measures what a policy's decisions cost on this machine.
+// Measures the time that a policy's decisions take on this machine.
 #pragma once
 
 #include <chrono>
@@ -9,10 +9,10 @@
 
 namespace thornwick::emulator {
 
-// Adds the time inside of each call of a decider to a sum.
+// Adds the duration of each call of the inner decider to a sum.
 class TimedDecider final : public core::DeciderDecorator {
  public:
-  // `sum_ns` (nanoseconds) must outlive this.
+  // `sum_ns` (nanoseconds) must outlive the TimedDecider.
   TimedDecider(std::unique_ptr<core::Decider> inner, double& sum_ns)
       : DeciderDecorator(std::move(inner)), sum_ns_(sum_ns) {}
 
