--- a/src/experiments/closed_forms.cpp
+++ b/src/experiments/closed_forms.cpp
@@ -8,9 +8,11 @@
 namespace thornwick::experiments {
 namespace {
 
-constexpr double kObservedJobs = 10;     // of a size and above, for it to count as observable
-constexpr double kZeroExponent = 1e-12;  // nearer to 0, an integral of x^(exponent-1) is taken as a logarithm
-constexpr double kSearchStart = 1e-9;    // of the mean, where the search for the minimum size begins
+constexpr double kObservedJobs =
+    10;  // number of jobs that must be at least as large as a size that counts as observable
+constexpr double kZeroExponent =
+    1e-12;  // exponents nearer to 0 make the integral of x^(exponent-1) a logarithm
+constexpr double kSearchStart = 1e-9;  // fraction of the mean at which the search for the minimum size begins
 constexpr std::uintmax_t kMaxSolverSteps = 200;
 constexpr int kSolverBits = 50;
 
@@ -69,7 +71,8 @@
   for (std::size_t i = 0; i + 1 < edges.size(); ++i) {
     const double low = edges[i];
     const double high = edges[i + 1];
-    // The host's arrival rate times its second moment: the probability of its interval cancels out.
+    // The wait uses the host's arrival rate times its second moment, in which the probability of its interval
+    // cancels out.
     const double wait = arrival_rate * sizes.moment(2, low, high) / (2 * (1 - load));
     total.wait += sizes.moment(0, low, high) * wait;
     total.slowdown += sizes.moment(-1, low, high) * wait;
@@ -78,7 +81,7 @@
 }
 
 double observable_share(const BoundedPareto& sizes, double jobs) {
-  // The largest size that kObservedJobs of the jobs exceed in the mean.
+  // `size` is the largest size that kObservedJobs of the jobs exceed on average.
   const double cut_off = std::pow(sizes.min_size / sizes.max_size, sizes.alpha);
   const double tail = kObservedJobs / jobs * (1 - cut_off) + cut_off;
   const double size = std::min(sizes.max_size, sizes.min_size * std::pow(tail, -1 / sizes.alpha));
--- a/src/experiments/command.hpp
+++ b/src/experiments/command.hpp
@@ -5,8 +5,9 @@
 
 namespace thornwick::experiments {
 
-// Adds the command with its sub-commands; when one was parsed, `status` is the program's. Errors of scenarios
-// and of experiments (ExperimentError) leave the parsing as exceptions.
+// Adds the command with its sub-commands. When a sub-command was parsed, `status` is the program's exit
+// status. Errors of scenarios (settings::InvalidFile) and of experiments (ExperimentError) leave the parsing
+// as exceptions.
 CLI::App* add_command(CLI::App& app, int& status);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/command_options.hpp
+++ b/src/experiments/command_options.hpp
@@ -14,7 +14,7 @@
 inline constexpr int kMaxDays = 100'000;
 inline constexpr int kMaxThreads = 1024;
 
-// The names that --policy takes: the baselines, then the router's own policy.
+// Returns the names that --policy accepts: the baseline policies, then the routing policy ("module").
 inline std::vector<std::string> policy_names() {
   std::vector<std::string> names = emulator::baseline_policy_names();
   names.emplace_back("module");
@@ -26,7 +26,7 @@
       ->check(CLI::Range(0, kMaxThreads));
 }
 
-// Throws ExperimentError(output_file).
+// Writes a page to a file. Throws ExperimentError(output_file) if the file cannot be written.
 inline void write_page(const std::string& path, const std::string& page) {
   std::ofstream file(path);
   file << page;
--- a/src/experiments/error.hpp
+++ b/src/experiments/error.hpp
@@ -1,4 +1,4 @@
-// The errors of experiments: what kind of failure it was, and the line for the person at the command line.
+// The errors of experiments. Each has a kind, and a line of text for the user of the command line.
 #pragma once
 
 #include <stdexcept>
@@ -7,15 +7,15 @@
 namespace thornwick::experiments {
 
 enum class ErrorKind {
-  bad_axis,         // a --set option that is not KEY=VALUE,VALUE
-  bad_arguments,    // options that do not go together
-  bad_sizes,        // no size distribution has the wanted mean
-  unequal_samples,  // a paired test of samples that differ in length
+  bad_axis,         // a --set option is not of the form KEY=VALUE,VALUE
+  bad_arguments,    // options contradict each other or are invalid
+  bad_sizes,        // no size distribution has the requested mean
+  unequal_samples,  // the samples of a paired test differ in length
   results_file,     // the results file is of another kind or version, or cannot be opened
   output_file       // a page cannot be written
 };
 
-// Thrown by everything in this module but the reading of scenarios. what() is one line.
+// Thrown by all functions of this module but those that read scenarios. what() is one line.
 struct ExperimentError : std::runtime_error {
   ExperimentError(ErrorKind error_kind, const std::string& message)
       : std::runtime_error(message), kind(error_kind) {}
--- a/src/experiments/experiment.cpp
+++ b/src/experiments/experiment.cpp
@@ -18,8 +18,8 @@
 
 using Overrides = std::vector<emulator::Override>;
 
-// The key of a cell's rows. It covers the scenario's text, so that two texts of one scenario never share
-// their days.
+// Returns the key of a cell's rows. The key depends on the scenario's text, so that two texts of one scenario
+// never share their days.
 std::string key_of(const std::string& text, const std::string& settings, const std::string& policy) {
   const std::string content = text + '\0' + settings + '\0' + policy;
   return fmt::format("{:016x}", XXH3_64bits(content.data(), content.size()));
@@ -32,7 +32,7 @@
   return text.str();
 }
 
-// Splits at the commas that are in no brackets.
+// Splits the text at the commas that are not in brackets.
 std::vector<std::string> split_values(const std::string& text) {
   std::vector<std::string> values;
   std::string value;
@@ -50,7 +50,7 @@
   return values;
 }
 
-// Every combination of the axes' values; the last axis changes fastest.
+// Returns every combination of the axes' values. The last axis changes fastest.
 std::vector<Overrides> combinations(const std::vector<GridAxis>& axes) {
   std::vector<Overrides> grid{{}};
   for (const auto& axis : axes) {
@@ -116,9 +116,9 @@
   return cells;
 }
 
-// Plays in rounds, one day of every cell in each, so that a sweep that is stopped has something of every
-// cell. A cell that is precise enough leaves out the next rounds, never a part of one: which days count must
-// not depend on which thread was faster.
+// Runs one day of every cell in each round, so that a sweep that is stopped has days of every cell. Whether a
+// cell is precise enough is decided before each round, because the days that count must not depend on which
+// thread is faster.
 void play(const Plan& plan, const std::vector<Cell>& cells, Results& results,
           const ProgressObserver& on_progress) {
   const unsigned threads = plan.measure_time ? 1 : plan.threads;
--- a/src/experiments/grid_commands.cpp
+++ b/src/experiments/grid_commands.cpp
@@ -17,7 +17,7 @@
 
 struct GridOptions {
   Plan plan;
-  std::vector<std::string> axes;  // as --set has them
+  std::vector<std::string> axes;  // the texts of --set
   std::string results = "lab.sqlite";
   std::string page = "lab.html";
   bool quiet = false;
@@ -61,7 +61,7 @@
   return 0;
 }
 
-// Each policy against the first one, on the days that both have.
+// Compares each policy with the first one on the days that both have.
 int compare(const GridOptions& options) {
   const std::size_t policies = options.plan.policies.size();
   if (policies < 2) {
@@ -74,7 +74,7 @@
   Results results(options.results);
   const auto cells = play_grid(options, results);
   for (std::size_t i = 0; i < cells.size(); ++i) {
-    const std::size_t policy = i % policies;  // the last axis of the grid
+    const std::size_t policy = i % policies;  // the policy is the axis of the grid that changes fastest
     const auto scores = scores_of(results.rows_of(cells[i].key));
     fmt::print("{:<34} {:<18} {:.4f}", cells[i].point.settings, cells[i].point.policy, estimate(scores).mean);
     const auto first_policy_scores = scores_of(results.rows_of(cells[i - policy].key));
--- a/src/experiments/grid_commands.hpp
+++ b/src/experiments/grid_commands.hpp
@@ -5,7 +5,7 @@
 
 namespace thornwick::experiments {
 
-// Adds the sub-commands; when one was parsed, `status` is the program's.
+// Adds the sub-commands. When one was parsed, `status` is the program's exit status.
 void add_grid_commands(CLI::App& lab, int& status);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/group_table.cpp
+++ b/src/experiments/group_table.cpp
@@ -18,7 +18,8 @@
 constexpr Time kMaxWait = seconds(600);
 constexpr Time kPartition = seconds(60);
 
-// The time until `holds`, which is asked after every step; negative if it does not hold within kMaxWait.
+// Returns the time until `holds()` is true, which is checked after every step; negative if that takes over
+// kMaxWait.
 template <typename Condition>
 Time wait_for(Group& group, Time step, Condition holds) {
   const Time from = group.now();
@@ -29,7 +30,7 @@
   return group.now() - from;
 }
 
-// The nearest-rank quantile, in seconds; 0 of none.
+// Returns the nearest-rank quantile in seconds; 0 if there are no times.
 double quantile_s(std::vector<Time> times, double fraction) {
   if (times.empty()) return 0;
   std::sort(times.begin(), times.end());
@@ -37,7 +38,7 @@
   return static_cast<double>(times[rank]) / 1e6;
 }
 
-// Counters of all routers together.
+// The sums of the counters of all routers.
 struct Totals {
   std::uint64_t sent = 0;
   std::uint64_t bytes = 0;
@@ -70,8 +71,8 @@
       static_cast<double>(after.suspicions - before.suspicions) * kSecondsPerHour / calm_s;
 }
 
-// Kills a router and waits until all others call it gone. Appends how long each took; the result is how many
-// never did.
+// Kills a router and waits until all others have it as failed. Appends the time that each of them took, and
+// returns the number of routers that did not detect the failure.
 std::size_t measure_kill(Group& group, std::size_t victim, std::vector<Time>& detection_times) {
   const Time killed_at = group.now();
   group.kill(victim);
@@ -90,7 +91,7 @@
 }
 
 void measure_kills(Group& group, GroupRow& row, std::size_t kills) {
-  constexpr std::size_t kStride = 7919;  // a prime: victims are spread over the group
+  constexpr std::size_t kStride = 7919;  // a prime, so that victims are spread over the group
   std::vector<Time> detection_times;
   for (std::size_t i = 0; i < kills; ++i) {
     const std::size_t victim = i * kStride % group.size();
--- a/src/experiments/plot.cpp
+++ b/src/experiments/plot.cpp
@@ -9,7 +9,7 @@
 namespace thornwick::experiments {
 namespace {
 
-// Pixels.
+// Dimensions in pixels.
 constexpr double kWidth = 620;
 constexpr double kHeight = 360;
 constexpr double kLeft = 70;
@@ -30,7 +30,7 @@
  public:
   AxisScale(Scale scale, double from, double to) : scale_(scale), from_(from), to_(to) {}
 
-  // Extends the axis to the value, if it can be drawn.
+  // Extends the axis to the value, if the value can be drawn.
   void include(double value) {
     if (!drawable(value)) return;
     low_ = std::min(low_, scaled(value));
@@ -39,8 +39,8 @@
 
   bool drawable(double value) const { return std::isfinite(value) && (scale_ == Scale::linear || value > 0); }
 
-  // To be called after the last include(): a linear axis begins at zero where that is near, and no axis is
-  // without extent.
+  // Completes the axis after the last include(). A linear axis begins at zero if zero is near, and every axis
+  // gets a positive extent.
   void finish() {
     if (low_ > high_) {
       low_ = 0;
@@ -65,7 +65,8 @@
   }
 
  private:
-  static constexpr double kNearZero = 0.5;  // of the largest value
+  static constexpr double kNearZero =
+      0.5;  // fraction of the largest value below which zero is near the smallest one
   static constexpr double kMinExtent = 1e-9;
 
   double scaled(double value) const { return scale_ == Scale::logarithmic ? std::log10(value) : value; }
@@ -112,7 +113,7 @@
   return line + intervals;
 }
 
-// Axes that show all points with their intervals.
+// Returns axes that show all points with their intervals.
 Axes axes_for(const Plot& plot) {
   Axes axes{AxisScale(plot.x_scale, kLeft, kPlotRight), AxisScale(plot.y_scale, kPlotBottom, kTop)};
   for (const auto& curve : plot.curves) {
--- a/src/experiments/plot.hpp
+++ b/src/experiments/plot.hpp
@@ -9,7 +9,8 @@
 struct PlotPoint {
   double x = 0;
   double y = 0;
-  double half_width = 0;  // of an interval that is drawn around y; 0 or infinite: none
+  // Half the width of the interval that is drawn around y; 0 or infinite: no interval is drawn.
+  double half_width = 0;
 };
 
 struct Curve {
@@ -31,9 +32,9 @@
   Legend legend = Legend::shown;
 };
 
-// The text with the characters that HTML and SVG give a meaning as entities.
+// Returns the text with the special characters of HTML and SVG as entities.
 std::string escape_html(const std::string& text);
-// One <svg> element. Points that are not finite are left out.
+// Returns one <svg> element. Points that are not finite are omitted.
 std::string draw_svg(const Plot& plot);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/report.cpp
+++ b/src/experiments/report.cpp
@@ -13,7 +13,7 @@
 namespace thornwick::experiments {
 namespace {
 
-constexpr std::size_t kMaxReplicaCurves = 32;  // in one plot
+constexpr std::size_t kMaxReplicaCurves = 32;  // maximum number of curves in one plot
 constexpr double kMicrosecondsPerMillisecond = 1000;
 
 // All days of one grid point.
@@ -29,7 +29,7 @@
   }
 };
 
-// In the order in which the points come first.
+// Groups the rows by their grid points, in the order of each point's first row.
 std::vector<Group> group_by_point(const std::vector<ResultRow>& rows) {
   std::vector<Group> groups;
   for (const auto& row : rows) {
@@ -80,7 +80,7 @@
   std::string value;
 };
 
-// Of "fleet.boxes=48 day.load=0.6".
+// Parses settings such as "fleet.boxes=48 day.load=0.6".
 std::vector<Setting> parse_settings(const std::string& text) {
   std::vector<Setting> settings;
   for (std::size_t begin = 0; begin < text.size();) {
@@ -93,7 +93,7 @@
   return settings;
 }
 
-// The value of one key, and the text of the other settings.
+// The value of one key among the settings of a grid point, and the text of the other settings.
 struct Position {
   double value = 0;
   bool is_number = false;
@@ -114,8 +114,8 @@
   return position;
 }
 
-// One measure by one setting: a curve for each policy and each combination of the other settings. Empty
-// without a curve of two points or more.
+// Plots one measure by one setting, with a curve for each policy and each combination of the other settings.
+// Returns an empty string if no curve has two points or more.
 std::string plot_measure(const std::vector<Group>& groups, const std::string& scenario,
                          const std::string& key, const Measure& measure) {
   std::map<std::string, Curve> curves;
@@ -143,7 +143,7 @@
   return plot.curves.empty() ? "" : draw_svg(plot);
 }
 
-// Every measure by every setting of every scenario.
+// Plots every measure by every setting of every scenario.
 std::string plot_by_setting(const std::vector<Group>& groups) {
   std::string out;
   std::vector<std::string> drawn;
@@ -162,7 +162,7 @@
 
 struct Percentile {
   const char* name;
-  double longer_share;  // of the answers that took longer
+  double longer_share;  // fraction of the answers that took longer
 };
 constexpr Percentile kPercentiles[] = {{"p50", 0.5}, {"p90", 0.1}, {"p99", 0.01}, {"p999", 0.001}};
 
--- a/src/experiments/results.cpp
+++ b/src/experiments/results.cpp
@@ -13,7 +13,7 @@
     "scenario, settings, policy, seed, score, in_time, kept, shed, hops, module_us, requests_per_s, turns, "
     "rules, json";
 
-// The columns with a number, in the file's order.
+// The columns with floating-point numbers, in the order of the file's columns.
 constexpr double ResultRow::*kNumbers[] = {
     &ResultRow::score,          &ResultRow::in_time_share,     &ResultRow::cached_share,
     &ResultRow::rejected_share, &ResultRow::attempts_per_turn, &ResultRow::decision_us,
--- a/src/experiments/run_command.cpp
+++ b/src/experiments/run_command.cpp
@@ -44,9 +44,9 @@
   return days;
 }
 
-// Plays all days; the results are in the order of the days, whichever thread played them.
+// Runs all days. The results are in the order of the days.
 std::vector<Result> play_days(const std::vector<Day>& days, const RunOptions& options) {
-  // Days that are timed run one after the other, or they would take each other's time.
+  // Timed days run one after the other, because parallel days would slow each other down.
   const unsigned threads = options.time ? 1 : options.threads;
   std::vector<Result> results(days.size());
   for_each_index(days.size(), threads, [&](std::size_t index) {
--- a/src/experiments/statistics.hpp
+++ b/src/experiments/statistics.hpp
@@ -15,11 +15,11 @@
 Estimate estimate(const std::vector<double>& values);
 
 struct Difference {
-  Estimate mean_difference;  // second less first, day by day
-  double p_value = 1;        // of the paired t test, two-sided
+  Estimate mean_difference;  // mean of second minus first, day by day
+  double p_value = 1;        // p-value of the two-sided paired t-test
 };
-// Both samples are in the order of the same days. Throws ExperimentError(unequal_samples) if their lengths
-// differ.
+// Compares two samples, which must be in the order of the same days. Throws ExperimentError(unequal_samples)
+// if their lengths differ.
 Difference paired_difference(const std::vector<double>& first, const std::vector<double>& second);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -13,7 +13,8 @@
 namespace thornwick::experiments {
 namespace {
 
-// A size of 1 takes so long, so that the clock's steps of a microsecond don't show in small sizes.
+// Service time of a size of 1. The value is large, so that the clock's resolution of a microsecond does not
+// affect small sizes.
 constexpr double kMicrosecondsPerUnit = 100;
 constexpr double kUnlimitedS = 1e9;
 constexpr double kUnlimitedMs = 1e12;
@@ -21,8 +22,8 @@
 constexpr std::string_view kSitaE = "sita";
 constexpr std::string_view kPolicies[] = {kRandomSplitting, kSitaE};
 
-// Hosts that serve one request after the other, without connections, retries or anything else that theory
-// leaves out.
+// Returns a scenario of hosts that serve one request after the other, without limits of connections, retries
+// or anything else that the theory omits.
 emulator::Scenario hosts_scenario(const TheoryPlan& plan, const BoundedPareto& sizes, double load,
                                   std::string_view policy) {
   emulator::Scenario scenario;
--- a/src/experiments/theory.hpp
+++ b/src/experiments/theory.hpp
@@ -1,5 +1,5 @@
-// The emulator compared with queueing theory: hosts in arrival order and Bounded Pareto sizes, under random
-// splitting and SITA-E.
+// Comparison of the emulator with queueing theory: hosts that serve in arrival order, Bounded Pareto sizes,
+// and the policies random splitting and SITA-E.
 #pragma once
 
 #include <cstdint>
@@ -17,9 +17,9 @@
   double largest_size = 1e10;
   double mean_size = 3000;
   int hosts = 8;
-  double jobs = 200'000;  // of each run
+  double jobs = 200'000;  // number of jobs of each run
   unsigned runs = 8;
-  unsigned threads = 0;  // 0: one for each core
+  unsigned threads = 0;  // 0: one thread for each core
   std::uint64_t seed = 1;
 };
 
@@ -27,16 +27,16 @@
   std::string policy;  // "random" or "sita"
   double alpha = 0;
   double load = 0;
-  Estimate slowdown;             // over the runs
-  double expected_slowdown = 0;  // by the closed form
-  double observable_share = 0;   // of the second moment, by all runs together
+  Estimate slowdown;             // mean slowdown over the runs
+  double expected_slowdown = 0;  // mean slowdown by the closed form
+  double observable_share = 0;   // observable share of the second moment, over the jobs of all runs
 
-  // The closed form lies within the confidence interval.
+  // Whether the closed form lies within the confidence interval.
   bool agrees() const;
 };
 
 std::vector<TheoryRow> play_theory(const TheoryPlan& plan);
-// A table and plots as one HTML page.
+// Returns a table and plots as one HTML page.
 std::string write_theory_page(const TheoryPlan& plan, const std::vector<TheoryRow>& rows);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/theory_command.cpp
+++ b/src/experiments/theory_command.cpp
@@ -13,7 +13,7 @@
 
 struct TheoryOptions {
   TheoryPlan plan;
-  std::string page;  // empty: none is written
+  std::string page;  // path of the page; empty: no page is written
 };
 
 void print(const TheoryRow& row) {
--- a/src/experiments/theory_command.hpp
+++ b/src/experiments/theory_command.hpp
@@ -5,7 +5,7 @@
 
 namespace thornwick::experiments {
 
-// Adds the sub-command; when it was parsed, `status` is the program's.
+// Adds the sub-command. When it was parsed, `status` is the program's exit status.
 void add_theory_command(CLI::App& lab, int& status);
 
 }  // namespace thornwick::experiments
--- a/src/experiments/worker_pool.hpp
+++ b/src/experiments/worker_pool.hpp
@@ -1,4 +1,4 @@
-// Independent jobs over several threads.
+// Runs independent jobs on several threads.
 #pragma once
 
 #include <algorithm>
@@ -9,8 +9,7 @@
 namespace thornwick::experiments {
 
 // Calls work(index) once for each index below `count`, on up to `threads` threads (0: one for each core), and
-// returns when all calls have. The order of the calls is not defined, so each must write to a place of its
-// own.
+// returns when all calls have. The order of the calls is not defined, and calls run concurrently.
 template <typename Work>
 void for_each_index(std::size_t count, unsigned threads, Work work) {
   const unsigned cores = std::max(1u, std::thread::hardware_concurrency());
