--- a/tests/emulator/days.cpp
+++ b/tests/emulator/days.cpp
@@ -1,4 +1,4 @@
-// Whole emulated days: what must hold of each, and what must not depend on the policy.
+// Emulated days: the invariants of each day, and the demand, which must not depend on the policy.
 #include <catch2/catch.hpp>
 #include <fstream>
 
@@ -19,7 +19,7 @@
   return scenario;
 }
 
-// All kinds of faults at once.
+// Returns a day on which all kinds of faults happen.
 Scenario day_with_all_faults() {
   Scenario scenario = small_day();
   scenario.load = {0.6, 0.6};
@@ -45,7 +45,8 @@
   return names;
 }
 
-std::string bad_scenario(const std::string& text) {
+// Returns the errors of an invalid scenario, with "s" as the file's name; empty if the scenario is valid.
+std::string errors_of(const std::string& text) {
   const testing::Scratch scratch;
   const std::string path = scratch.path("s.toml");
   std::ofstream(path) << text;
@@ -91,9 +92,10 @@
   }
 }
 
-// The operators' floors: the longest prompts of a class, and single sessions, are not rejected much more than
-// the others. At least half of their class's answered part on a day of overload, two thirds on a calm one.
-TEST_CASE("refusals single out neither long prompts nor sessions") {
+// The operators' minimum: the longest prompts of a class, and single sessions, are not rejected much more
+// often than the others. The answered fraction of the longest prompts is at least half of their class's
+// answered fraction on a day of overload, and two thirds on a calm day.
+TEST_CASE("neither long prompts nor single sessions are rejected much more often than other requests") {
   for (const double load : {0.4, 2.0}) {
     for (const std::uint64_t seed : {3u, 4u}) {
       Scenario scenario = small_day();
@@ -103,19 +105,19 @@
       std::uint64_t rejected = 0;
       for (const auto& each : result.classes) {
         const double all = each.answered_of_longest(0, 1);
-        const double floor = load < 1 ? 2.0 / 3 : 0.5;
+        const double min_ratio = load < 1 ? 2.0 / 3 : 0.5;
         INFO("load " << load << " seed " << seed << " " << each.name << ": " << each.outcomes.size()
                      << " requests, answered " << all << ", of the longest "
                      << each.answered_of_longest(0, 0.1) << ", of the next "
                      << each.answered_of_longest(0.1, 0.3) << ", sessions singled out "
                      << each.rejected_session_excess());
         REQUIRE(each.outcomes.size() > 100);
-        CHECK(each.answered_of_longest(0, 0.1) >= floor * all);
-        CHECK(each.answered_of_longest(0.1, 0.3) >= floor * all);
+        CHECK(each.answered_of_longest(0, 0.1) >= min_ratio * all);
+        CHECK(each.answered_of_longest(0.1, 0.3) >= min_ratio * all);
         CHECK(each.rejected_session_excess() <= 0.12);
         rejected += each.given_up;
       }
-      if (load > 1) CHECK(rejected > 300);  // else it shows nothing
+      if (load > 1) CHECK(rejected > 300);  // with fewer rejections the checks would prove nothing
     }
   }
 }
@@ -135,7 +137,7 @@
   }
 }
 
-TEST_CASE("the same seed gives the same bytes, another one does not") {
+TEST_CASE("the same seed gives the same JSON, and another seed gives another one") {
   const std::string first = to_json(play_day(day_with_all_faults(), 7), Costs::excluded);
   CHECK(first == to_json(play_day(day_with_all_faults(), 7), Costs::excluded));
   CHECK(first != to_json(play_day(day_with_all_faults(), 8), Costs::excluded));
@@ -157,20 +159,20 @@
   }
 }
 
-TEST_CASE("a policy with sticky sessions finds cached prompts, and finds none that were flushed") {
+TEST_CASE("a policy with sticky sessions finds more cached prompts, and fewer after a flush") {
   Scenario scenario = small_day();
-  const auto kept = [&](const std::string& policy) {
+  const auto cached_share = [&](const std::string& policy) {
     scenario.policy = policy;
     return play_day(scenario, 11).cached_share();
   };
-  const double module = kept("module");
-  CHECK(module > kept("random") + 0.2);
+  const double module = cached_share("module");
+  CHECK(module > cached_share("random") + 0.2);
   scenario.faults = {{.kind = DayFaultKind::flush, .at_s = {8, 8}, .size = {1, 1}}};
-  CHECK(kept("module") < module - 0.02);
+  CHECK(cached_share("module") < module - 0.02);
 }
 
-// The socket test of the same flush (tests/net/affinity.cpp) cannot hold a bound on what falls into two
-// seconds: the machine's other work moves it. Here the clock is the day's own.
+// The test of the same flush on sockets (tests/net/affinity.cpp) cannot check a bound on two seconds, because
+// other work on the machine shifts what falls into them. An emulated day has its own clock.
 TEST_CASE("after a flush of nearly all cached prompts no replica reads over 1.5 times its share in any 2 s") {
   Scenario scenario;
   scenario.name = "flush";
@@ -202,7 +204,8 @@
   request_class.prefix_skew = 0;
   scenario.classes = {request_class};
   scenario.faults = {{.kind = DayFaultKind::flush, .at_s = {10, 10}, .size = {0.99, 0.99}}};
-  // Of seeds 1 to 16 fifteen hold the bound (1.13 to 1.44); with seed 3 the names fall unevenly (1.52).
+  // Fifteen of the seeds 1 to 16 stay within the bound (1.13 to 1.44). With seed 3 the replicas' names hash
+  // unevenly (1.52).
   for (const std::uint64_t seed : {1u, 2u}) {
     const Result result = play_day(scenario, seed);
     const double spread = worst_share(result, 2, 10, 14);
@@ -217,9 +220,11 @@
   }
 }
 
-// With 100 routers none observes much of any replica. Without gossip they continue to send to a lost zone,
-// and reject requests for long afterwards.
-TEST_CASE("a hundred routers that gossip about failing and slow replicas bear the loss of a zone") {
+// With 100 routers, each one observes little of each replica. Without gossip the routers continue to send to
+// a lost zone, and reject requests for a long time afterwards.
+TEST_CASE(
+    "a hundred routers that gossip about failing and slow replicas reject few requests after the loss of a "
+    "zone") {
   Scenario scenario = read_scenario(std::string(THORNWICK_EXAMPLES) + "/lab/suva-vast.toml");
   for (const std::uint64_t seed : {1u, 2u}) {
     scenario.peers = true;
@@ -238,13 +243,13 @@
 }
 
 TEST_CASE("a malformed scenario is reported line by line, with the key") {
-  CHECK(bad_scenario("[day]\nseconds = \"long\"\n[fleet]\nboxes = 0\nboxen = 3\n[moon]\n") ==
+  CHECK(errors_of("[day]\nseconds = \"long\"\n[fleet]\nboxes = 0\nboxen = 3\n[moon]\n") ==
         "s:2: day.seconds: not a number\ns:4: fleet.boxes: outside 1..100000\ns:5: fleet.boxen: no such key\n"
         "s:6: moon: no such table");
   CHECK(
-      bad_scenario("[[trouble]]\nkind = \"rain\"\n") ==
+      errors_of("[[trouble]]\nkind = \"rain\"\n") ==
       "s:2: trouble.kind: 'rain' is none of: ageing, burst, flush, hall-lost, partition, replacement, slow");
-  CHECK(bad_scenario("[[box]]\nspeed = [2, 1]\n") == "s:2: box.speed: low is above high");
-  CHECK(bad_scenario("[router]\npolicy = \"best\"\n").find("s:2: router.policy: 'best' is none of") == 0);
-  CHECK(bad_scenario("class = 3\n") == "s:1: class: not a list of tables");
+  CHECK(errors_of("[[box]]\nspeed = [2, 1]\n") == "s:2: box.speed: low is above high");
+  CHECK(errors_of("[router]\npolicy = \"best\"\n").find("s:2: router.policy: 'best' is none of") == 0);
+  CHECK(errors_of("class = 3\n") == "s:1: class: not a list of tables");
 }
--- a/tests/emulator/experiments.cpp
+++ b/tests/emulator/experiments.cpp
@@ -1,4 +1,4 @@
-// Experiments: grids, statistics, results that outlive an interruption, plots.
+// Experiments: grids, statistics, results files, plots, and the comparison with queueing theory.
 #include <SQLiteCpp/SQLiteCpp.h>
 
 #include <catch2/catch.hpp>
@@ -28,7 +28,8 @@
   return plan;
 }
 
-std::size_t played(const Plan& plan, Results& results) {
+// Runs the days that the results do not have yet, and returns their number.
+std::size_t count_played_days(const Plan& plan, Results& results) {
   const auto before = results.all_rows().size();
   play(plan, cells_of(plan), results, [](std::size_t, std::size_t) {});
   return results.all_rows().size() - before;
@@ -36,8 +37,9 @@
 
 }  // namespace
 
-// Student's t for two and four degrees of freedom (0.975): 4.302653 and 2.776445.
-TEST_CASE("a mean comes with the interval of Student's law") {
+// The 0.975 quantiles of Student's t-distribution for two and four degrees of freedom are 4.302653 and
+// 2.776445.
+TEST_CASE("the confidence interval of a mean is that of Student's t-distribution") {
   const Estimate three = estimate({1, 2, 3});
   CHECK(three.mean == Approx(2));
   CHECK(three.half_width == Approx(4.302653 / std::sqrt(3.0)));
@@ -51,7 +53,7 @@
   CHECK_THROWS_AS(paired_difference({1}, {1, 2}), ExperimentError);
 }
 
-TEST_CASE("an axis is a key with values, and a list is one value") {
+TEST_CASE("an axis has a key and values, and a list in brackets is one value") {
   const GridAxis axis = parse_axis("day.load=[0.3,0.4],0.5");
   CHECK(axis.key == "day.load");
   CHECK(axis.values == std::vector<std::string>{"[0.3,0.4]", "0.5"});
@@ -60,7 +62,8 @@
   }
 }
 
-TEST_CASE("a grid has each value with each policy, and a bad key is reported before anything is played") {
+TEST_CASE(
+    "a grid combines each value with each policy, and invalid keys are reported before any day is run") {
   Plan plan = small_plan();
   const auto cells = cells_of(plan);
   REQUIRE(cells.size() == 4);
@@ -73,7 +76,7 @@
   plan.axes = {{"class.9.share", {"1"}}, {"fleet.boxes", {"0"}}, {"fleet.boxen", {"3"}}};
   try {
     cells_of(plan);
-    FAIL("taken");
+    FAIL("the invalid keys were accepted");
   } catch (const settings::InvalidFile& bad) {
     CHECK(std::string(bad.what()) ==
           "--set class.9.share: no such entry\n--set fleet.boxes: outside 1..100000\n--set fleet.boxen: no "
@@ -81,7 +84,7 @@
   }
 }
 
-TEST_CASE("a sweep goes on where it was stopped, and gives the same whatever the number of threads") {
+TEST_CASE("a sweep continues where it was stopped, and its results do not depend on the number of threads") {
   const Scratch scratch;
   Plan plan = small_plan();
   std::vector<std::vector<ResultRow>> all;
@@ -89,10 +92,10 @@
     Results results(scratch.path("r" + std::to_string(threads)));
     plan.threads = threads;
     plan.max_days = 2;
-    CHECK(played(plan, results) == 8);
+    CHECK(count_played_days(plan, results) == 8);
     plan.max_days = 3;
-    CHECK(played(plan, results) == 4);
-    CHECK(played(plan, results) == 0);
+    CHECK(count_played_days(plan, results) == 4);
+    CHECK(count_played_days(plan, results) == 0);
     std::vector<ResultRow> rows;
     for (const auto& cell : cells_of(plan)) {
       for (auto& row : results.rows_of(cell.key)) rows.push_back(row);
@@ -106,17 +109,17 @@
   }
 }
 
-TEST_CASE("a cell that is sure enough is not played further") {
+TEST_CASE("no more days of a cell are run once its score is precise enough") {
   const Scratch scratch;
   Results results(scratch.path("r"));
   Plan plan = small_plan();
   plan.max_days = 10;
-  plan.target_half_width = 5;  // any two days are that sure
+  plan.target_half_width = 5;  // wide enough for any two days
   plan.min_days = 3;
-  CHECK(played(plan, results) == 4 * 3);
+  CHECK(count_played_days(plan, results) == 4 * 3);
 }
 
-TEST_CASE("a results file that is none, or is of a newer version, is refused with one line") {
+TEST_CASE("a file that is not a results file, or was written by a newer version, is rejected") {
   const Scratch scratch;
   std::ofstream(scratch.path("text")) << std::string(4000, 'x');
   CHECK_THROWS_WITH(Results(scratch.path("text")), Catch::Contains("not a database"));
@@ -128,10 +131,12 @@
   CHECK_THROWS_AS(Results(scratch.path("no/folder")), ExperimentError);
 }
 
-TEST_CASE("a report holds each cell, a curve for each setting, and nothing from elsewhere") {
+TEST_CASE(
+    "a report contains a plot for each setting and plots of single days, and refers to nothing outside "
+    "itself") {
   const Scratch scratch;
   Results results(scratch.path("r"));
-  played(small_plan(), results);
+  count_played_days(small_plan(), results);
   const std::string page = write_report("a < b", results.all_rows());
   CHECK(page.find("a &lt; b") != std::string::npos);
   CHECK(page.find("score by fleet.boxes") != std::string::npos);
@@ -142,7 +147,7 @@
   CHECK(page.find("nan") == std::string::npos);
 }
 
-TEST_CASE("a plot draws what can be drawn") {
+TEST_CASE("a plot omits points that its scales cannot show") {
   Plot plot{"t",
             "x",
             "y",
@@ -156,9 +161,7 @@
         std::string::npos);
 }
 
-// ---------------------------------------------------------------- theory
-
-TEST_CASE("moments of Bounded Pareto sizes are those of a sum over small steps") {
+TEST_CASE("moments of Bounded Pareto sizes agree with a numerical integral") {
   for (const double alpha : {0.9, 1.0, 1.5, 2.0}) {
     const BoundedPareto sizes{alpha, 2, 1e4};
     for (const double power : {-1.0, 0.0, 1.0, 2.0}) {
@@ -179,7 +182,7 @@
   CHECK_THROWS_AS(bounded_pareto_with_mean(1.3, 1000, 3000), ExperimentError);
 }
 
-TEST_CASE("hosts under SITA-E have equal work, and one host is one host under either policy") {
+TEST_CASE("hosts under SITA-E have equal work, and a single host has the same slowdown under both policies") {
   const BoundedPareto sizes = bounded_pareto_with_mean(1.4, 1e8, 3000);
   const auto edges = equal_work_edges(sizes, 8);
   for (std::size_t i = 0; i < 8; ++i) CHECK(sizes.moment(1, edges[i], edges[i + 1]) == Approx(3000.0 / 8));
@@ -189,7 +192,8 @@
   CHECK(observable_share(sizes, 1e4) < 0.2);
 }
 
-// Sizes whose second moment a short run sees; seeds are fixed, and so is the verdict.
+// The sizes are chosen so that a short run observes their second moment. The seeds are fixed, so that the
+// result is, too.
 TEST_CASE("the emulator agrees with the closed forms of M/G/1 hosts") {
   TheoryPlan plan;
   plan.alphas = {1.1, 1.9};
--- a/tests/emulator/histogram.cpp
+++ b/tests/emulator/histogram.cpp
@@ -7,7 +7,7 @@
 
 using namespace thornwick::emulator;
 
-TEST_CASE("every percentile is within the stated error of the exact one") {
+TEST_CASE("every quantile is within Histogram::kError of the exact one") {
   CHECK(rc::check([] {
     auto values = *rc::gen::nonEmpty(rc::gen::container<std::vector<std::int64_t>>(
         rc::gen::map(rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange<std::int64_t>(0, 1000)),
@@ -18,10 +18,10 @@
     histogram.add(half);
     std::sort(values.begin(), values.end());
     RC_ASSERT(histogram.total() == values.size());
-    for (const double part : {0.01, 0.5, 0.9, 0.99, 1.0}) {
-      const auto at = static_cast<std::size_t>(std::ceil(part * static_cast<double>(values.size()))) - 1;
+    for (const double fraction : {0.01, 0.5, 0.9, 0.99, 1.0}) {
+      const auto at = static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(values.size()))) - 1;
       const auto exact = static_cast<double>(values[at]);
-      RC_ASSERT(std::abs(histogram.quantile(part) - exact) <= Histogram::kError * exact);
+      RC_ASSERT(std::abs(histogram.quantile(fraction) - exact) <= Histogram::kError * exact);
     }
   }));
 }
--- a/tests/emulator/replicas.cpp
+++ b/tests/emulator/replicas.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Round metrics: a step takes 10 ms, and a thousand tokens are read in another 10.
+// Returns limits with round numbers: a step takes 10 ms, and reading 1,000 tokens takes another 10 ms.
 ModelLimits round_limits() {
   ModelLimits limits;
   limits.slots = 4;
@@ -26,26 +26,28 @@
   return limits;
 }
 
-struct Played {
-  std::map<Job, Time> began;
-  std::map<Job, Time> done;
+// Times, in microseconds, and token counts of the jobs of an engine.
+struct JobResults {
+  std::map<Job, Time> first_token_at;
+  std::map<Job, Time> completed_at;
   std::map<Job, double> cached;
   std::map<Job, double> generated;
 };
 
-void play(Engine& engine, Played& played, Time until) {
+// Runs the engine until there is no event up to `until`, and adds the reports to `results`.
+void run_until(Engine& engine, JobResults& results, Time until) {
   std::vector<Report> reports;
   while (engine.next_event_at() <= until) {
     const Time at = engine.next_event_at();
     engine.advance(at, reports);
     for (const auto& report : reports) {
       if (report.kind == ReportKind::first_token) {
-        played.began[report.job] = at;
-        played.cached[report.job] = report.cached;
+        results.first_token_at[report.job] = at;
+        results.cached[report.job] = report.cached;
       }
       if (report.kind == ReportKind::completed) {
-        played.done[report.job] = at;
-        played.generated[report.job] = report.generated;
+        results.completed_at[report.job] = at;
+        results.generated[report.job] = report.generated;
       }
     }
     reports.clear();
@@ -60,101 +62,102 @@
 
 TEST_CASE("a prompt is read in chunks, and its first token comes with the last of them") {
   const auto replica = make_model_replica(round_limits(), 1);
-  Played played;
+  JobResults results;
   REQUIRE(replica->offer(0, work(1, 2500, 3)));
-  play(*replica, played, 1'000'000);
-  CHECK(played.began[1] == 20'000 + 20'000 + 15'000);
-  CHECK(played.done[1] == played.began[1] + 2 * 10'000);
+  run_until(*replica, results, 1'000'000);
+  CHECK(results.first_token_at[1] == 20'000 + 20'000 + 15'000);
+  CHECK(results.completed_at[1] == results.first_token_at[1] + 2 * 10'000);
   CHECK(replica->load().running == 0);
 }
 
-TEST_CASE("a run of steps ends for a new request at the end of the current step") {
+TEST_CASE("a new request is admitted at the end of the current step") {
   const auto replica = make_model_replica(round_limits(), 1);
-  Played played;
+  JobResults results;
   replica->offer(0, work(1, 100, 101));
-  play(*replica, played, 11'000);
-  REQUIRE(played.began[1] == 11'000);
+  run_until(*replica, results, 11'000);
+  REQUIRE(results.first_token_at[1] == 11'000);
   replica->offer(24'000, work(2, 500, 1));  // within the step from 21 to 31 ms
-  play(*replica, played, 2'000'000);
-  CHECK(played.began[2] == 31'000 + 15'000);
-  // 101 tokens: one with the reading, then steps of 10 ms, one of them 5 ms longer for the newcomer's
-  // reading.
-  CHECK(played.done[1] == 11'000 + 100 * 10'000 + 5'000);
+  run_until(*replica, results, 2'000'000);
+  CHECK(results.first_token_at[2] == 31'000 + 15'000);
+  // The first of 101 tokens comes with the prompt's last step. Each of the others takes a step of 10 ms, one
+  // of which is 5 ms longer because it reads the second request's prompt.
+  CHECK(results.completed_at[1] == 11'000 + 100 * 10'000 + 5'000);
 }
 
-TEST_CASE("steps grow with contexts, in one event as in many") {
+TEST_CASE("steps become longer as contexts grow, whether they are run in one event or in many") {
   ModelLimits limits = round_limits();
   limits.per_sequence_us = 100;
   limits.context_us_per_k = 1000;
   const auto whole = make_model_replica(limits, 2);
   const auto cut = make_model_replica(limits, 2);
-  Played a;
-  Played b;
+  JobResults one_event;
+  JobResults many_events;
   whole->offer(0, work(1, 1000, 500));
   cut->offer(0, work(1, 1000, 500));
-  play(*whole, a, 100'000'000);
+  run_until(*whole, one_event, 100'000'000);
   for (Time at = milliseconds(1); at < 10'000'000; at += 13'000) {
-    play(*cut, b, at);
-    cut->set_speed_factor(at, 1);  // ends the run, changes nothing
+    run_until(*cut, many_events, at);
+    cut->set_speed_factor(at, 1);  // ends the run of steps and changes nothing else
   }
-  play(*cut, b, 100'000'000);
-  CHECK(std::abs(a.done[1] - b.done[1]) <= 500);  // each event is rounded to a microsecond
+  run_until(*cut, many_events, 100'000'000);
+  CHECK(std::abs(one_event.completed_at[1] - many_events.completed_at[1]) <=
+        500);  // each event is rounded to a microsecond
 }
 
-TEST_CASE("slots and queue are bounded, and work beyond them is rejected") {
+TEST_CASE("work is rejected when all slots are in use and the queue is full") {
   const auto replica = make_model_replica(round_limits(), 1);
-  int taken = 0;
-  for (Job job = 1; job <= 9; ++job) taken += replica->offer(0, work(job, 100, 10));
-  CHECK(taken == 4 + 2);
+  int accepted = 0;
+  for (Job job = 1; job <= 9; ++job) accepted += replica->offer(0, work(job, 100, 10));
+  CHECK(accepted == 4 + 2);
 }
 
-TEST_CASE("a session's next prompt is read from the end of the cached one") {
+TEST_CASE("only the part of a session's next prompt that is not cached is read") {
   const auto replica = make_model_replica(round_limits(), 1);
-  Played played;
+  JobResults results;
   replica->offer(0, work(1, 2000, 10, 77));
-  play(*replica, played, 1'000'000);
+  run_until(*replica, results, 1'000'000);
   replica->offer(1'000'000, work(2, 2500, 10, 77));
-  play(*replica, played, 2'000'000);
-  CHECK(played.cached[2] == 2010);  // prompt and answer
-  CHECK(played.began[2] == 1'000'000 + 10'000 + 4'900);
+  run_until(*replica, results, 2'000'000);
+  CHECK(results.cached[2] == 2010);  // tokens of the prompt and of the answer
+  CHECK(results.first_token_at[2] == 1'000'000 + 10'000 + 4'900);
   replica->evict_cached(1);
   replica->offer(2'000'000, work(3, 3000, 10, 77));
-  play(*replica, played, 3'000'000);
-  CHECK(played.cached[3] == 0);
+  run_until(*replica, results, 3'000'000);
+  CHECK(results.cached[3] == 0);
 }
 
 TEST_CASE("cached prompts are evicted when memory is needed, the least recently used first") {
   const auto replica = make_model_replica(round_limits(), 1);
-  Played played;
+  JobResults results;
   Time at = 0;
   for (Job job = 1; job <= 5; ++job) {
     replica->offer(at, work(job, 4990, 10, 100 + job));
-    play(*replica, played, at += 1'000'000);
+    run_until(*replica, results, at += 1'000'000);
   }
   CHECK(replica->load().cached_tokens <= 20'000);
   replica->offer(at, work(6, 5500, 10, 101));
-  play(*replica, played, at += 1'000'000);
-  CHECK(played.cached[6] == 0);
+  run_until(*replica, results, at += 1'000'000);
+  CHECK(results.cached[6] == 0);
   replica->offer(at, work(7, 5500, 10, 105));
-  play(*replica, played, at += 1'000'000);
-  CHECK(played.cached[7] == 5000);
+  run_until(*replica, results, at += 1'000'000);
+  CHECK(results.cached[7] == 5000);
 }
 
-TEST_CASE("when running contexts outgrow the memory the newest is preempted, and still completes") {
+TEST_CASE("when running contexts exceed the memory the newest request is preempted, and completes later") {
   ModelLimits limits = round_limits();
   limits.memory_tokens = 3000;
   const auto replica = make_model_replica(limits, 1);
-  Played played;
+  JobResults results;
   replica->offer(0, work(1, 1000, 900));
   replica->offer(0, work(2, 1000, 900));
-  play(*replica, played, 60'000'000);
-  CHECK(played.generated[1] == 900);
-  CHECK(played.generated[2] == 900);
-  CHECK(played.done[2] > played.done[1] + 1'000'000);
+  run_until(*replica, results, 60'000'000);
+  CHECK(results.generated[1] == 900);
+  CHECK(results.generated[2] == 900);
+  CHECK(results.completed_at[2] > results.completed_at[1] + 1'000'000);
 }
 
-// Each accepted request completes once, with all its tokens, and the replica is empty afterwards.
-TEST_CASE("every request that a replica accepts completes once, whatever arrives when") {
+// Each accepted request completes once with all its tokens, and no request remains in the replica.
+TEST_CASE("every request that a replica accepts completes once, for random arrivals") {
   CHECK(rc::check([] {
     ModelLimits limits = round_limits();
     limits.memory_tokens = *rc::gen::inRange(3000, 30'000);
@@ -162,24 +165,24 @@
     limits.per_sequence_us = *rc::gen::inRange(0, 500);
     limits.context_us_per_k = *rc::gen::inRange(0, 500);
     const auto replica = make_model_replica(limits, 1);
-    Played played;
-    double asked = 0;
-    std::size_t taken = 0;
+    JobResults results;
+    double requested_tokens = 0;
+    std::size_t accepted = 0;
     Time at = 0;
     const int count = *rc::gen::inRange(1, 40);
     for (int i = 1; i <= count; ++i) {
       at += *rc::gen::inRange(0, 100'000);
-      play(*replica, played, at);
+      run_until(*replica, results, at);
       if (*rc::gen::inRange(0, 8) == 0) replica->set_speed_factor(at, 0.5 + 0.1 * *rc::gen::inRange(0, 10));
       const Work offered = work(static_cast<Job>(i), *rc::gen::inRange(1, 2500), *rc::gen::inRange(1, 300),
                                 *rc::gen::inRange<std::uint64_t>(0, 5));
       if (!replica->offer(at, offered)) continue;
-      ++taken;
-      asked += offered.generated;
+      ++accepted;
+      requested_tokens += offered.generated;
     }
-    play(*replica, played, at + 10'000'000'000);
-    RC_ASSERT(played.done.size() == taken);
-    RC_ASSERT(replica->load().completed_tokens == asked);
+    run_until(*replica, results, at + 10'000'000'000);
+    RC_ASSERT(results.completed_at.size() == accepted);
+    RC_ASSERT(replica->load().completed_tokens == requested_tokens);
     RC_ASSERT(replica->load().running + replica->load().waiting == 0u);
     RC_ASSERT(replica->load().context_tokens == 0.0);
     RC_ASSERT(std::abs(replica->load().unread_tokens) < 1e-6);
@@ -187,14 +190,14 @@
   }));
 }
 
-TEST_CASE("a plain queue serves one after the other, and a change of pace takes effect at once") {
+TEST_CASE("a plain queue serves one request after the other, and a change of speed takes effect at once") {
   const auto replica = make_queue_replica(2);
-  Played played;
+  JobResults results;
   replica->offer(0, {.job = 1, .generated = 1, .size = 1000});
   replica->offer(100, {.job = 2, .generated = 1, .size = 1000});
-  play(*replica, played, 500);
-  CHECK(played.done[1] == 500);
-  replica->set_speed_factor(750, 0.5);  // half of it is done
-  play(*replica, played, 10'000);
-  CHECK(played.done[2] == 1250);
+  run_until(*replica, results, 500);
+  CHECK(results.completed_at[1] == 500);
+  replica->set_speed_factor(750, 0.5);  // half of the second request is done
+  run_until(*replica, results, 10'000);
+  CHECK(results.completed_at[2] == 1250);
 }
--- a/tests/emulator/result_json.cpp
+++ b/tests/emulator/result_json.cpp
@@ -1,4 +1,4 @@
-// The JSON object of a day with many kinds of faults: its keys, and its integer values on a fixed seed.
+// The JSON object of a day with many kinds of faults: the keys, and the integer values on a fixed seed.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -43,7 +43,7 @@
   return text;
 }
 
-// Every integer of an object, in the order of its keys.
+// Returns every integer of an object, in the order of the keys.
 std::string integers(const Json& object) {
   std::string text;
   for (const auto& [key, value] : object.items()) {
