--- a/bench/affinity.cpp
+++ b/bench/affinity.cpp
@@ -1,6 +1,6 @@
-// The affinity tables against the naive baseline policy (std::unordered_map and a std::list) in one run: cost
-// of a look-up and of an update, the longest single call, memory of an entry, and which eviction keeps what
-// is asked again.
+// Benchmarks of the affinity tables against a naive map (std::unordered_map and std::list) in one run: the
+// cost of a look-up and of an update, the longest single call, the memory of an entry, and the hit rates of
+// the eviction policies.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -20,10 +20,10 @@
 
 namespace {
 
-// What one writes in an hour: exact LRU, grows and rehashes as the library likes.
-class Naive {
+// A simple map with exact LRU eviction, which grows and rehashes as the standard library does.
+class StandardLibraryMap {
  public:
-  explicit Naive(std::size_t capacity) : capacity_(capacity) {}
+  explicit StandardLibraryMap(std::size_t capacity) : capacity_(capacity) {}
   Session* use(std::uint64_t key) {
     const auto found = map_.find(key);
     if (found == map_.end()) return nullptr;
@@ -47,9 +47,9 @@
   std::unordered_map<std::uint64_t, std::list<std::pair<std::uint64_t, Session>>::iterator> map_;
 };
 
-class Ours {
+class AffinityMap {
  public:
-  explicit Ours(std::size_t capacity) : map_(capacity, Eviction::segmented, 99) {}
+  explicit AffinityMap(std::size_t capacity) : map_(capacity, Eviction::segmented, 99) {}
   Session* use(std::uint64_t key) { return map_.use(key); }
   Session& put(std::uint64_t key) { return map_.put(key); }
 
@@ -70,12 +70,12 @@
   for (std::uint64_t key = 0; key < entries; ++key) map->put(key * 0x9e3779b97f4a7c15ULL).cached_size = 1;
   state.counters["bytes_per_entry"] =
       static_cast<double>(heap_in_use() - before) / static_cast<double>(entries);
-  boost::random::mt19937_64 dice(1);
+  boost::random::mt19937_64 random(1);
   boost::random::uniform_int_distribution<std::uint64_t> any(0, entries - 1);
-  for (auto _ : state) benchmark::DoNotOptimize(map->use(any(dice) * 0x9e3779b97f4a7c15ULL));
+  for (auto _ : state) benchmark::DoNotOptimize(map->use(any(random) * 0x9e3779b97f4a7c15ULL));
 }
 
-// Newcomers only: each update evicts another entry.
+// Measures updates with new keys only, so that each update evicts an entry.
 template <typename Map>
 void churn(benchmark::State& state) {
   const auto entries = static_cast<std::uint64_t>(state.range(0));
@@ -85,10 +85,10 @@
   for (auto _ : state) benchmark::DoNotOptimize(&map.put(++key * 0x9e3779b97f4a7c15ULL));
 }
 
-// The longest single call while a table fills from empty to twice its size, with whatever growing that means.
-// The machine takes the core away now and then; a pause of the table's own comes back at the same call of the
-// same sequence. So the sequence is played five times, and what counts of each call is the shortest that it
-// took.
+// Measures the longest single call while a table gets twice as many keys as it has entries, including the
+// pauses in which the table grows. The operating system sometimes preempts the benchmark, but a pause that
+// the table causes recurs at the same call of the same sequence. So the sequence is run five times, and the
+// shortest duration of each call counts.
 template <typename Map>
 void longest_pause(benchmark::State& state) {
   const auto entries = static_cast<std::uint64_t>(state.range(0));
@@ -112,7 +112,7 @@
   }
 }
 
-// A whole request: what is recalled, the first token, the tally, the sweep.
+// Measures all calls of one request: finding the hint, the start of the answer, and its completion.
 void whole_request(benchmark::State& state) {
   const auto sessions = static_cast<std::uint64_t>(state.range(0));
   const auto replicas = static_cast<ReplicaId>(state.range(1));
@@ -122,11 +122,11 @@
   for (ReplicaId id = 1; id <= replicas; ++id) entries.push_back({.id = id});
   Time now = 1'000'000'000;
   affinity_table.on_endpoints(EndpointUpdate::full, entries);
-  boost::random::mt19937_64 dice(1);
+  boost::random::mt19937_64 random(1);
   boost::random::uniform_int_distribution<std::uint64_t> any(1, sessions);
   for (auto _ : state) {
     Request request;
-    request.session = any(dice);
+    request.session = any(random);
     request.prefix = 1 + request.session % 200;
     request.prompt_tokens = 5000;
     request.prefix_tokens = 4000;
@@ -134,57 +134,66 @@
     const CacheHint cache_hint = affinity_table.find_hint(now, request);
     const ReplicaId replica =
         cache_hint.has_replica ? cache_hint.replica : static_cast<ReplicaId>(1 + request.session % replicas);
-    const auto was = affinity_table.on_answer_started(now, request, replica);
-    affinity_table.on_answer_complete(now += 100, request, replica, was, was.tokens, 50);
+    const auto observed = affinity_table.on_answer_started(now, request, replica);
+    affinity_table.on_answer_complete(now += 100, request, replica, observed, observed.tokens, 50);
   }
 }
 
-// Sessions of several turns among many that come once, and beginnings of very different heat: what a table
-// that holds a tenth, a fifth or half of the open sessions still finds.
+// Measures which fraction of the look-ups a table finds that holds a tenth, a fifth or half of the open
+// sessions. Sessions of several turns are mixed with sessions of a single turn.
 void eviction(benchmark::State& state) {
   const auto kind = static_cast<Eviction>(state.range(0));
   const auto capacity = static_cast<std::size_t>(state.range(1));
   for (auto _ : state) {
-    boost::random::mt19937_64 dice(8);
+    boost::random::mt19937_64 random(8);
     boost::random::exponential_distribution<> pause(1.0);
     BoundedMap<int> map(capacity, kind, 3);
-    using Turn = std::pair<double, std::pair<std::uint64_t, int>>;  // when, who, turns left
+    using Turn = std::pair<double, std::pair<std::uint64_t, int>>;  // time, key, remaining turns
     std::priority_queue<Turn, std::vector<Turn>, std::greater<>> due;
-    std::uint64_t last = 0, asked = 0, found = 0;
-    for (int i = 0; i < 10'000; ++i) due.push({pause(dice) * 10, {++last, 1 + static_cast<int>(dice() % 6)}});
+    std::uint64_t last_key = 0, look_ups = 0, found = 0;
+    for (int i = 0; i < 10'000; ++i)
+      due.push({pause(random) * 10, {++last_key, 1 + static_cast<int>(random() % 6)}});
     for (int i = 0; i < 400'000; ++i) {
-      const auto [when, who] = due.top();
+      const auto [when, session] = due.top();
       due.pop();
-      if (map.use(who.first) != nullptr) {
+      if (map.use(session.first) != nullptr) {
         ++found;
       } else {
-        map.put(who.first);
+        map.put(session.first);
       }
-      ++asked;
-      // A third of the sessions end after one turn, as `complete` does; others go on for some.
-      if (who.second > 1) {
-        due.push({when + 2 + pause(dice) * 10, {who.first, who.second - 1}});
+      ++look_ups;
+      // A third of the sessions end after one turn. The others have two to six turns.
+      if (session.second > 1) {
+        due.push({when + 2 + pause(random) * 10, {session.first, session.second - 1}});
       } else {
-        const int turns = dice() % 3 == 0 ? 1 : 2 + static_cast<int>(dice() % 5);
-        due.push({when + pause(dice) * 10, {++last, turns}});
+        const int turns = random() % 3 == 0 ? 1 : 2 + static_cast<int>(random() % 5);
+        due.push({when + pause(random) * 10, {++last_key, turns}});
       }
     }
-    state.counters["found_share"] = static_cast<double>(found) / static_cast<double>(asked);
+    state.counters["found_share"] = static_cast<double>(found) / static_cast<double>(look_ups);
   }
 }
 
 }  // namespace
 
-BENCHMARK(fill_and_use<Ours>)->Name("look-up/ours")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
-BENCHMARK(fill_and_use<Naive>)->Name("look-up/unordered_map+list")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
-BENCHMARK(churn<Ours>)->Name("update/ours")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
-BENCHMARK(churn<Naive>)->Name("update/unordered_map+list")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
-BENCHMARK(longest_pause<Ours>)
+BENCHMARK(fill_and_use<AffinityMap>)->Name("look-up/ours")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
+BENCHMARK(fill_and_use<StandardLibraryMap>)
+    ->Name("look-up/unordered_map+list")
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Arg(1'000'000);
+BENCHMARK(churn<AffinityMap>)->Name("update/ours")->Arg(10'000)->Arg(100'000)->Arg(1'000'000);
+BENCHMARK(churn<StandardLibraryMap>)
+    ->Name("update/unordered_map+list")
+    ->Arg(10'000)
+    ->Arg(100'000)
+    ->Arg(1'000'000);
+BENCHMARK(longest_pause<AffinityMap>)
     ->Name("pause/ours")
     ->Arg(1'000'000)
     ->Iterations(1)
     ->Unit(benchmark::kMillisecond);
-BENCHMARK(longest_pause<Naive>)
+BENCHMARK(longest_pause<StandardLibraryMap>)
     ->Name("pause/unordered_map+list")
     ->Arg(1'000'000)
     ->Iterations(1)
--- a/bench/budgets.cpp
+++ b/bench/budgets.cpp
@@ -1,5 +1,5 @@
-// Budgets, fair shares and pools: what one admission costs, against counters in a map as one would write them
-// first, and what a layer of pools adds to the module.
+// Benchmarks of budgets, fair shares and pools: the cost of one admission, compared with simple counters in a
+// map, and the cost that pools add to the routing policy.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -23,11 +23,11 @@
   return options;
 }
 
-double bytes_held() { return static_cast<double>(mallinfo2().uordblks); }
+double allocated_bytes() { return static_cast<double>(mallinfo2().uordblks); }
 
 void admission(benchmark::State& state) {
   const auto members = static_cast<std::size_t>(state.range(0));
-  const double before = bytes_held();
+  const double before = allocated_bytes();
   budgets::Accounts accounts(limits(members));
   budgets::FairShare fair({});
   Time now = kStart;
@@ -35,7 +35,7 @@
     accounts.settle(accounts.reserve({static_cast<std::uint16_t>(i), 0, 0}, 1, now).id, 1, now);
     fair.admit(now, static_cast<std::uint16_t>(i), 1);
   }
-  const double held = bytes_held() - before;
+  const double bytes = allocated_bytes() - before;
   std::uint64_t at = 0;
   for (auto _ : state) {
     now += 50;
@@ -44,38 +44,39 @@
     const auto grant = accounts.reserve({member, 0, 0}, 500'000, now);
     accounts.settle(grant.id, 300'000, now);
   }
-  state.counters["bytes_per_member"] = held / static_cast<double>(members);
+  state.counters["bytes_per_member"] = bytes / static_cast<double>(members);
 }
 BENCHMARK(admission)->Arg(3)->Arg(300)->Arg(30'000);
 
-// Two windows for each member by name, and shares over the last second by a walk over all members.
+// A simple alternative to compare with: two windows for each member by name, and shares of recent use that
+// are computed by visiting all members.
 void admission_rival(benchmark::State& state) {
   const auto members = static_cast<std::size_t>(state.range(0));
-  const double before = bytes_held();
+  const double before = allocated_bytes();
   struct Used {
     std::int64_t second = 0, day = 0;
     Time second_at = 0, day_at = 0;
-    double lately = 0;
+    double recent_use = 0;
   };
   std::map<std::string, Used> all;
   std::vector<std::string> names = limits(members).members;
   for (const auto& name : names) all[name];
-  const double held = bytes_held() - before;
+  const double bytes = allocated_bytes() - before;
   Time now = kStart;
   std::uint64_t at = 0;
   for (auto _ : state) {
     now += 50;
     const std::string& name = names[++at * 7919 % members];
     double sum = 0;
-    for (auto& [other, used] : all) sum += used.lately *= 0.999;
+    for (auto& [other, used] : all) sum += used.recent_use *= 0.999;
     Used& used = all[name];
     if (now / 1'000'000 != used.second_at) used.second = 0, used.second_at = now / 1'000'000;
     if (now / 86'400'000'000 != used.day_at) used.day = 0, used.day_at = now / 86'400'000'000;
-    used.second += 500'000, used.day += 500'000, used.lately += 500;
-    benchmark::DoNotOptimize(used.lately < sum);
+    used.second += 500'000, used.day += 500'000, used.recent_use += 500;
+    benchmark::DoNotOptimize(used.recent_use < sum);
     used.second -= 200'000, used.day -= 200'000;
   }
-  state.counters["bytes_per_member"] = held / static_cast<double>(members);
+  state.counters["bytes_per_member"] = bytes / static_cast<double>(members);
 }
 BENCHMARK(admission_rival)->Arg(3)->Arg(300)->Arg(30'000);
 
@@ -87,7 +88,7 @@
   return s;
 }
 
-// One request from its coming to its end, 12 replicas for each model.
+// Measures one request from its arrival to its end, with 12 replicas for each model.
 void one_request(benchmark::State& state, core::Decider& decider, std::size_t models) {
   Time now = kStart;
   RequestId id = 0;
@@ -145,10 +146,10 @@
   options.make_decider = [&](const Settings& s, Time now, models::ModelId) -> std::unique_ptr<core::Decider> {
     return std::make_unique<budgets::AdmissionController>(core::make_routing_policy(s, now), quota_service);
   };
-  const double before = bytes_held();
+  const double before = allocated_bytes();
   models::Pools decider(options, kStart);
   decider.on_endpoints(kStart, EndpointUpdate::full, replicas(12 * models));
-  state.counters["bytes_per_model"] = (bytes_held() - before) / static_cast<double>(models);
+  state.counters["bytes_per_model"] = (allocated_bytes() - before) / static_cast<double>(models);
   decider.take_actions();
   one_request(state, decider, models);
 }
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -1,5 +1,5 @@
-// The store: how long a start with a million entries takes, and how long the loop stands still at most while
-// the disk takes half a second for each write.
+// Benchmarks of the store: the duration of a start with a million entries, and the longest time for which the
+// event loop blocks while the disk takes half a second for each write.
 #include <benchmark/benchmark.h>
 #include <unistd.h>
 
@@ -18,12 +18,12 @@
 struct Folder {
   Folder() {
     std::string name = (std::filesystem::temp_directory_path() / "thornwick-bench-XXXXXX").string();
-    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
+    if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("cannot create the folder " + name);
     path = name;
   }
   ~Folder() {
-    std::error_code none;
-    std::filesystem::remove_all(path, none);
+    std::error_code ignored;
+    std::filesystem::remove_all(path, ignored);
   }
   std::filesystem::path path;
 };
@@ -74,7 +74,8 @@
   }
 }
 
-// A loop that takes a change every 100 us for 5 s, with a disk that takes 500 ms for each write.
+// Measures the stalls of a loop that stores a change every 100 us for 5 s, with a disk that takes 500 ms for
+// each write.
 void slow_disk(benchmark::State& state) {
   const Folder folder;
   store::File file({.path = (folder.path / "s").string(), .megabytes = 256}, persistence::state_tables());
--- a/examples/route_one.cpp
+++ b/examples/route_one.cpp
@@ -1,4 +1,4 @@
-// The smallest use of the library: three replicas, one request, one answer.
+// A minimal use of the library: three replicas, one request and one answer.
 #include <cstdio>
 
 #include "thornwick/routing_policy.hpp"
