--- a/src/emulator/day_simulation.cpp
+++ b/src/emulator/day_simulation.cpp
@@ -10,9 +10,9 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kSamples = 200;  // of each replica's load, at most
+constexpr double kSamples = 200;  // maximum number of samples of each replica's load
 constexpr double kMinSampleSeconds = 0.25;
-constexpr double kMaxWindows = 600;  // of the weights
+constexpr double kMaxWindows = 600;  // maximum number of windows in which weights are summed
 constexpr double kMinWindowSeconds = 10;
 constexpr double kMinFaultSeconds = 0.001;
 constexpr std::size_t kMaxZones = 1000;
@@ -21,6 +21,7 @@
 
 Time from_seconds(double seconds) { return static_cast<Time>(seconds * 1e6); }
 
+// Throws std::invalid_argument for an invalid scenario.
 void check(const Scenario& scenario) {
   const auto reject = [](const std::string& what) { throw std::invalid_argument("scenario: " + what); };
   if (scenario.routers == 0 || scenario.replicas == 0) reject("no router or no box");
@@ -33,7 +34,7 @@
     reject("no such policy: " + scenario.policy);
 }
 
-// The scenario itself, if it makes sense.
+// Returns the scenario if it is valid. Throws std::invalid_argument otherwise.
 const Scenario& checked(const Scenario& scenario) {
   check(scenario);
   return scenario;
@@ -41,18 +42,16 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- setup
-
 DaySimulation::DaySimulation(const Scenario& scenario, std::uint64_t seed, const DayOptions& options)
     : scenario_(checked(scenario)),
       seed_(seed),
       options_(options),
       day_end_(from_seconds(scenario.seconds)),
-      fleet_random_(seed, Concern::fleet),
-      client_random_(seed, Concern::clients),
-      replica_random_(seed, Concern::replicas),
-      peer_random_(seed, Concern::peers),
-      fault_random_(seed, Concern::faults),
+      fleet_random_(seed, StreamPurpose::fleet),
+      client_random_(seed, StreamPurpose::clients),
+      replica_random_(seed, StreamPurpose::replicas),
+      peer_random_(seed, StreamPurpose::peers),
+      fault_random_(seed, StreamPurpose::faults),
       network_(scenario, seed),
       discovery_(scenario, seed),
       result_(empty_result(scenario, seed)) {
@@ -71,7 +70,7 @@
   set_up_faults();
 }
 
-// All routers know of these replicas from the start.
+// Creates the replicas that discovery has registered from the start.
 void DaySimulation::set_up_fleet() {
   for (std::size_t i = 0; i < scenario_.replicas; ++i) create_replica();
   for (const auto& replica : replicas_) discovery_.add(endpoint_of(replica, EndpointState::ready));
@@ -101,8 +100,6 @@
   }
 }
 
-// ---------------------------------------------------------------- events
-
 void DaySimulation::schedule(Time at, EventType type, std::uint64_t subject, std::uint32_t index) {
   events_.schedule(std::max(at, now_), type, subject, index);
 }
@@ -121,7 +118,7 @@
     case EventType::attempt_completed: return on_completed(event.subject);
     case EventType::attempt_reset: return end_attempt(event.subject, Outcome::reset);
     case EventType::replica_timer: return on_replica_timer(event.index, event.subject);
-    case EventType::replica_warm_up: return set_pace(event.index);
+    case EventType::replica_warm_up: return set_replica_speed(event.index);
     case EventType::endpoint_change_registered: return on_change_registered(event.subject);
     case EventType::watch_event_delivered: return deliver_watch_event(event.subject, *routers_[event.index]);
     case EventType::endpoint_list_delivered:
@@ -138,7 +135,7 @@
 void DaySimulation::sample_load() {
   for (auto& replica : replicas_) {
     const EngineLoad load = replica.engine->load();
-    replica.result.held.push_back(static_cast<std::uint32_t>(load.running + load.waiting));
+    replica.result.request_counts.push_back(static_cast<std::uint32_t>(load.running + load.waiting));
   }
   const double next_s = static_cast<double>(now_) / 1e6 + result_.sample_s;
   if (next_s <= scenario_.seconds) schedule(from_seconds(next_s), EventType::load_sampled);
@@ -147,7 +144,7 @@
 void DaySimulation::play() {
   on_session_arrived();
   schedule(0, EventType::load_sampled);
-  const Time limit = from_seconds(scenario_.seconds + scenario_.end_s);
+  const Time limit = from_seconds(scenario_.seconds + scenario_.max_overtime_s);
   while (!events_.empty() && events_.next_time() <= limit) {
     const Event event = events_.pop();
     now_ = event.at;
@@ -179,19 +176,17 @@
     if (router->core) add_counts(*router);
   }
   requests_.for_each([&](Handle, const ClientRequest& request) {
-    if (request.request_id != 0 && request.first_at == 0) ++result_.violations.lost;
+    if (request.request_id != 0 && request.first_at == 0) ++result_.violations.unanswered_tries;
   });
   attempts_.for_each(
-      [&](Handle, const Attempt& attempt) { result_.totals.tokens_for_nobody += attempt.undelivered; });
+      [&](Handle, const Attempt& attempt) { result_.totals.discarded_tokens += attempt.undelivered; });
   for (auto& replica : replicas_) {
-    result_.totals.tokens_made += replica.engine->load().finished;
+    result_.totals.generated_tokens += replica.engine->load().completed_tokens;
     result_.fleet.push_back(std::move(replica.result));
   }
   set_score(result_);
 }
 
-// ---------------------------------------------------------------- days
-
 Result play_day(const Scenario& scenario, std::uint64_t seed, const DayOptions& options) {
   return std::make_unique<DaySimulation>(scenario, seed, options)->run();
 }
--- a/src/emulator/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -7,12 +7,13 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr double kRampPart = 0.1;  // of a burst's length, over which it rises, and falls again
-constexpr int kAgeingSteps = 10;   // until a replica has become as slow as the fault makes it
+constexpr double kRampFraction =
+    0.1;  // fraction of a burst's duration over which the rate rises, and over which it falls again
+constexpr int kAgeingSteps = 10;  // steps in which a replica reaches the slowness of the fault
 
 }  // namespace
 
-// The current multiple of the usual rate of sessions.
+// Returns the current multiple of the usual rate of sessions.
 double DaySimulation::rate_factor() const {
   double factor = 1;
   for (std::size_t i = 0; i < faults_.size(); ++i) {
@@ -21,7 +22,7 @@
     const auto length = static_cast<double>(fault.until - fault.from);
     const double since_start = static_cast<double>(now_ - fault.from) / length;
     const double until_end = static_cast<double>(fault.until - now_) / length;
-    factor *= 1 + (fault.size - 1) * std::clamp(std::min(since_start, until_end) / kRampPart, 0.0, 1.0);
+    factor *= 1 + (fault.size - 1) * std::clamp(std::min(since_start, until_end) / kRampFraction, 0.0, 1.0);
   }
   return factor;
 }
@@ -35,10 +36,10 @@
     case DayFaultKind::burst:
     case DayFaultKind::partition: return;
     case DayFaultKind::zone_lost: return lose_zone(drawn, fault.zone);
-    case DayFaultKind::slow: return scale_paces(1, fault.size);
+    case DayFaultKind::slow: return scale_speed_factors(1, fault.size);
     case DayFaultKind::ageing: return age_replica(index);
     case DayFaultKind::flush:
-      for (auto& replica : replicas_) replica.engine->void_cached(fault.size);
+      for (auto& replica : replicas_) replica.engine->evict_cached(fault.size);
       return;
     case DayFaultKind::replacement: fault.replica = 0; return replace_next_replica(index);
   }
@@ -59,10 +60,10 @@
   fault.active = false;
   switch (scenario_.faults[index].kind) {
     case DayFaultKind::zone_lost: return restore_zone(fault.zone);
-    case DayFaultKind::slow: return scale_paces(fault.size, 1);
+    case DayFaultKind::slow: return scale_speed_factors(fault.size, 1);
     case DayFaultKind::ageing:
-      replicas_[fault.replica].pace = 1;  // its process was restarted
-      return set_pace(fault.replica);
+      replicas_[fault.replica].speed_factor = 1;  // its process was restarted
+      return set_replica_speed(fault.replica);
     case DayFaultKind::burst:
     case DayFaultKind::flush:
     case DayFaultKind::replacement:
@@ -71,7 +72,7 @@
 }
 
 void DaySimulation::lose_zone(const DayFault& fault, std::uint16_t zone) {
-  const ReplicaLoss loss = fault.silent ? ReplicaLoss::unreachable : ReplicaLoss::process_died;
+  const ReplicaLoss loss = fault.unreachable ? ReplicaLoss::unreachable : ReplicaLoss::process_died;
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
     if (replicas_[i].zone == zone) lose_replica(i, loss);
   }
@@ -81,7 +82,7 @@
   }
 }
 
-// Its replicas, and every router that is lost.
+// Restores the replicas of a zone, and every lost router.
 void DaySimulation::restore_zone(std::uint16_t zone) {
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
     if (replicas_[i].zone == zone) restore_replica(i);
@@ -91,31 +92,31 @@
   }
 }
 
-void DaySimulation::scale_paces(double multiplier, double divisor) {
+void DaySimulation::scale_speed_factors(double multiplier, double divisor) {
   for (std::uint32_t i = 0; i < replicas_.size(); ++i) {
-    replicas_[i].pace = replicas_[i].pace * multiplier / divisor;
-    set_pace(i);
+    replicas_[i].speed_factor = replicas_[i].speed_factor * multiplier / divisor;
+    set_replica_speed(i);
   }
 }
 
-// One step on the way to its full slowness.
+// Slows a replica by one of kAgeingSteps steps, and schedules the next step.
 void DaySimulation::age_replica(std::uint32_t index) {
   const ActiveFault& fault = faults_[index];
-  replicas_[fault.replica].pace /= std::pow(fault.size, 1.0 / kAgeingSteps);
-  set_pace(fault.replica);
+  replicas_[fault.replica].speed_factor /= std::pow(fault.size, 1.0 / kAgeingSteps);
+  set_replica_speed(fault.replica);
   if (now_ >= fault.until) return;
   schedule(now_ + (fault.until - fault.from) / kAgeingSteps, EventType::fault_progressed, 0, index);
 }
 
-// The next replica drains and ends after a while, and another one starts in its place.
+// Lets the next replica drain and end, and starts another one in its place.
 void DaySimulation::replace_next_replica(std::uint32_t index) {
   const DayFault& drawn = scenario_.faults[index];
   std::uint32_t& next = faults_[index].replica;
   while (next < replicas_.size() && (!replicas_[next].up || replicas_[next].draining)) ++next;
   if (next >= scenario_.replicas) return;
   replicas_[next].draining = true;
-  announce(next, EndpointState::draining, discovery_.notice_s());
-  announce(next, EndpointState::removed, discovery_.notice_s() + scenario_.drain_s);
+  announce(next, EndpointState::draining, discovery_.removal_delay_s());
+  announce(next, EndpointState::removed, discovery_.removal_delay_s() + scenario_.drain_s);
   add_replica();
   ++next;
   const double interval_s = fault_random_.between(drawn.every_s.low, drawn.every_s.high);
--- a/src/emulator/replication_checks.cpp
+++ b/src/emulator/replication_checks.cpp
@@ -7,9 +7,10 @@
 namespace thornwick::emulator {
 namespace {
 
-constexpr std::uint64_t kMaxLag = 50;      // entries that a replica may lack
-constexpr double kSaturatingDemand = 1.2;  // above which clients use all that they can
-constexpr double kMinUsable = 0.8;         // of a limit
+constexpr std::uint64_t kMaxLag = 50;  // maximum number of committed entries that a replica may lack
+constexpr double kSaturatingDemand =
+    1.2;                            // multiple of the limits above which clients use all that is granted
+constexpr double kMinUsable = 0.8;  // fraction of a limit
 
 std::string check_members(const ReplicationCluster& cluster, const replication::LedgerReplica& leader,
                           std::size_t ledger) {
@@ -26,43 +27,44 @@
   return {};
 }
 
-// The books of one account have all that clients used.
+// Checks that an account contains all that clients used.
 template <typename LedgerAccount>
 std::string check_usage(const ReplicationClients& clients, const std::string& key,
                         const LedgerAccount& account) {
-  if (account.span == 0) return {};  // a bucket has no windows
-  for (const auto& [window, book] : account.windows) {
+  if (account.span == 0) return {};  // an account of kind bucket has no windows
+  for (const auto& [window, usage] : account.windows) {
     const auto used = clients.used(key, window);
-    if (book.charged + book.leased() < used) {
+    if (usage.charged + usage.leased() < used) {
       return fmt::format("{}, window {}: {} used, {} in the books", key, window, used,
-                         book.charged + book.leased());
+                         usage.charged + usage.leased());
     }
   }
   return {};
 }
 
-// The books have each confirmed correction once, and none that was not sent.
+// Checks that an account contains each confirmed correction once, and no correction that was not sent.
 template <typename LedgerAccount>
 std::string check_corrections(ReplicationCluster& cluster, const ReplicationClients& clients,
                               const LedgerAccount& account) {
   if (account.windows.empty()) return {};
   const auto units = -account.windows.begin()->second.correction_sum;
   const auto corrections = static_cast<std::size_t>(units / ReplicationClients::kCorrectionUnits);
-  if (corrections >= clients.confirmed().size() && corrections <= cluster.result().corrections) return {};
-  return fmt::format("{} corrections were confirmed, {} asked for, {} hold", clients.confirmed().size(),
-                     cluster.result().corrections, corrections);
+  if (corrections >= clients.confirmed_corrections().size() && corrections <= cluster.result().corrections)
+    return {};
+  return fmt::format("{} corrections were confirmed, {} asked for, {} hold",
+                     clients.confirmed_corrections().size(), cluster.result().corrections, corrections);
 }
 
-std::string check_books(ReplicationCluster& cluster, const ReplicationClients& clients,
-                        const replication::LedgerReplica& leader, std::size_t ledger) {
-  if (auto fault = leader.ledger().invariant_violation(); !fault.empty()) return fault;
+std::string check_accounts(ReplicationCluster& cluster, const ReplicationClients& clients,
+                           const replication::LedgerReplica& leader, std::size_t ledger) {
+  if (auto violation = leader.ledger().invariant_violation(); !violation.empty()) return violation;
   for (const auto& [key, account] : leader.ledger().accounts()) {
     if (auto violation = check_usage(clients, key, account); !violation.empty()) return violation;
     if (key != kCorrectedAccount) continue;
     if (auto violation = check_corrections(cluster, clients, account); !violation.empty()) return violation;
   }
   if (ledger != replication::ledger_of(kCorrectedAccount, cluster.options().ledgers)) return {};
-  for (const auto id : clients.confirmed()) {
+  for (const auto id : clients.confirmed_corrections()) {
     if (!leader.ledger().has_applied(id)) return "a confirmed correction is gone";
   }
   return {};
@@ -73,17 +75,18 @@
   if (!router) return fmt::format("ledger {} has no leader at the end", ledger);
   const auto& leader = *cluster.replica_at(*router, ledger);
   if (auto violation = check_members(cluster, leader, ledger); !violation.empty()) return violation;
-  return check_books(cluster, clients, leader, ledger);
+  return check_accounts(cluster, clients, leader, ledger);
 }
 
-std::string check_usable_part(ReplicationCluster& cluster, const ReplicationClients& clients,
-                              std::int64_t window) {
+std::string check_usable_fraction(ReplicationCluster& cluster, const ReplicationClients& clients,
+                                  std::int64_t window) {
   if (cluster.options().demand <= kSaturatingDemand) return {};
-  double& usable = cluster.result().usable;
+  double& usable_fraction = cluster.result().usable_fraction;
   for (const auto* key : {"minute|a", "minute|b"})
-    usable = std::min(usable, static_cast<double>(clients.used(key, window)) / kWindowLimit);
-  if (usable >= kMinUsable) return {};
-  return fmt::format("{:.2f} of a limit could be used in a window without faults", usable);
+    usable_fraction =
+        std::min(usable_fraction, static_cast<double>(clients.used(key, window)) / kWindowLimit);
+  if (usable_fraction >= kMinUsable) return {};
+  return fmt::format("{:.2f} of a limit could be used in a window without faults", usable_fraction);
 }
 
 }  // namespace
@@ -93,7 +96,7 @@
   for (std::size_t ledger = 0; ledger < cluster.options().ledgers; ++ledger) {
     if (auto violation = check_ledger(cluster, clients, ledger); !violation.empty()) return violation;
   }
-  return check_usable_part(cluster, clients, window);
+  return check_usable_fraction(cluster, clients, window);
 }
 
 }  // namespace thornwick::emulator
--- a/src/experiments/results.cpp
+++ b/src/experiments/results.cpp
@@ -13,7 +13,7 @@
     "scenario, settings, policy, seed, score, in_time, kept, shed, hops, module_us, requests_per_s, turns, "
     "rules, json";
 
-// The columns with a number, in the file's order.
+// The columns with floating-point numbers, in the order of the file's columns.
 constexpr double ResultRow::*kNumbers[] = {
     &ResultRow::score,          &ResultRow::in_time_share,     &ResultRow::cached_share,
     &ResultRow::rejected_share, &ResultRow::attempts_per_turn, &ResultRow::decision_us,
@@ -52,15 +52,15 @@
   row.point = point;
   row.seed = result.seed;
   row.score = result.score;
-  row.in_time_share = result.whole.share();
+  row.in_time_share = result.total_weight.share();
   row.cached_share = result.cached_share();
-  row.rejected_share = quotient(result.totals.rejected, result.totals.taken);
+  row.rejected_share = quotient(result.totals.rejected, result.totals.admitted);
   row.attempts_per_turn = quotient(result.attempts, result.turns);
   row.decision_us = kMicrosecondsPerSecond * quotient(result.module_s, result.turns);
   row.requests_per_s = quotient(result.turns, result.wall_s);
   row.turns = result.turns;
   row.rules_broken = result.violations.all();
-  if (detail == Detail::whole_result) row.json = emulator::to_json(result, emulator::Costs::left_out);
+  if (detail == Detail::whole_result) row.json = emulator::to_json(result, emulator::Costs::excluded);
   return row;
 }
 
--- a/src/experiments/theory.cpp
+++ b/src/experiments/theory.cpp
@@ -13,7 +13,8 @@
 namespace thornwick::experiments {
 namespace {
 
-// A size of 1 takes so long, so that the clock's steps of a microsecond don't show in small sizes.
+// Service time of a size of 1. The value is large, so that the clock's resolution of a microsecond does not
+// affect small sizes.
 constexpr double kMicrosecondsPerUnit = 100;
 constexpr double kUnlimitedS = 1e9;
 constexpr double kUnlimitedMs = 1e12;
@@ -21,8 +22,8 @@
 constexpr std::string_view kSitaE = "sita";
 constexpr std::string_view kPolicies[] = {kRandomSplitting, kSitaE};
 
-// Hosts that serve one request after the other, without connections, retries or anything else that theory
-// leaves out.
+// Returns a scenario of hosts that serve one request after the other, without limits of connections, retries
+// or anything else that the theory omits.
 emulator::Scenario hosts_scenario(const TheoryPlan& plan, const BoundedPareto& sizes, double load,
                                   std::string_view policy) {
   emulator::Scenario scenario;
@@ -33,14 +34,14 @@
   scenario.load = {load, load};
   scenario.seconds = plan.jobs * plan.mean_size * kMicrosecondsPerUnit / 1e6 / (load * plan.hosts);
   scenario.warm_up_s = 0;
-  scenario.end_s = kUnlimitedS;
-  scenario.same_ms = {0.001, 0.001};
+  scenario.max_overtime_s = kUnlimitedS;
+  scenario.same_zone_ms = {0.001, 0.001};
   scenario.jitter = 0;
   scenario.handshake_ms = 0;
-  scenario.idle_s = kUnlimitedS;
+  scenario.idle_timeout_s = kUnlimitedS;
   scenario.max_connections = 1'000'000'000;
   scenario.retries = 0;
-  scenario.try_share = 1;
+  scenario.try_timeout_fraction = 1;
   scenario.attempts = 1;
   scenario.cancel_probability = 0;
   scenario.hint_sigma = 0;
@@ -53,8 +54,8 @@
   jobs.deadline_ms = kUnlimitedMs;
   jobs.token_ms = kUnlimitedMs;
   jobs.alpha = sizes.alpha;
-  jobs.min_us = sizes.least * kMicrosecondsPerUnit;
-  jobs.max_us = sizes.most * kMicrosecondsPerUnit;
+  jobs.min_us = sizes.min_size * kMicrosecondsPerUnit;
+  jobs.max_us = sizes.max_size * kMicrosecondsPerUnit;
   jobs.mean_us = plan.mean_size * kMicrosecondsPerUnit;
   scenario.classes = {jobs};
   return scenario;
