--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -129,39 +129,39 @@
 
 inline void add_models(const models::Catalogue& catalogue, Fields& fields) {
   FieldWriter(fields, "models")
-      .add("adapters on box", catalogue.limits.adapters_per_replica)
+      .add("adapters on box", catalogue.limits.max_adapters_per_replica)
       .add("fallback part", catalogue.limits.fallback_fraction)
       .add("fallback burst", catalogue.limits.fallback_burst)
       .add("first part", catalogue.limits.initial_fallback_fraction)
-      .add("growth each second", catalogue.limits.growth_per_s);
+      .add("growth each second", catalogue.limits.fallback_growth_per_s);
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
     const models::Model& model = catalogue.models[i];
     FieldWriter(fields, numbered("model", i))
         .add("name", model.name)
-        .add("base", model.base)
-        .add("any name", model.any_name)
-        .add("context", model.context)
-        .add("most answer", model.most_answer)
-        .add("loading", model.loading)
+        .add("base", model.base_model)
+        .add("any name", model.accepts_any_name)
+        .add("context", model.context_tokens)
+        .add("most answer", model.max_answer_tokens)
+        .add("loading", model.load_time)
         .add("least boxes", model.min_replicas)
         .add("most boxes", model.max_replicas)
-        .add("serving models", model.serving.models)
-        .add("serving uids", model.serving.uids)
-        .add("serving groups", model.serving.groups)
+        .add("serving models", model.replica_selector.models)
+        .add("serving uids", model.replica_selector.uids)
+        .add("serving groups", model.replica_selector.pod_groups)
         .add("prompt price", model.price.prompt)
-        .add("kept price", model.price.kept)
+        .add("kept price", model.price.cached)
         .add("made price", model.price.generated);
     for (std::size_t f = 0; f < model.fallbacks.size(); ++f) {
       FieldWriter(fields, numbered("model", i) + " " + numbered("fallback", f))
-          .add("to", model.fallbacks[f].to)
-          .add("when bits", static_cast<int>(model.fallbacks[f].when))
-          .add("least left", model.fallbacks[f].least_left);
+          .add("to", model.fallbacks[f].target)
+          .add("when bits", static_cast<int>(model.fallbacks[f].reasons))
+          .add("least left", model.fallbacks[f].min_remaining_time);
     }
   }
   for (std::size_t i = 0; i < catalogue.aliases.size(); ++i) {
     FieldWriter(fields, numbered("alias", i))
         .add("name", catalogue.aliases[i].name)
-        .add("to", catalogue.aliases[i].to);
+        .add("to", catalogue.aliases[i].target);
   }
 }
 
