--- a/src/config/budgets_section.cpp
+++ b/src/config/budgets_section.cpp
@@ -24,7 +24,7 @@
   const bool is_new = names.insert(budget.name).second;
   if (!is_new) section.reject("name", "there are two of this name");
   if (!section.has("tokens")) section.reject("tokens", "there is none");
-  if (budget.burst > 0 && budget.per != "second") {
+  if (budget.burst > 0 && budget.period != "second") {
     section.reject("burst", "only a budget per second has one");
   }
   const bool names_model = budget.model != "each" && budget.model != "all";
@@ -35,11 +35,11 @@
 
 void read_limits(const toml::table* table, BudgetsFile& into, Errors& errors) {
   Section section(table, "budgets", errors);
-  section.flag("fair", into.fair);
-  section.flag("charges", into.charges);
-  section.number("block", into.block, 0.0001, 1);
-  section.number("soft_worth", into.soft_worth, 0, 1);
-  section.count("accounts", into.accounts, 1, 10'000'000);
+  section.flag("fair", into.fair_admission);
+  section.flag("charges", into.log_charges);
+  section.number("block", into.block_fraction, 0.0001, 1);
+  section.number("soft_worth", into.soft_limit_weight, 0, 1);
+  section.count("accounts", into.max_accounts, 1, 10'000'000);
 }
 
 }  // namespace
@@ -53,10 +53,10 @@
     BudgetEntry& budget = into.budgets.emplace_back();
     budget.line = section.line();
     section.text("name", budget.name);
-    section.text("member", budget.member);
+    section.text("member", budget.tenant);
     section.text("model", budget.model);
-    section.text("class", budget.cls);
-    section.one_of("per", budget.per, {"second", "minute", "hour", "day"});
+    section.text("class", budget.priority_class);
+    section.one_of("per", budget.period, {"second", "minute", "hour", "day"});
     section.number("tokens", budget.tokens, 0, 1e15);
     section.number("burst", budget.burst, 0, 1e15);
     section.flag("hard", budget.hard);
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -128,14 +128,14 @@
   config.timeouts.connect = time_at(settings, "/policyLimits/dialTimeout", config.timeouts.connect);
 }
 
-void read_addresses(element json, Reading reading, Config& config) {
+void read_addresses(element json, ReadOccasion occasion, Config& config) {
   config.listeners.requests = from_environment("GW_LISTEN", fronts::text_at(json, "/listen"));
   config.listeners.operators = from_environment("GW_OPS", fronts::text_at(json, "/ops"));
   config.listeners.peers = fronts::text_at(json, "/peer_listen");
   config.peers.all = fronts::text_at(json, "/peers_all");
   config.peers.each = texts_at(json, "/peers");
   const std::string address = fronts::text_at(json, "/discovery");
-  const bool file_has_precedence = reading == Reading::again && !address.empty();
+  const bool file_has_precedence = occasion == ReadOccasion::reload && !address.empty();
   config.discovery.address = file_has_precedence ? address : from_environment("GW_DISCOVERY", address);
   if (config.listeners.requests.empty()) throw BadConfig("configuration: no address to listen on");
   if (config.discovery.address.empty()) throw BadConfig("configuration: no discovery");
@@ -156,7 +156,7 @@
   return out;
 }
 
-Config read_config(const std::string& path, const std::string& operator_path, Reading reading) {
+Config read_config(const std::string& path, const std::string& operator_path, ReadOccasion occasion) {
   const std::string file = path.empty() ? from_environment("GW_CONFIG", "") : path;
   if (file.empty()) throw BadConfig("no configuration: set GW_CONFIG or give --config FILE");
   simdjson::dom::parser parser;
@@ -167,7 +167,7 @@
   if (!json.is_object()) throw BadConfig(file + ": not an object");
   Config config;
   config.name = from_environment("GW_NAME", fronts::text_at(json, "/name"));
-  read_addresses(json, reading, config);
+  read_addresses(json, occasion, config);
   read_limits(json, config);
   read_settings(json, config);
   if (element known; json.at_key("known").get(known) == simdjson::SUCCESS) {
@@ -177,7 +177,7 @@
   return config;
 }
 
-std::string needs_restart(const Config& old, const Config& fresh) {
+std::string fields_needing_restart(const Config& old, const Config& fresh) {
   std::string names;
   const auto compare = [&](const char* name, bool same) {
     if (!same) names += (names.empty() ? "" : ", ") + std::string(name);
@@ -189,7 +189,7 @@
                        old.peers.each == fresh.peers.each);
   compare("limits", old.limits.sockets == fresh.limits.sockets);
   compare("settings", old.settings_text == fresh.settings_text);
-  compare("the operator's file", old.operator_file.same_but_models(fresh.operator_file));
+  compare("the operator's file", old.operator_file.can_reload(fresh.operator_file));
   return names;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -66,23 +66,23 @@
   Timeouts timeouts;
   Names names;
   Settings settings;          // of the routing policy
-  std::string settings_text;  // flattened; needs_restart() compares it
+  std::string settings_text;  // flattened; fields_needing_restart() compares it
   OperatorFile operator_file;
 };
 
 // When a configuration is read. At the start GW_DISCOVERY has precedence over the file. When the file is read
 // again, its `discovery` has precedence, because the environment still has the address of the start.
-enum class Reading { at_start, again };
+enum class ReadOccasion { startup, reload };
 
 // Reads the configuration from the file `path` or, if that is empty, from the one that GW_CONFIG names.
 // GW_NAME, GW_LISTEN, GW_OPS and GW_DISCOVERY have precedence over the file. An empty `operator_path` means
 // that there is no operator's file. Throws BadConfig: a line for the first error of the JSON file, or a line
 // for each error of the operator's file.
 [[nodiscard]] Config read_config(const std::string& path, const std::string& operator_path,
-                                 Reading reading = Reading::at_start);
+                                 ReadOccasion occasion = ReadOccasion::startup);
 
 // Returns the names of the fields that differ and only take effect at the next start, joined with ", "; empty
 // if there are none.
-[[nodiscard]] std::string needs_restart(const Config& old, const Config& fresh);
+[[nodiscard]] std::string fields_needing_restart(const Config& old, const Config& fresh);
 
 }  // namespace thornwick::config
--- a/src/config/group_section.cpp
+++ b/src/config/group_section.cpp
@@ -33,12 +33,12 @@
   into.line = group.line();
   group.text("name", into.name);
   group.list("sites", into.sites);
-  group.text("self", into.self);
+  group.text("self", into.local_router);
   group.text("listen", into.listen);
-  group.text("state", into.state);
-  group.text("status", into.status);
-  group.number("period_s", into.period_s, 0.05, 60);
-  group.flag("links", into.links);
+  group.text("state", into.incarnation_file);
+  group.text("status", into.status_socket);
+  group.number("period_s", into.probe_interval_s, 0.05, 60);
+  group.flag("links", into.peer_links_enabled);
   for (const auto* router : routers) read_router(router, into, errors);
   if (table == nullptr) {
     if (routers.empty()) return;
@@ -50,8 +50,8 @@
   }
   if (into.name.empty()) group.reject("name", "there has to be one");
   add_faults(membership::validate_roster(into.sites, into.routers, into.line), errors);
-  if (!into.self.empty() && !has_router(into, into.self)) {
-    group.reject("self", "no router is called '" + into.self + "'");
+  if (!into.local_router.empty() && !has_router(into, into.local_router)) {
+    group.reject("self", "no router is called '" + into.local_router + "'");
   }
 }
 
--- a/src/config/operator_file.cpp
+++ b/src/config/operator_file.cpp
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-bool OperatorFile::same_but_models(const OperatorFile& other) const {
+bool OperatorFile::can_reload(const OperatorFile& other) const {
   const bool same_fronts = messages_listen == other.messages_listen &&
                            target_dialect == other.target_dialect && targets == other.targets &&
                            flow_collector == other.flow_collector && flow_domain == other.flow_domain;
-  const bool same_budgets =
-      budgets.fair == other.budgets.fair && budgets.budgets.empty() == other.budgets.budgets.empty();
+  const bool same_budgets = budgets.fair_admission == other.budgets.fair_admission &&
+                            budgets.budgets.empty() == other.budgets.budgets.empty();
   return same_fronts && same_budgets && affinity == other.affinity && store == other.store &&
          catalogue.empty() == other.catalogue.empty() && group == other.group &&
          replication == other.replication;
--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -21,10 +21,10 @@
 // [affinity]: estimates of the prompts that replicas have cached (docs/affinities.md).
 struct AffinityFile {
   bool enabled = false;
-  std::uint64_t entries = 1'000'000;  // the most sessions and prefixes together
-  std::uint64_t bytes = 0;            // the most memory for them; 0: a sixteenth of the memory limit
-  std::uint64_t replicas = 4096;
-  double lifetime_s = 1800;  // an entry that is unused for longer is removed
+  std::uint64_t max_entries = 1'000'000;  // sessions and prefixes together
+  std::uint64_t max_memory_bytes = 0;     // memory of the entries; 0: a sixteenth of the memory limit
+  std::uint64_t max_replicas = 4096;
+  double lifetime_s = 1800;  // an entry that has not been used for longer is removed
   double answers_per_false_alarm = 100'000;
   std::string eviction = "lru";  // or "segmented", "tinylfu"
 
@@ -33,10 +33,10 @@
 
 // [store]: the file with state that outlives the process (docs/store.md).
 struct StoreFile {
-  std::string file;               // empty: no state outlives the process
-  std::uint64_t megabytes = 256;  // the largest size of the file
-  double sync_s = 1;              // changes are durable within this time ...
-  std::uint64_t changes = 4096;   // ... or once there are so many of them, whichever comes first
+  std::string file;                            // empty: no state outlives the process
+  std::uint64_t max_megabytes = 256;           // maximum size of the file, in MiB
+  double max_sync_delay_s = 1;                 // a change is durable within this time, or earlier:
+  std::uint64_t max_undurable_changes = 4096;  // once so many changes are not durable yet
 
   bool operator==(const StoreFile&) const = default;
 };
@@ -45,10 +45,10 @@
 // against the platform's settings when the node starts.
 struct BudgetEntry {
   std::string name;
-  std::string member = "each";  // a tenant's name, "each" or "all"
-  std::string model = "all";    // a model's name, "each" or "all"
-  std::string cls = "all";      // a class's name, "each" or "all"
-  std::string per = "minute";   // or "second", "hour", "day"
+  std::string tenant = "each";         // a tenant's name, "each" or "all"
+  std::string model = "all";           // a model's name, "each" or "all"
+  std::string priority_class = "all";  // a class's name, "each" or "all"
+  std::string period = "minute";       // or "second", "hour", "day"
   double tokens = 0;
   double burst = 0;  // of a budget per second: the most tokens saved up; 0: those of one second
   bool hard = true;
@@ -60,11 +60,11 @@
 // [budgets] and [[budget]].
 struct BudgetsFile {
   std::vector<BudgetEntry> budgets;
-  bool fair = false;        // weighted fair admission of tenants when capacity is short
-  bool charges = false;     // a log line for each charge
-  double block = 0.02;      // the part of each limit that is granted before the store has recorded it
-  double soft_worth = 0.1;  // the factor on the priority weight of a request beyond a soft budget
-  std::uint64_t accounts = 65'536;
+  bool fair_admission = false;     // weighted fair admission of tenants when capacity is short
+  bool log_charges = false;        // write a log line for each charge
+  double block_fraction = 0.02;    // fraction of a limit granted before the store has recorded it
+  double soft_limit_weight = 0.1;  // the factor on the priority weight of a request beyond a soft budget
+  std::uint64_t max_accounts = 65'536;
 
   bool operator==(const BudgetsFile&) const = default;
 };
@@ -73,12 +73,12 @@
 struct GroupFile {
   std::string name;  // of the group; empty: this router is in none
   std::vector<std::string> sites;
-  std::string self;       // the name of this router in the list; empty: the name in the configuration
-  std::string listen;     // HOST:PORT; empty: the address of this router in the list
-  std::string state;      // the file with this router's incarnation; empty: each start is one without a disk
-  std::string status;     // the path of the local socket for `thornwick group status`; empty: none
-  double period_s = 2.4;  // between two probes
-  bool links = true;      // whether full views are sent over connections to two neighbours
+  std::string local_router;       // the name of this router in the list; empty: the name in the configuration
+  std::string listen;             // HOST:PORT; empty: the address of this router in the list
+  std::string incarnation_file;   // path; empty: each start counts as one without a disk
+  std::string status_socket;      // the path of the local socket for `thornwick group status`; empty: none
+  double probe_interval_s = 2.4;  // time between two probes
+  bool peer_links_enabled = true;  // send full views over connections to two neighbours
   std::vector<membership::RouterEntry> routers;
   std::uint32_t line = 0;
 
@@ -88,19 +88,19 @@
 // [copies]: replication of the ledgers of this router to further routers (docs/replication.md).
 struct ReplicationFile {
   bool enabled = false;
-  std::string file;              // of the ledgers' records
-  std::uint64_t megabytes = 64;  // the largest size of the file
-  std::uint64_t holders = 3;     // replicas of each ledger: 3 or 5
-  double lease_s = 6;            // for which a router may use its reservation without an answer
-  double heartbeat_s = 0.25;     // of a ledger's leader; an election begins after five to ten of them
+  std::string file;                  // path of the file with the ledgers' records
+  std::uint64_t max_megabytes = 64;  // maximum size of the file, in MiB
+  std::uint64_t replica_count = 3;   // replicas of each ledger: 3 or 5
+  double lease_s = 6;                // how long a router may use its reservation without an answer
+  double heartbeat_s = 0.25;         // interval of a leader; an election begins after five to ten of them
   std::string without_majority = "strict";  // or "lenient": beyond the reservation, up to `overdraft`
-  double overdraft = 0.01;                  // the part of each limit, for each router
+  double overdraft_fraction = 0.01;         // fraction of each limit, for each router
   std::uint32_t line = 0;
 
   bool operator==(const ReplicationFile&) const = default;
 };
 
-// All tables of the file.
+// The contents of the operator's file.
 struct OperatorFile {
   std::string messages_listen;                 // HOST:PORT of the second front; empty: there is none
   std::string target_dialect = "platform";     // of replicas that `targets` does not have
@@ -115,9 +115,9 @@
   ReplicationFile replication;
   std::string path;  // of the file itself, for errors that are found later
 
-  // Returns whether a running router can take over `other`: all is equal that only a restart can change.
-  // Models and budgets may differ.
-  [[nodiscard]] bool same_but_models(const OperatorFile& other) const;
+  // Returns whether a running router can reload `other`, because the two files are equal in everything that
+  // only a restart can change. Models and budgets may differ.
+  [[nodiscard]] bool can_reload(const OperatorFile& other) const;
 };
 
 // Reads and checks the file: an unknown table or key, a wrong type or a value out of range is an error. An
--- a/src/config/replication_section.cpp
+++ b/src/config/replication_section.cpp
@@ -9,10 +9,12 @@
 
 void check_replication(const ReplicationFile& replication, const GroupFile& group,
                        settings::Section& section) {
-  if (replication.holders == 4) section.reject("holders", "three or five");
+  if (replication.replica_count == 4) section.reject("holders", "three or five");
   if (replication.file.empty()) section.reject("file", "there has to be one");
-  if (group.name.empty() || !group.links) section.reject("enabled", "copies need a [group] with links");
-  if (group.routers.size() < replication.holders) section.reject("holders", "the group has fewer routers");
+  if (group.name.empty() || !group.peer_links_enabled)
+    section.reject("enabled", "copies need a [group] with links");
+  if (group.routers.size() < replication.replica_count)
+    section.reject("holders", "the group has fewer routers");
   if (replication.lease_s < kMinHeartbeatsPerLease * replication.heartbeat_s) {
     section.reject("lease_s", "less than eight heartbeats: it would end while another leader is chosen");
   }
@@ -26,12 +28,12 @@
   into.line = section.line();
   section.flag("enabled", into.enabled);
   section.text("file", into.file);
-  section.count("megabytes", into.megabytes, 1, 1 << 20);
-  section.count("holders", into.holders, 3, 5);
+  section.count("megabytes", into.max_megabytes, 1, 1 << 20);
+  section.count("holders", into.replica_count, 3, 5);
   section.number("lease_s", into.lease_s, 0.5, 600);
   section.number("heartbeat_s", into.heartbeat_s, 0.02, 10);
   section.one_of("without_majority", into.without_majority, {"strict", "lenient"});
-  section.number("overdraft", into.overdraft, 0, 1);
+  section.number("overdraft", into.overdraft_fraction, 0, 1);
   if (into.enabled) check_replication(into, group, section);
 }
 
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -28,8 +28,8 @@
     : membership_(membership_of(config)),
       file_(config.operator_file.group),
       started_(net::now_us()),
-      period_(static_cast<Time>(file_.period_s * 1e6)) {
-  const StartupIdentity startup = load_identity(file_.state);
+      period_(static_cast<Time>(file_.probe_interval_s * 1e6)) {
+  const StartupIdentity startup = load_identity(file_.incarnation_file);
   if (!startup.problem.empty()) logging::error("group") << startup.problem;
   empty_start_ = startup.empty;
   open_datagrams();
@@ -44,7 +44,7 @@
 }
 
 Cluster::~Cluster() {
-  if (status_socket_) unlink(file_.status.c_str());
+  if (status_socket_) unlink(file_.status_socket.c_str());
 }
 
 const std::string& Cluster::listen_address() const {
@@ -72,7 +72,7 @@
   net::PeerLinks::Options options;
   for (std::size_t member = 0; member < roster.size(); ++member)
     options.addresses.push_back(roster.at(member).address);
-  options.listen = file_.links ? listen_address() : "";
+  options.listen = file_.peer_links_enabled ? listen_address() : "";
   options.group = roster.hash();
   options.self = membership_.self;
   options.heartbeat = std::max(period_, kMinLinkHeartbeat);
@@ -86,7 +86,7 @@
     if (replication_) replication_->on_link_writable(member);
   };
   links_ = std::make_unique<net::PeerLinks>(std::move(options), std::move(callbacks));
-  if (!file_.links) return;
+  if (!file_.peer_links_enabled) return;
   for (std::size_t k = 1; k <= kNeighbours && k < roster.size(); ++k)
     links_->maintain_link((membership_.self + k) % roster.size());
 }
@@ -104,9 +104,9 @@
 }
 
 void Cluster::open_status_socket() {
-  if (file_.status.empty()) return;
+  if (file_.status_socket.empty()) return;
   status_socket_ = std::make_unique<net::AdminEndpoint>(
-      net::listen_unix(file_.status),
+      net::listen_unix(file_.status_socket),
       "STATUS, STATUS JSON, COPIES, COPIES JSON, GRANT, SET, REPLACE and CORRECTION",
       [this](std::string_view line) { return answer(line); });
 }
@@ -116,8 +116,9 @@
   logging::info("group") << roster.at(membership_.self).name << " of group " << file_.name << ", "
                          << roster.size() << " routers at " << roster.sites().size()
                          << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
-                         << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
-                         << ", start " << startup.identity.start_number
+                         << (file_.peer_links_enabled ? ", links at " : "")
+                         << logging::field("links", links_->address()) << ", start "
+                         << startup.identity.start_number
                          << (startup.empty ? " with an empty disk" : " with its disk");
 }
 
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -35,20 +35,20 @@
   replication::Options options;
   options.replica.self = membership.self;
   options.replica.roster = membership.roster;
-  options.replica.replica_count = file.holders;
+  options.replica.replica_count = file.replica_count;
   options.replica.lease_duration = lease;
   options.replica.heartbeat_interval = heartbeat;
   options.replica.election_timeout = kElectionHeartbeats * heartbeat;
   options.replica.hello_interval = std::max(kMinInterval, kHelloHeartbeats * heartbeat);
   options.quota_client.self = membership.self;
   options.quota_client.roster = membership.roster;
-  options.quota_client.replica_count = file.holders;
+  options.quota_client.replica_count = file.replica_count;
   options.quota_client.lease_duration = lease;
   options.quota_client.ledger_count = replication::ledger_count_for(membership.roster->size());
   options.quota_client.instance_id = run;
-  options.quota_client.max_prefetch_fraction = config.operator_file.budgets.block;
+  options.quota_client.max_prefetch_fraction = config.operator_file.budgets.block_fraction;
   options.quota_client.response_timeout = std::max(kMinInterval, kAnswerTimeoutHeartbeats * heartbeat);
-  options.quota_client.overdraft_fraction = file.without_majority == "lenient" ? file.overdraft : 0;
+  options.quota_client.overdraft_fraction = file.without_majority == "lenient" ? file.overdraft_fraction : 0;
   return options;
 }
 
@@ -95,7 +95,7 @@
 void ClusterReplication::open_store(const config::Config& config) {
   const std::size_t memory = config.limits.memory_mb * 1024 * 1024;
   store_ = std::make_unique<persistence::LedgerStore>(
-      store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.megabytes},
+      store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.max_megabytes},
       std::max(kMinStoreMemory, memory / kStoreMemoryDivisor), store_notifier_.trigger());
   if (store_->set_aside().empty()) return;
   logging::error(kLogPart) << file_.file << " is damaged: moved to " << store_->set_aside()
@@ -122,11 +122,11 @@
 
 void ClusterReplication::log_start() const {
   const std::size_t ledgers = replication_->quota_client().ledger_count();
-  if (!replication::survives_site_loss(*roster_, ledgers, file_.holders)) {
-    logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: " << file_.holders
+  if (!replication::survives_site_loss(*roster_, ledgers, file_.replica_count)) {
+    logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: " << file_.replica_count
                                << " replicas need three sites";
   }
-  logging::info(kLogPart) << ledgers << " ledgers with " << file_.holders << " replicas each, "
+  logging::info(kLogPart) << ledgers << " ledgers with " << file_.replica_count << " replicas each, "
                           << replication_->replicas().size() << " of them here; " << file_.without_majority
                           << " without a majority";
 }
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -64,7 +64,7 @@
                                                          {"hour", LimitKind::hour},
                                                          {"day", LimitKind::day}};
   budgets::LimitRule rule;
-  rule.kind = kinds.at(entry.per);
+  rule.kind = kinds.at(entry.period);
   const bool is_bucket = rule.kind == LimitKind::bucket;
   rule.per_s = is_bucket ? units_of(entry.tokens) : 0;
   rule.amount = units_of(is_bucket && entry.burst > 0 ? entry.burst : entry.tokens);
@@ -75,8 +75,8 @@
                           ErrorLines& errors) {
   budgets::Budget budget;
   budget.name = entry.name;
-  budget.member = subject_number(entry, "member", entry.member, config.names.tenants, errors);
-  budget.priority_class = subject_number(entry, "class", entry.cls, config.names.classes, errors);
+  budget.member = subject_number(entry, "member", entry.tenant, config.names.tenants, errors);
+  budget.priority_class = subject_number(entry, "class", entry.priority_class, config.names.classes, errors);
   budget.model = model_number(entry.model, config.operator_file.catalogue);
   budget.hard = entry.hard;
   budget.rule = rule_of(entry);
@@ -104,12 +104,13 @@
       {"tinylfu", affinity::Eviction::tinylfu}};
   const config::AffinityFile& file = config.operator_file.affinity;
   affinity::Options options;
-  options.table.entries = file.entries;
-  options.table.bytes =
-      file.bytes > 0 ? file.bytes : config.limits.memory_mb * 1024 * 1024 / kAffinityMemoryDivisor;
+  options.table.entries = file.max_entries;
+  options.table.bytes = file.max_memory_bytes > 0
+                            ? file.max_memory_bytes
+                            : config.limits.memory_mb * 1024 * 1024 / kAffinityMemoryDivisor;
   options.table.eviction = evictions.at(file.eviction);
   options.table.seed = config.settings.seed;
-  options.max_replicas = file.replicas;
+  options.max_replicas = file.max_replicas;
   options.lifetime = static_cast<Time>(file.lifetime_s * 1e6);
   options.answers_per_false_alarm = file.answers_per_false_alarm;
   return options;
@@ -128,9 +129,9 @@
     options.router_index = 1;
     options.router_count = 1;
   }
-  options.block_fraction = file.block;
-  options.soft_limit_weight = file.soft_worth;
-  options.max_accounts = file.accounts;
+  options.block_fraction = file.block_fraction;
+  options.soft_limit_weight = file.soft_limit_weight;
+  options.max_accounts = file.max_accounts;
   ErrorLines errors(config.operator_file.path);
   for (const auto& entry : file.budgets) options.budgets.push_back(budget_of(entry, config, errors));
   errors.throw_if_any();
@@ -146,11 +147,11 @@
   }
   if (!file.listen.empty() && !net::parse_address(file.listen))
     errors.add(file.line, "group.listen: not an address: " + file.listen);
-  if (!file.status.empty() && !net::fits_unix_socket(file.status))
+  if (!file.status_socket.empty() && !net::fits_unix_socket(file.status_socket))
     errors.add(file.line, "group.status: the path is too long for a local socket");
   Membership membership;
   membership.roster = std::make_shared<membership::Roster>(file.name, file.sites, file.routers);
-  const std::string& own_name = file.self.empty() ? config.name : file.self;
+  const std::string& own_name = file.local_router.empty() ? config.name : file.local_router;
   membership.self = membership.roster->find(own_name);
   if (membership.self == membership.roster->size())
     errors.add(file.line, "group.self: no router is called '" + own_name + "', as this one is");
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -47,11 +47,12 @@
 std::unique_ptr<persistence::StateStore> DurableState::make_state_store() {
   const config::StoreFile& file = config_.operator_file.store;
   store::WriterOptions options;
-  options.max_undurable_changes = file.changes;
-  options.max_gathered_records = std::max<std::size_t>(options.max_gathered_records, 2 * file.changes);
+  options.max_undurable_changes = file.max_undurable_changes;
+  options.max_gathered_records =
+      std::max<std::size_t>(options.max_gathered_records, 2 * file.max_undurable_changes);
   options.max_gathered_bytes = config_.limits.memory_mb * 1024 * 1024 / kStoreMemoryDivisor / kStoreBatches;
   auto state_store = std::make_unique<persistence::StateStore>(
-      store::FileOptions{.path = file.file, .holder = config_.name, .megabytes = file.megabytes}, options,
+      store::FileOptions{.path = file.file, .holder = config_.name, .megabytes = file.max_megabytes}, options,
       [this](ReplicaId replica) { return uid_of_(replica); });
   if (!state_store->file().set_aside().empty()) {
     logging::error("store") << file.file << " is damaged: moved to " << state_store->file().set_aside()
@@ -71,7 +72,7 @@
 // Flushes twice within the time in which changes have to be durable: one flush gathers a change, and the next
 // one has written it.
 void DurableState::schedule_store_flush() {
-  const auto half = static_cast<Time>(config_.operator_file.store.sync_s * 1e6 / 2);
+  const auto half = static_cast<Time>(config_.operator_file.store.max_sync_delay_s * 1e6 / 2);
   flush_timer_.start(std::max(half, kMinFlushInterval), [this] { flush_store(); });
 }
 
@@ -96,13 +97,13 @@
 
 void DurableState::open_quota_service() {
   const config::BudgetsFile& file = config_.operator_file.budgets;
-  if (file.budgets.empty() && !file.fair) return;
+  if (file.budgets.empty() && !file.fair_admission) return;
   if (!file.budgets.empty()) open_quota_backend();
   quota_service_ = std::make_unique<budgets::QuotaService>(budget_options(config_), quota_state_store_.get(),
                                                            quota_proxy_.get());
   if (quota_proxy_) quota_service_->accounts.open_all(net::now_us());
   update_prices();
-  if (file.charges) {
+  if (file.log_charges) {
     quota_service_->on_charge = [this](const budgets::Charge& charge) {
       log_charge(charge, config_, uid_of_(charge.replica));
     };
@@ -127,7 +128,7 @@
 }
 
 void DurableState::open_fair_share() {
-  if (!config_.operator_file.budgets.fair) return;
+  if (!config_.operator_file.budgets.fair_admission) return;
   budgets::FairShareOptions options;
   for (const auto& tenant : config_.settings.tenants)
     options.weights.push_back(std::max(kMinShare, tenant.share));
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -176,7 +176,7 @@
 
 void Node::reload(const config::Config& config) {
   check_config(config);
-  if (const auto names = config::needs_restart(config_, config); !names.empty()) {
+  if (const auto names = config::fields_needing_restart(config_, config); !names.empty()) {
     logging::warning("main") << "changes that need a restart: " << names;
   }
   ++reloads_;
@@ -206,7 +206,7 @@
   const config::BudgetsFile& fresh = config.operator_file.budgets;
   if (durable_state_.quota_service() == nullptr || fresh.budgets.empty() != current.budgets.empty()) return;
   current.budgets = fresh.budgets;
-  current.soft_worth = fresh.soft_worth;
+  current.soft_limit_weight = fresh.soft_limit_weight;
   durable_state_.budgets_changed(now);
 }
 
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -54,8 +54,10 @@
 }
 
 Json budget_json(const config::BudgetEntry& budget) {
-  return {{"budget", budget.name}, {"member", budget.member}, {"model", budget.model}, {"class", budget.cls},
-          {"per", budget.per},     {"tokens", budget.tokens}, {"hard", budget.hard}};
+  return {{"budget", budget.name}, {"member", budget.tenant},
+          {"model", budget.model}, {"class", budget.priority_class},
+          {"per", budget.period},  {"tokens", budget.tokens},
+          {"hard", budget.hard}};
 }
 
 void print_line(const Json& json) { std::cout << json.dump() << '\n'; }
--- a/src/tools/running_router.cpp
+++ b/src/tools/running_router.cpp
@@ -26,7 +26,7 @@
 int print_status(const StatusOptions& options, const std::string& parent_name, const std::string& call,
                  const std::string& operator_file) {
   const std::string path =
-      options.socket.empty() ? config::read_operator_file(operator_file).group.status : options.socket;
+      options.socket.empty() ? config::read_operator_file(operator_file).group.status_socket : options.socket;
   if (path.empty()) {
     throw UsageError(parent_name +
                      " status: name the socket, or an operator's file (-o) that has group.status");
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -57,7 +57,8 @@
 void reload(RunningRouter& running) {
   try {
     const ServeOptions& options = running.options;
-    running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
+    running.node.reload(
+        config::read_config(options.config, options.operator_file, config::ReadOccasion::reload));
     logging::info("main") << "configuration reloaded";
   } catch (const std::exception& problem) {
     logging::error("main") << "configuration rejected: " << problem.what();
--- a/tests/net/affinity.cpp
+++ b/tests/net/affinity.cpp
@@ -45,7 +45,7 @@
   SimulatedFleet::Options options;
   options.affinity.enabled = true;
   // 400 entries are of open sessions, the others of sessions that have ended.
-  options.affinity.entries = 1600;
+  options.affinity.max_entries = 1600;
   options.store.file = scratch.path("store");
   return options;
 }
--- a/tests/net/config.cpp
+++ b/tests/net/config.cpp
@@ -56,13 +56,13 @@
   setenv("GW_DISCOVERY", "127.0.0.1:2", 1);
   const config::Config old = config::read_config(file.path, "");
   CHECK(old.discovery.address == "127.0.0.1:2");
-  config::Config fresh = config::read_config(file.path, "", config::Reading::again);
+  config::Config fresh = config::read_config(file.path, "", config::ReadOccasion::reload);
   unsetenv("GW_DISCOVERY");
   CHECK(fresh.discovery.address == "127.0.0.1:1");
-  CHECK(config::needs_restart(old, fresh).empty());  // a new address of discovery needs no restart
+  CHECK(config::fields_needing_restart(old, fresh).empty());  // a new address of discovery needs no restart
   fresh.listeners.requests = "127.0.0.1:3";
   fresh.settings_text += "rank=2\n";
-  CHECK(config::needs_restart(old, fresh) == "listen, settings");
+  CHECK(config::fields_needing_restart(old, fresh) == "listen, settings");
 }
 
 TEST_CASE("a configuration that can be read is still checked as a whole") {
@@ -152,7 +152,7 @@
   CHECK(node::affinity_options(config).table.bytes == (2u << 20));
   config.limits.memory_mb = 192;
   CHECK(node::affinity_options(config).table.bytes == (12u << 20));
-  config.operator_file.affinity.bytes = 100'000;
+  config.operator_file.affinity.max_memory_bytes = 100'000;
   CHECK(node::affinity_options(config).table.bytes == 100'000);
 }
 
--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -167,19 +167,19 @@
 
 inline void add_budgets(const config::BudgetsFile& file, Fields& fields) {
   FieldWriter(fields, "budgets")
-      .add("fair", file.fair)
-      .add("charges", file.charges)
-      .add("block", file.block)
-      .add("soft worth", file.soft_worth)
-      .add("accounts", file.accounts);
+      .add("fair", file.fair_admission)
+      .add("charges", file.log_charges)
+      .add("block", file.block_fraction)
+      .add("soft worth", file.soft_limit_weight)
+      .add("accounts", file.max_accounts);
   for (std::size_t i = 0; i < file.budgets.size(); ++i) {
     const config::BudgetEntry& budget = file.budgets[i];
     FieldWriter(fields, numbered("budget", i))
         .add("name", budget.name)
-        .add("member", budget.member)
+        .add("member", budget.tenant)
         .add("model", budget.model)
-        .add("class", budget.cls)
-        .add("per", budget.per)
+        .add("class", budget.priority_class)
+        .add("per", budget.period)
         .add("tokens", budget.tokens)
         .add("burst", budget.burst)
         .add("hard", budget.hard);
@@ -190,12 +190,12 @@
   FieldWriter(fields, "group")
       .add("name", file.name)
       .add("sites", file.sites)
-      .add("self", file.self)
+      .add("self", file.local_router)
       .add("listen", file.listen)
-      .add("state", file.state)
-      .add("status", file.status)
-      .add("period", file.period_s)
-      .add("links", file.links);
+      .add("state", file.incarnation_file)
+      .add("status", file.status_socket)
+      .add("period", file.probe_interval_s)
+      .add("links", file.peer_links_enabled);
   for (std::size_t i = 0; i < file.routers.size(); ++i) {
     FieldWriter(fields, numbered("router", i))
         .add("name", file.routers[i].name)
@@ -217,29 +217,29 @@
       .add("flow domain", file.flow_domain);
   FieldWriter(fields, "affinity")
       .add("enabled", file.affinity.enabled)
-      .add("entries", file.affinity.entries)
-      .add("bytes", file.affinity.bytes)
-      .add("boxes", file.affinity.replicas)
+      .add("entries", file.affinity.max_entries)
+      .add("bytes", file.affinity.max_memory_bytes)
+      .add("boxes", file.affinity.max_replicas)
       .add("lifetime", file.affinity.lifetime_s)
       .add("answers for a false alarm", file.affinity.answers_per_false_alarm)
       .add("eviction", file.affinity.eviction);
   FieldWriter(fields, "store")
       .add("file", file.store.file)
-      .add("megabytes", file.store.megabytes)
-      .add("sync", file.store.sync_s)
-      .add("changes", file.store.changes);
+      .add("megabytes", file.store.max_megabytes)
+      .add("sync", file.store.max_sync_delay_s)
+      .add("changes", file.store.max_undurable_changes);
   add_models(file.catalogue, fields);
   add_budgets(file.budgets, fields);
   add_group(file.group, fields);
   FieldWriter(fields, "copies")
       .add("enabled", file.replication.enabled)
       .add("file", file.replication.file)
-      .add("megabytes", file.replication.megabytes)
-      .add("holders", file.replication.holders)
+      .add("megabytes", file.replication.max_megabytes)
+      .add("holders", file.replication.replica_count)
       .add("lease", file.replication.lease_s)
       .add("heartbeat", file.replication.heartbeat_s)
       .add("without majority", file.replication.without_majority)
-      .add("overdraft", file.replication.overdraft);
+      .add("overdraft", file.replication.overdraft_fraction);
   return fields;
 }
 
