--- a/tests/wording/settings_dump.hpp
+++ b/tests/wording/settings_dump.hpp
@@ -129,57 +129,57 @@
 
 inline void add_models(const models::Catalogue& catalogue, Fields& fields) {
   FieldWriter(fields, "models")
-      .add("adapters on box", catalogue.limits.adapters_per_replica)
+      .add("adapters on box", catalogue.limits.max_adapters_per_replica)
       .add("fallback part", catalogue.limits.fallback_fraction)
       .add("fallback burst", catalogue.limits.fallback_burst)
       .add("first part", catalogue.limits.initial_fallback_fraction)
-      .add("growth each second", catalogue.limits.growth_per_s);
+      .add("growth each second", catalogue.limits.fallback_growth_per_s);
   for (std::size_t i = 0; i < catalogue.models.size(); ++i) {
     const models::Model& model = catalogue.models[i];
     FieldWriter(fields, numbered("model", i))
         .add("name", model.name)
-        .add("base", model.base)
-        .add("any name", model.any_name)
-        .add("context", model.context)
-        .add("most answer", model.most_answer)
-        .add("loading", model.loading)
+        .add("base", model.base_model)
+        .add("any name", model.accepts_any_name)
+        .add("context", model.context_tokens)
+        .add("most answer", model.max_answer_tokens)
+        .add("loading", model.load_time)
         .add("least boxes", model.min_replicas)
         .add("most boxes", model.max_replicas)
-        .add("serving models", model.serving.models)
-        .add("serving uids", model.serving.uids)
-        .add("serving groups", model.serving.groups)
+        .add("serving models", model.replica_selector.models)
+        .add("serving uids", model.replica_selector.uids)
+        .add("serving groups", model.replica_selector.pod_groups)
         .add("prompt price", model.price.prompt)
-        .add("kept price", model.price.kept)
+        .add("kept price", model.price.cached)
         .add("made price", model.price.generated);
     for (std::size_t f = 0; f < model.fallbacks.size(); ++f) {
       FieldWriter(fields, numbered("model", i) + " " + numbered("fallback", f))
-          .add("to", model.fallbacks[f].to)
-          .add("when bits", static_cast<int>(model.fallbacks[f].when))
-          .add("least left", model.fallbacks[f].least_left);
+          .add("to", model.fallbacks[f].target)
+          .add("when bits", static_cast<int>(model.fallbacks[f].reasons))
+          .add("least left", model.fallbacks[f].min_remaining_time);
     }
   }
   for (std::size_t i = 0; i < catalogue.aliases.size(); ++i) {
     FieldWriter(fields, numbered("alias", i))
         .add("name", catalogue.aliases[i].name)
-        .add("to", catalogue.aliases[i].to);
+        .add("to", catalogue.aliases[i].target);
   }
 }
 
 inline void add_budgets(const config::BudgetsFile& file, Fields& fields) {
   FieldWriter(fields, "budgets")
-      .add("fair", file.fair)
-      .add("charges", file.charges)
-      .add("block", file.block)
-      .add("soft worth", file.soft_worth)
-      .add("accounts", file.accounts);
+      .add("fair", file.fair_admission)
+      .add("charges", file.log_charges)
+      .add("block", file.block_fraction)
+      .add("soft worth", file.soft_limit_weight)
+      .add("accounts", file.max_accounts);
   for (std::size_t i = 0; i < file.budgets.size(); ++i) {
     const config::BudgetEntry& budget = file.budgets[i];
     FieldWriter(fields, numbered("budget", i))
         .add("name", budget.name)
-        .add("member", budget.member)
+        .add("member", budget.tenant)
         .add("model", budget.model)
-        .add("class", budget.cls)
-        .add("per", budget.per)
+        .add("class", budget.priority_class)
+        .add("per", budget.period)
         .add("tokens", budget.tokens)
         .add("burst", budget.burst)
         .add("hard", budget.hard);
@@ -190,12 +190,12 @@
   FieldWriter(fields, "group")
       .add("name", file.name)
       .add("sites", file.sites)
-      .add("self", file.self)
+      .add("self", file.local_router)
       .add("listen", file.listen)
-      .add("state", file.state)
-      .add("status", file.status)
-      .add("period", file.period_s)
-      .add("links", file.links);
+      .add("state", file.incarnation_file)
+      .add("status", file.status_socket)
+      .add("period", file.probe_interval_s)
+      .add("links", file.peer_links_enabled);
   for (std::size_t i = 0; i < file.routers.size(); ++i) {
     FieldWriter(fields, numbered("router", i))
         .add("name", file.routers[i].name)
@@ -217,29 +217,29 @@
       .add("flow domain", file.flow_domain);
   FieldWriter(fields, "affinity")
       .add("enabled", file.affinity.enabled)
-      .add("entries", file.affinity.entries)
-      .add("bytes", file.affinity.bytes)
-      .add("boxes", file.affinity.replicas)
+      .add("entries", file.affinity.max_entries)
+      .add("bytes", file.affinity.max_memory_bytes)
+      .add("boxes", file.affinity.max_replicas)
       .add("lifetime", file.affinity.lifetime_s)
       .add("answers for a false alarm", file.affinity.answers_per_false_alarm)
       .add("eviction", file.affinity.eviction);
   FieldWriter(fields, "store")
       .add("file", file.store.file)
-      .add("megabytes", file.store.megabytes)
-      .add("sync", file.store.sync_s)
-      .add("changes", file.store.changes);
+      .add("megabytes", file.store.max_megabytes)
+      .add("sync", file.store.max_sync_delay_s)
+      .add("changes", file.store.max_undurable_changes);
   add_models(file.catalogue, fields);
   add_budgets(file.budgets, fields);
   add_group(file.group, fields);
   FieldWriter(fields, "copies")
       .add("enabled", file.replication.enabled)
       .add("file", file.replication.file)
-      .add("megabytes", file.replication.megabytes)
-      .add("holders", file.replication.holders)
+      .add("megabytes", file.replication.max_megabytes)
+      .add("holders", file.replication.replica_count)
       .add("lease", file.replication.lease_s)
       .add("heartbeat", file.replication.heartbeat_s)
       .add("without majority", file.replication.without_majority)
-      .add("overdraft", file.replication.overdraft);
+      .add("overdraft", file.replication.overdraft_fraction);
   return fields;
 }
 
