--- a/src/testbed/fault_harness.cpp
+++ b/src/testbed/fault_harness.cpp
@@ -59,13 +59,13 @@
   replicas.seed = options_.seed;
   allowed_attempts_ = static_cast<std::size_t>(replicas.scenario.attempts);
   const Time grace = static_cast<Time>(1000 * replicas.scenario.drain_grace_ms);
-  replicas.asked = [this, grace](const std::string& id, Time draining) {
+  replicas.on_request = [this, grace](const std::string& id, Time draining) {
     ++attempts_[id];
     const auto router = static_cast<std::size_t>(std::atoi(id.c_str() + 1));
     if (draining > grace + kDrainSlack && router < size() && runs(router) && routers_[router].away.empty())
       ++late_to_draining_;
   };
-  replicas.tallied = [this](double tokens) { tokens_ += tokens; };
+  replicas.on_answer_started = [this](double tokens) { tokens_ += tokens; };
   installation_ = std::make_unique<Installation>(replicas);
   account_ =
       std::make_unique<RequestAudit>(RequestAudit::Options{.rate = std::max(0.01, options_.rate),
@@ -75,7 +75,7 @@
   for (std::size_t i = 0; i < size(); ++i) {
     routers_[i].folder = options_.folder + "/" + name(i);
     std::filesystem::create_directories(routers_[i].folder + "/disk");
-    for (std::size_t j = i + 1; options_.wires && options_.group && j < size(); ++j) {
+    for (std::size_t j = i + 1; options_.with_link_faults && options_.with_group && j < size(); ++j) {
       links_[{i, j}] = std::make_unique<FaultyLink>(options_.seed * 10'007 + i * 1'009 + j);
     }
   }
@@ -87,7 +87,7 @@
   }
   for (auto* twin : twins_) g_subprocess_force_exit(twin);
   // Callbacks that are still owed name this object.
-  until(
+  run_until(
       [this] {
         return std::all_of(routers_.begin(), routers_.end(),
                            [](const auto& r) { return r.process == nullptr && r.lines == nullptr; });
@@ -113,7 +113,7 @@
   if (links_.empty()) return fmt::format("127.0.0.1:{}", 12'000 + options_.seed % 1'000 * 16 + of);
   if (reader == of) return kLoopback;
   const auto& wire = links_.at({std::min(reader, of), std::max(reader, of)});
-  return reader < of ? wire->other_at() : wire->one_at();
+  return reader < of ? wire->address_of_second() : wire->address_of_first();
 }
 
 void FaultHarness::write_files(std::size_t router) {
@@ -126,7 +126,7 @@
   std::string file = options_.more;
   for (auto at = file.find("{disk}"); at != std::string::npos; at = file.find("{disk}", at))
     file.replace(at, 6, folder + "/disk");
-  if (options_.group) {
+  if (options_.with_group) {
     file += "\n[group]\nname = \"rig\"\nsites = [";
     for (std::size_t s = 0; s < options_.sites; ++s)
       file += fmt::format("{}\"site{}\"", s > 0 ? ", " : "", s);
@@ -254,8 +254,8 @@
 void FaultHarness::tell_wires(std::size_t router) {
   const Router& r = routers_[router];
   for (auto& [pair, wire] : links_) {
-    if (pair.first == router) wire->one_is(r.datagrams, r.links);
-    if (pair.second == router) wire->other_is(r.datagrams, r.links);
+    if (pair.first == router) wire->set_first_target(r.datagrams, r.links);
+    if (pair.second == router) wire->set_second_target(r.datagrams, r.links);
   }
 }
 
@@ -303,7 +303,7 @@
   g_subprocess_send_signal(routers_[router].process, SIGSTOP);
 }
 
-void FaultHarness::go(std::size_t router) {
+void FaultHarness::resume(std::size_t router) {
   if (state(router) != State::stopped) return;
   write_log(name(router) + " goes on");
   routers_[router].state = State::serving;
@@ -334,7 +334,7 @@
 }
 
 // Clients are led elsewhere, as the front does; what it has taken it owes an answer.
-void FaultHarness::end(std::size_t router) {
+void FaultHarness::terminate(std::size_t router) {
   if (!runs(router)) return;
   write_log(name(router) + " is told to end");
   measure(router);
@@ -359,7 +359,7 @@
   if (replica < installation_->replicas().size()) installation_->start_replica(replica);
 }
 
-void FaultHarness::start_twin(std::size_t router) {
+void FaultHarness::start_duplicate(std::size_t router) {
   const std::string folder = routers_[router].folder + "/twin";
   std::filesystem::create_directories(folder);
   std::ifstream file(routers_[router].folder + "/operator.toml");
@@ -383,26 +383,26 @@
 
 // ---------------------------------------------------------------- network
 
-FaultyLink& FaultHarness::wire(std::size_t a, std::size_t b, FaultyLink::Way& way) {
-  way = a < b ? FaultyLink::there : FaultyLink::back;
+FaultyLink& FaultHarness::wire(std::size_t a, std::size_t b, FaultyLink::Direction& way) {
+  way = a < b ? FaultyLink::forward : FaultyLink::backward;
   return *links_.at({std::min(a, b), std::max(a, b)});
 }
 
-void FaultHarness::set(std::size_t from, std::size_t to, const LinkFaults& faults) {
+void FaultHarness::set_faults(std::size_t from, std::size_t to, const LinkFaults& faults) {
   if (from == to || links_.empty()) return;
-  FaultyLink::Way way{};
-  wire(from, to, way).set(way, faults);
+  FaultyLink::Direction way{};
+  wire(from, to, way).set_faults(way, faults);
 }
 
 void FaultHarness::half_close(std::size_t from, std::size_t to) {
   if (from == to || links_.empty()) return;
-  FaultyLink::Way way{};
+  FaultyLink::Direction way{};
   wire(from, to, way).half_close(way);
 }
 
 void FaultHarness::reset(std::size_t a, std::size_t b) {
   if (a == b || links_.empty()) return;
-  FaultyLink::Way way{};
+  FaultyLink::Direction way{};
   wire(a, b, way).reset();
 }
 
@@ -410,21 +410,22 @@
   write_log(name(router) + (on ? " is cut off" : " is joined again"));
   LinkFaults faults;
   faults.cut = on;
-  for (std::size_t i = 0; i < size(); ++i) set(router, i, faults), set(i, router, faults);
+  for (std::size_t i = 0; i < size(); ++i) set_faults(router, i, faults), set_faults(i, router, faults);
 }
 
 void FaultHarness::heal() {
   write_log("all wires are mended");
-  for (auto& [pair, wire] : links_) wire->set(FaultyLink::there, {}), wire->set(FaultyLink::back, {});
+  for (auto& [pair, wire] : links_)
+    wire->set_faults(FaultyLink::forward, {}), wire->set_faults(FaultyLink::backward, {});
 }
 
 // ---------------------------------------------------------------- looking
 
-bool FaultHarness::says(std::size_t router, const std::string& text) const {
+bool FaultHarness::has_logged(std::size_t router, const std::string& text) const {
   return routers_[router].log.find(text, routers_[router].mark) != std::string::npos;
 }
 
-bool FaultHarness::until(const std::function<bool()>& holds, Time most) {
+bool FaultHarness::run_until(const std::function<bool()>& holds, Time most) {
   const Time limit = net::now_us() + most;
   // Something may come to hold without an event of its own here: a router's status. Looking at each datagram
   // that passes would hold up the wires, which pass in this loop.
@@ -446,11 +447,11 @@
   bool over = false;
   net::Timer end;
   end.start(time, [&] { over = true; });
-  until([&] { return over; }, time + 60'000'000);
+  run_until([&] { return over; }, time + 60'000'000);
 }
 
 std::string FaultHarness::call(std::size_t router, const std::string& line) const {
-  if (!runs(router) || !options_.group) return {};
+  if (!runs(router) || !options_.with_group) return {};
   try {
     return net::call_unix_socket(routers_[router].folder + "/status", line, kAnswers);
   } catch (const net::NetError&) {
@@ -466,7 +467,7 @@
 nlohmann::json FaultHarness::status(std::size_t router) const { return ask(router, "STATUS JSON"); }
 
 std::string FaultHarness::disagreement() const {
-  for (std::size_t i = 0; options_.group && i < size(); ++i) {
+  for (std::size_t i = 0; options_.with_group && i < size(); ++i) {
     if (!runs(i)) continue;
     const auto word = status(i);
     if (!word.is_object()) return name(i) + " does not tell its status";
@@ -487,10 +488,10 @@
 
 Time FaultHarness::agree_within() const { return kAgree * static_cast<Time>(1 + size() / 50); }
 
-std::string FaultHarness::settle() {
+std::string FaultHarness::recover_and_verify() {
   heal();
   const Time began = net::now_us();
-  for (std::size_t i = 0; i < size(); ++i) go(i);
+  for (std::size_t i = 0; i < size(); ++i) resume(i);
   const auto all_run = [this] {
     for (std::size_t i = 0; i < size(); ++i) {
       if (state(i) == State::down && routers_[i].crashed.empty()) start(i);
@@ -498,16 +499,16 @@
     }
     return true;
   };
-  if (!until(all_run, kEnds)) return "not all routers run again";
+  if (!run_until(all_run, kEnds)) return "not all routers run again";
   // A process whose disk was full serves on; its next start is as good as any.
-  if (!until([this] { return disagreement().empty(); }, agree_within()))
+  if (!run_until([this] { return disagreement().empty(); }, agree_within()))
     return "they do not agree: " + disagreement();
   agreed_after_s_ = static_cast<double>(net::now_us() - began) / 1e6;
   write_log("all agree");
   account_->finish();
-  if (!until([this] { return account_->open() == 0; }, kEnds)) return "there are requests without an end";
-  for (std::size_t i = 0; i < size(); ++i) end(i);
-  if (!until(
+  if (!run_until([this] { return account_->open() == 0; }, kEnds)) return "there are requests without an end";
+  for (std::size_t i = 0; i < size(); ++i) terminate(i);
+  if (!run_until(
           [this] {
             return std::all_of(routers_.begin(), routers_.end(),
                                [](const auto& r) { return r.state == State::down; });
@@ -561,16 +562,16 @@
 FaultHarness::Metrics FaultHarness::metrics() const {
   Metrics f;
   for (const auto& entry : account_->entries()) {
-    ++f.asked;
+    ++f.requests;
     f.served += entry->outcome == Outcome::served;
     f.rejected += entry->outcome == Outcome::rejected;
-    f.excused += entry->outcome != Outcome::served && entry->outcome != Outcome::rejected;
+    f.expected_failures += entry->outcome != Outcome::served && entry->outcome != Outcome::rejected;
   }
-  for (const auto& [id, count] : attempts_) f.most_attempts = std::max(f.most_attempts, count);
+  for (const auto& [id, count] : attempts_) f.max_attempts = std::max(f.max_attempts, count);
   for (const auto& r : routers_) {
     f.starts += r.starts;
     for (auto at = r.log.find(": gone, was"); at != std::string::npos; at = r.log.find(": gone, was", at + 1))
-      ++f.gone_words;
+      ++f.failure_reports;
   }
   for (const auto& [pair, wire] : links_)
     f.datagrams += wire->metrics().datagrams, f.lost += wire->metrics().lost;
@@ -586,8 +587,8 @@
   for (const auto& r : routers_)
     f.cpu_ms += r.cpu_ms / static_cast<double>(size()),
         f.memory_mb += r.memory_mb / static_cast<double>(size());
-  if (f.asked > 0)
-    f.cpu_us_a_request = 1000 * f.cpu_ms * static_cast<double>(size()) / static_cast<double>(f.asked);
+  if (f.requests > 0)
+    f.cpu_us_per_request = 1000 * f.cpu_ms * static_cast<double>(size()) / static_cast<double>(f.requests);
   return f;
 }
 
--- a/src/testbed/fault_harness.hpp
+++ b/src/testbed/fault_harness.hpp
@@ -36,10 +36,10 @@
   std::string scenario;  // of replicas and discovery
   std::size_t routers = 3, sites = 1;
   double period_s = 0.3;
-  double rate = 5;              // requests a second and router; 0: no clients
-  bool group = true;            // false: the same routers without their group
-  bool admin_endpoint = false;  // an admin endpoint, and with it the replacing of the process
-  bool wires = true;            // false: they reach each other straight, and no fault lies between them
+  double rate = 5;               // requests a second and router; 0: no clients
+  bool with_group = true;        // false: the same routers without their group
+  bool admin_endpoint = false;   // an admin endpoint, and with it the replacing of the process
+  bool with_link_faults = true;  // false: they reach each other straight, and no fault lies between them
   std::uint64_t seed = 1;
   std::string more;  // of each operator's file; {disk} is the router's folder that stands for its disk
   // Each thing that happens, with seconds since the start.
@@ -58,10 +58,10 @@
 
   // Processes. What makes no sense in a router's state changes nothing.
   void start(std::size_t router, DiskState disk = DiskState::kept);
-  void kill(std::size_t router);  // SIGKILL
-  void stop(std::size_t router);  // SIGSTOP
-  void go(std::size_t router);    // SIGCONT
-  void end(std::size_t router);   // SIGTERM
+  void kill(std::size_t router);       // SIGKILL
+  void stop(std::size_t router);       // SIGSTOP
+  void resume(std::size_t router);     // SIGCONT
+  void terminate(std::size_t router);  // SIGTERM
   // Another process takes its place under load, and the old one is told to end once the new one serves.
   void replace(std::size_t router);
   void set_clock(std::size_t router, double ahead_ms, double rate);  // the rate from its next start on
@@ -70,10 +70,10 @@
   void stop_replica(std::size_t replica);
   void start_replica(std::size_t replica);
   // A second process under this router's name, that the others are not told of but that can reach them.
-  void start_twin(std::size_t router);
+  void start_duplicate(std::size_t router);
 
   // The network. `from` to `to`, one way.
-  void set(std::size_t from, std::size_t to, const LinkFaults& faults);
+  void set_faults(std::size_t from, std::size_t to, const LinkFaults& faults);
   void half_close(std::size_t from, std::size_t to);
   void reset(std::size_t a, std::size_t b);
   void isolate(std::size_t router, bool on);
@@ -84,11 +84,11 @@
   bool runs(std::size_t router) const { return state(router) == State::serving; }
   const std::string& log(std::size_t router) const { return routers_[router].log; }
   // What it says after this is what says() looks at.
-  void mark(std::size_t router) { routers_[router].mark = routers_[router].log.size(); }
-  bool says(std::size_t router, const std::string& text) const;
+  void mark_log(std::size_t router) { routers_[router].mark = routers_[router].log.size(); }
+  bool has_logged(std::size_t router, const std::string& text) const;
 
   // Lets the loop run until it holds; false if it does not within the time.
-  bool until(const std::function<bool()>& holds, Time most = 60'000'000);
+  bool run_until(const std::function<bool()>& holds, Time most = 60'000'000);
   void run_for(Time time);
   // A router's own word, asked anew. Empty where it does not run or does not answer.
   nlohmann::json status(std::size_t router) const;
@@ -103,14 +103,14 @@
   // Microseconds: more for a large group.
   Time agree_within() const;
   // Heals all, starts all, waits until they agree, ends them, and says what did not hold; empty if all did.
-  std::string settle();
+  std::string recover_and_verify();
 
   struct Metrics {
-    std::size_t asked = 0, served = 0, rejected = 0, excused = 0, starts = 0, most_attempts = 0;
-    std::size_t gone_words = 0, datagrams = 0, lost = 0;
+    std::size_t requests = 0, served = 0, rejected = 0, expected_failures = 0, starts = 0, max_attempts = 0;
+    std::size_t failure_reports = 0, datagrams = 0, lost = 0;
     double agreed_after_s = 0;
     // Of a router that ran to the end: processor time and memory; of an answer: from the question to its end.
-    double cpu_ms = 0, memory_mb = 0, cpu_us_a_request = 0;
+    double cpu_ms = 0, memory_mb = 0, cpu_us_per_request = 0;
     double answer_p50_ms = 0, answer_p99_ms = 0;
   };
   Metrics metrics() const;
@@ -145,7 +145,7 @@
   void tell_wires(std::size_t router);
   void away(std::size_t router, bool on);
   bool excused(const Entry& entry) const;
-  FaultyLink& wire(std::size_t a, std::size_t b, FaultyLink::Way& way);
+  FaultyLink& wire(std::size_t a, std::size_t b, FaultyLink::Direction& way);
   std::string broken_promise() const;
   void write_log(const std::string& what) const;
 
--- a/src/testbed/fault_script.cpp
+++ b/src/testbed/fault_script.cpp
@@ -53,13 +53,13 @@
   read_routers(section, "to", most, fault.to);
   section.flag("both", fault.both);
   section.number("seconds", fault.seconds, 0, kMostSeconds);
-  section.number("lose", fault.wire.lose, 0, 1);
-  section.number("repeat", fault.wire.repeat, 0, 1);
-  section.number("garble", fault.wire.garble, 0, 1);
+  section.number("lose", fault.wire.loss_fraction, 0, 1);
+  section.number("repeat", fault.wire.repeat_fraction, 0, 1);
+  section.number("garble", fault.wire.garble_fraction, 0, 1);
   double least = 0, longest = 0;
   section.range("delay_ms", least, longest, 0, 60'000);
-  fault.wire.least_delay = static_cast<Time>(1000 * least),
-  fault.wire.most_delay = static_cast<Time>(1000 * longest);
+  fault.wire.min_delay = static_cast<Time>(1000 * least),
+  fault.wire.max_delay = static_cast<Time>(1000 * longest);
   section.flag("cut", fault.wire.cut);
   section.flag("hold", fault.wire.hold);
   section.number("ahead_ms", fault.ahead_ms, -1e12, 1e12);
@@ -94,7 +94,7 @@
       }
       return true;
     };
-    if (!rig_.until([&] { return all_run() && rig_.disagreement().empty(); }, rig_.agree_within()))
+    if (!rig_.run_until([&] { return all_run() && rig_.disagreement().empty(); }, rig_.agree_within()))
       return "they do not find each other at the start: " + rig_.disagreement();
     write_log_("the group has found itself");
     for (const auto& fault : script_.faults) {
@@ -105,7 +105,7 @@
     timers_.clear();
     for (std::size_t b = 0; b < rig_.replicas().replicas().size(); ++b)
       rig_.replicas().drain(b, false), rig_.start_replica(b);
-    return rig_.settle();
+    return rig_.recover_and_verify();
   }
 
  private:
@@ -123,14 +123,14 @@
     write_log_("-- " + describe(f));
     switch (f.kind) {
       case ScriptedFaultKind::kill: return each(f, &FaultHarness::kill);
-      case ScriptedFaultKind::go: return each(f, &FaultHarness::go);
-      case ScriptedFaultKind::end: return each(f, &FaultHarness::end);
+      case ScriptedFaultKind::go: return each(f, &FaultHarness::resume);
+      case ScriptedFaultKind::end: return each(f, &FaultHarness::terminate);
       case ScriptedFaultKind::start:
         for (const auto router : f.from) start(router, f.disk);
         return;
       case ScriptedFaultKind::stop:
         each(f, &FaultHarness::stop);
-        return later(f.seconds, [this, &f] { each(f, &FaultHarness::go); });
+        return later(f.seconds, [this, &f] { each(f, &FaultHarness::resume); });
       case ScriptedFaultKind::clock:
         for (const auto router : f.from) rig_.set_clock(router, f.ahead_ms, f.rate);
         return;
@@ -172,8 +172,8 @@
   void network(const ScriptedFault& f, const LinkFaults& faults) {
     for (const auto a : f.from) {
       for (const auto b : others_of(f.to, a, rig_.size())) {
-        rig_.set(a, b, faults);
-        if (f.both) rig_.set(b, a, faults);
+        rig_.set_faults(a, b, faults);
+        if (f.both) rig_.set_faults(b, a, faults);
       }
     }
   }
@@ -203,7 +203,7 @@
     faults.cut = on;
     for (std::size_t a = 0; a < rig_.size() / 2; ++a) {
       for (std::size_t b = rig_.size() / 2; b < rig_.size(); ++b)
-        rig_.set(a, b, faults), rig_.set(b, a, faults);
+        rig_.set_faults(a, b, faults), rig_.set_faults(b, a, faults);
     }
   }
   void drain(std::size_t replica, bool on) {
@@ -218,7 +218,7 @@
 
 }  // namespace
 
-FaultScript read_rig_script(const std::string& path) {
+FaultScript read_fault_script(const std::string& path) {
   FaultScript script;
   settings::read_file(path, [&](toml::table& root, Errors& problems) {
     Root all(root, problems);
@@ -240,8 +240,8 @@
   return script;
 }
 
-FaultScript random_rig_script(std::uint64_t seed, double seconds, std::size_t least_routers,
-                              std::size_t most_routers) {
+FaultScript random_fault_script(std::uint64_t seed, double seconds, std::size_t least_routers,
+                                std::size_t most_routers) {
   emulator::RandomStream chance(seed, emulator::Concern::faults);
   FaultScript script;
   script.seed = seed;
@@ -260,10 +260,10 @@
     f.disk = static_cast<DiskState>(chance.below(kDisks.size()));
     if (f.kind == ScriptedFaultKind::bridge || chance.happens(0.3))
       f.to = {(f.from[0] + 1 + chance.below(script.routers - 1)) % script.routers};
-    if (chance.happens(0.4)) f.wire.lose = chance.between(0, 0.4);
-    if (chance.happens(0.3)) f.wire.repeat = chance.between(0, 0.5);
-    if (chance.happens(0.3)) f.wire.garble = chance.between(0, 0.2);
-    if (chance.happens(0.3)) f.wire.most_delay = static_cast<Time>(chance.between(0, 300'000));
+    if (chance.happens(0.4)) f.wire.loss_fraction = chance.between(0, 0.4);
+    if (chance.happens(0.3)) f.wire.repeat_fraction = chance.between(0, 0.5);
+    if (chance.happens(0.3)) f.wire.garble_fraction = chance.between(0, 0.2);
+    if (chance.happens(0.3)) f.wire.max_delay = static_cast<Time>(chance.between(0, 300'000));
     f.wire.cut = chance.happens(0.2), f.wire.hold = chance.happens(0.1);
     f.ahead_ms = chance.between(-1e7, 1e7);
     f.rate = chance.between(0.99, 1.01);
@@ -294,9 +294,9 @@
   if (f.seconds > 0) text += fmt::format(" for {:.1f} s", f.seconds);
   if (f.kind == ScriptedFaultKind::network) {
     text += fmt::format("{} lose {:.2f} repeat {:.2f} garble {:.2f} delay {}..{} ms{}{}",
-                        f.both ? " both ways" : "", f.wire.lose, f.wire.repeat, f.wire.garble,
-                        f.wire.least_delay / 1000, f.wire.most_delay / 1000, f.wire.cut ? " cut" : "",
-                        f.wire.hold ? " hold" : "");
+                        f.both ? " both ways" : "", f.wire.loss_fraction, f.wire.repeat_fraction,
+                        f.wire.garble_fraction, f.wire.min_delay / 1000, f.wire.max_delay / 1000,
+                        f.wire.cut ? " cut" : "", f.wire.hold ? " hold" : "");
   }
   return text;
 }
@@ -312,7 +312,7 @@
     write_log(static_cast<double>(net::now_us() - began) / 1e6, what);
   });
   FaultScriptResult played;
-  played.broken = player.run();
+  played.violation = player.run();
   played.metrics = rig.metrics();
   return played;
 }
--- a/src/testbed/fault_script.hpp
+++ b/src/testbed/fault_script.hpp
@@ -50,13 +50,13 @@
 };
 
 // Throws settings::InvalidFile with one line for each error: file, line, key.
-FaultScript read_rig_script(const std::string& path);
-FaultScript random_rig_script(std::uint64_t seed, double seconds, std::size_t least_routers,
-                              std::size_t most_routers);
+FaultScript read_fault_script(const std::string& path);
+FaultScript random_fault_script(std::uint64_t seed, double seconds, std::size_t least_routers,
+                                std::size_t most_routers);
 std::string describe(const ScriptedFault& fault);
 
 struct FaultScriptResult {
-  std::string broken;  // the first thing that did not hold
+  std::string violation;  // the first thing that did not hold
   FaultHarness::Metrics metrics;
 };
 // The script's sizes and seed are taken; program, folder, scenario and `say` are the caller's.
--- a/src/testbed/faulty_link.hpp
+++ b/src/testbed/faulty_link.hpp
@@ -15,8 +15,8 @@
 // Of one way. Of a connection, cut and hold keep what comes until they end, as a network that is mended does
 // in the end; losses and repeats are of datagrams alone.
 struct LinkFaults {
-  double lose = 0, repeat = 0, garble = 0;  // parts of what passes
-  Time least_delay = 0, most_delay = 0;     // microseconds; what is drawn between them reorders datagrams
+  double loss_fraction = 0, repeat_fraction = 0, garble_fraction = 0;  // parts of what passes
+  Time min_delay = 0, max_delay = 0;  // microseconds; what is drawn between them reorders datagrams
   bool cut = false, hold = false;
 
   bool operator==(const LinkFaults&) const = default;
@@ -24,25 +24,25 @@
 
 class FaultyLink {
  public:
-  enum Way { there = 0, back = 1 };  // from the one to the other, and from the other to the one
+  enum Direction { forward = 0, backward = 1 };  // from the one to the other, and from the other to the one
 
   explicit FaultyLink(std::uint64_t seed);
   ~FaultyLink();
 
   // Where the one finds the other, and the other the one: datagrams and connections at the same port.
-  std::string other_at() const { return sides_[there].address; }
-  std::string one_at() const { return sides_[back].address; }
+  std::string address_of_second() const { return sides_[forward].address; }
+  std::string address_of_first() const { return sides_[backward].address; }
   // Where they really are, once known. Datagrams and connections.
-  void one_is(const std::string& datagrams, const std::string& links) {
-    sides_[back].datagrams = datagrams, sides_[back].links = links;
+  void set_first_target(const std::string& datagrams, const std::string& links) {
+    sides_[backward].datagrams = datagrams, sides_[backward].links = links;
   }
-  void other_is(const std::string& datagrams, const std::string& links) {
-    sides_[there].datagrams = datagrams, sides_[there].links = links;
+  void set_second_target(const std::string& datagrams, const std::string& links) {
+    sides_[forward].datagrams = datagrams, sides_[forward].links = links;
   }
 
-  void set(Way way, const LinkFaults& faults);
+  void set_faults(Direction direction, const LinkFaults& faults);
   // Of the connections that are open: no more bytes that way, but for those that are on it; or none at all.
-  void half_close(Way way);
+  void half_close(Direction direction);
   void reset();
 
   struct Metrics {
@@ -59,11 +59,11 @@
     std::unique_ptr<net::Listener> listener;
     std::vector<std::string> held;
   };
-  void open(Way way);
-  void arrived(Way way, std::string bytes);
-  void pass(Way way, const std::string& bytes);
+  void open(Direction direction);
+  void arrived(Direction direction, std::string bytes);
+  void pass(Direction direction, const std::string& bytes);
   void later(Time delay, std::function<void()> act);
-  std::string garbled(Way way, std::string bytes);
+  std::string garbled(Direction direction, std::string bytes);
 
   Side sides_[2];
   std::list<std::unique_ptr<Pipe>> pipes_;
--- a/src/testbed/installation.cpp
+++ b/src/testbed/installation.cpp
@@ -61,7 +61,7 @@
  public:
   StandInReplica(Installation& owner, emulator::DrawnReplica drawn, std::string uid)
       : owner_(owner), drawn_(std::move(drawn)), uid_(std::move(uid)) {
-    server_ = std::make_unique<Server>("127.0.0.1:0", [this](Server::Line& line) { asked(line); });
+    server_ = std::make_unique<Server>("127.0.0.1:0", [this](Server::Connection& line) { asked(line); });
     address_ = server_->address();
   }
 
@@ -86,7 +86,7 @@
     if (up()) return;
     started_ = net::now_us();
     const auto serve = [this](const std::string& at) {
-      server_ = std::make_unique<Server>(at, [this](Server::Line& line) { asked(line); });
+      server_ = std::make_unique<Server>(at, [this](Server::Connection& line) { asked(line); });
     };
     try {
       serve(address_);
@@ -116,7 +116,7 @@
     bool begun = false;
   };
 
-  void asked(Server::Line& line) {
+  void asked(Server::Connection& line) {
     const http::Head& head = line.reader.head();
     if (head.method == "GET") return line.write(empty_answer(200));
     const fronts::Dialect* dialect = nullptr;
@@ -127,8 +127,8 @@
     if (dialect == nullptr || id == nullptr) {
       return line.write(empty_answer(404));
     }
-    ++owner_.metrics_.asked;
-    owner_.options_.asked(*id, drains_since == 0 ? 0 : std::max<Time>(1, net::now_us() - drains_since));
+    ++owner_.metrics_.requests;
+    owner_.options_.on_request(*id, drains_since == 0 ? 0 : std::max<Time>(1, net::now_us() - drains_since));
     fronts::ClientRequest call;
     call.dialect = dialect;
     call.head = head;
@@ -154,7 +154,7 @@
                                               .generated = generated,
                                               .size = request.work_hint,
                                               .due = request.deadline})) {
-      ++owner_.metrics_.full;
+      ++owner_.metrics_.rejected;
       return line.write(turned_away());
     }
     answers_[job] = {line.number, dialect->event_writer(*id), request.prompt_tokens, generated, 0, 0, false};
@@ -174,9 +174,9 @@
       const auto found = answers_.find(report.job);
       if (found == answers_.end()) continue;
       Answer& answer = found->second;
-      Server::Line* line = server_->find(answer.line);
+      Server::Connection* line = server_->find(answer.line);
       if (line == nullptr) {  // nobody waits any more; what was begun is ended for nobody
-        ++owner_.metrics_.cut_off;
+        ++owner_.metrics_.disconnected;
         answers_.erase(found);
         continue;
       }
@@ -186,15 +186,15 @@
         continue;
       }
       if (report.kind == ReportKind::first_token) {
-        ++owner_.metrics_.begun;
-        owner_.options_.tallied(answer.prompt + answer.generated);
+        ++owner_.metrics_.started;
+        owner_.options_.on_answer_started(answer.prompt + answer.generated);
         answer.begun = true;
         answer.kept = report.cached;
         line->write(stream_head());
         tell(*line, answer, 1);
         if (!frames_.running()) frames_.start(kFrameEvery, [this] { tell_all(); });
       } else {
-        ++owner_.metrics_.done;
+        ++owner_.metrics_.completed;
         finish(*line, answer);
         answers_.erase(found);
       }
@@ -203,7 +203,7 @@
   }
 
   // What was made since the last event.
-  void tell(Server::Line& line, Answer& answer, double generated) {
+  void tell(Server::Connection& line, Answer& answer, double generated) {
     std::string text;
     for (; answer.told < generated; ++answer.told) {
       const auto word = static_cast<std::size_t>(answer.told + answer.prompt) % std::size(kWords);
@@ -221,7 +221,7 @@
     for (auto& [job, answer] : answers_) {
       if (!answer.begun) continue;
       any = true;
-      Server::Line* line = server_->find(answer.line);
+      Server::Connection* line = server_->find(answer.line);
       // The last one goes with the end.
       if (line != nullptr)
         tell(*line, answer, std::min(answer.generated - 1, drawn_.engine->generated_by(net::now_us(), job)));
@@ -229,7 +229,7 @@
     if (any) frames_.start(kFrameEvery, [this] { tell_all(); });
   }
 
-  void finish(Server::Line& line, Answer& answer) {
+  void finish(Server::Connection& line, Answer& answer) {
     tell(line, answer, answer.generated);
     core::StreamEvent stop, usage, end;
     stop.kind = core::EventKind::stop;
@@ -270,7 +270,7 @@
   notice_s_ = directory.between(s.notice_s.low, s.notice_s.high);
   directory.between(s.silent_notice_s.low, s.silent_notice_s.high);
   add_s_ = directory.between(s.add_s.low, s.add_s.high);
-  discovery_ = std::make_unique<Server>(options.discovery, [this](Server::Line& line) { asked(line); });
+  discovery_ = std::make_unique<Server>(options.discovery, [this](Server::Connection& line) { asked(line); });
 }
 
 Installation::~Installation() = default;
@@ -296,7 +296,7 @@
       .dump();
 }
 
-void Installation::answer(Server::Line& line) {
+void Installation::answer(Server::Connection& line) {
   std::string targets;
   for (const auto& replica : replicas_) {
     if (replica->up()) targets += (targets.empty() ? "" : ",") + entry(*replica);
@@ -304,7 +304,7 @@
   line.write(list_answer(revision_, true, targets));
 }
 
-void Installation::asked(Server::Line& line) {
+void Installation::asked(Server::Connection& line) {
   const std::string target = line.reader.head().target;
   const auto after = static_cast<std::uint64_t>(number_in(target, "after=", -1) + 1);
   if (after == 0 || after <= revision_) return answer(line);
@@ -314,7 +314,7 @@
   const auto wait =
       std::clamp<Time>(static_cast<Time>(1000 * number_in(target, "wait_ms=", 20'000)), 0, kMostWait);
   watcher.patience->start(wait, [this, number = line.number] {
-    if (Server::Line* still = discovery_->find(number)) still->write(list_answer(revision_, false, ""));
+    if (Server::Connection* still = discovery_->find(number)) still->write(list_answer(revision_, false, ""));
   });
   watchers_.push_back(std::move(watcher));
 }
@@ -343,7 +343,7 @@
   ++revision_;
   for (auto& watcher : std::exchange(watchers_, {})) {
     watcher.patience->stop();
-    if (Server::Line* line = discovery_->find(watcher.line)) answer(*line);
+    if (Server::Connection* line = discovery_->find(watcher.line)) answer(*line);
   }
 }
 
@@ -395,7 +395,7 @@
 
 // ---------------------------------------------------------------- faults
 
-void Installation::begin() {
+void Installation::schedule_faults() {
   emulator::RandomStream chance(options_.seed, emulator::Concern::faults);
   const auto& all = options_.scenario.faults;
   for (std::size_t i = 0; i < all.size(); ++i) {
--- a/src/testbed/installation.hpp
+++ b/src/testbed/installation.hpp
@@ -23,9 +23,9 @@
   std::string router_listen = "127.0.0.1:8080";
   // Each request that a replica was sent: its id, and for how long the list has said by then that the replica
   // drains; 0: it does not.
-  std::function<void(const std::string& id, Time draining)> asked = [](auto&, auto) {};
+  std::function<void(const std::string& id, Time draining)> on_request = [](auto&, auto) {};
   // Each answer that a replica began: what it will tally for it, whether anybody stays to hear of it or not.
-  std::function<void(double tokens)> tallied = [](double) {};
+  std::function<void(double tokens)> on_answer_started = [](double) {};
 };
 
 class Installation {
@@ -40,7 +40,7 @@
   std::vector<std::pair<std::string, std::string>> replicas() const;
 
   struct Metrics {
-    std::uint64_t asked = 0, full = 0, begun = 0, done = 0, cut_off = 0;
+    std::uint64_t requests = 0, rejected = 0, started = 0, completed = 0, disconnected = 0;
   };
   const Metrics& metrics() const { return metrics_; }
   // The list says from now on that this replica drains, or no longer.
@@ -49,7 +49,7 @@
   void stop_replica(std::size_t replica);
   void start_replica(std::size_t replica);
   // Troubles of the scenario begin at their times from here on.
-  void begin();
+  void schedule_faults();
 
  private:
   friend class StandInReplica;
@@ -57,8 +57,8 @@
     std::uint64_t line = 0;
     std::unique_ptr<net::Timer> patience;
   };
-  void asked(Server::Line& line);
-  void answer(Server::Line& line);
+  void asked(Server::Connection& line);
+  void answer(Server::Connection& line);
   std::string entry(const StandInReplica& replica) const;
   void changed();
   void changed_in(double seconds);
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -34,7 +34,7 @@
   net::Timer again;
 };
 
-struct Load::Line {
+struct Load::Connection {
   std::unique_ptr<net::Stream> stream;
   std::optional<http::MessageReader> reader;
   Turn* turn = nullptr;  // null: idle
@@ -68,16 +68,17 @@
 
 void Load::go_on() {
   const Time now = net::now_us() - began_;
-  for (; next_ < options_.asked.size() && options_.asked[next_].at <= now; ++next_) {
+  for (; next_ < options_.requests.size() && options_.requests[next_].at <= now; ++next_) {
     Turn& turn = *turns_.emplace_back(std::make_unique<Turn>());
-    turn.asked = options_.asked[next_];
+    turn.asked = options_.requests[next_];
     if (now - turn.asked.at >= kLateStart) ++metrics_.late_starts;
     ++result_.turns;
     ++result_.classes[turn.asked.cls].turns;
     result_.work_asked += turn.asked.work;
     try_turn(turn);
   }
-  if (next_ < options_.asked.size()) return pacer_.start(options_.asked[next_].at - now, [this] { go_on(); });
+  if (next_ < options_.requests.size())
+    return pacer_.start(options_.requests[next_].at - now, [this] { go_on(); });
   if (turns_.empty()) finish();
 }
 
@@ -121,17 +122,17 @@
   ++result_.tries;
   const Time limit = std::min(static_cast<Time>(options_.scenario.try_share * 1000 * d.deadline_ms),
                               turn.asked.deadline - now);
-  Line* line = nullptr;
+  Connection* line = nullptr;
   for (auto& one : lines_) {
     if (one->turn == nullptr && one->stream->open()) line = one.get();
   }
   if (line == nullptr) {
     lines_.remove_if([](const auto& one) { return one->turn == nullptr && !one->stream->open(); });
-    if (lines_.size() >= options_.most_connections) {
+    if (lines_.size() >= options_.max_connections) {
       ++metrics_.no_connection;
       return turned_away(turn, 0, false);
     }
-    line = lines_.emplace_back(std::make_unique<Line>()).get();
+    line = lines_.emplace_back(std::make_unique<Connection>()).get();
     line->stream = std::make_unique<net::Stream>(
         net::Stream::Callbacks{.connected = [] {},
                                .arrived = [this, line](std::string_view bytes) { arrived(*line, bytes); },
@@ -152,13 +153,13 @@
   });
 }
 
-void Load::drop(Line& line) {
+void Load::drop(Connection& line) {
   line.turn = nullptr;
   line.patience.stop();
   line.stream->close();
 }
 
-void Load::arrived(Line& line, std::string_view bytes) {
+void Load::arrived(Connection& line, std::string_view bytes) {
   if (line.turn == nullptr) return line.stream->close();
   try {
     line.reader->feed(bytes);
@@ -179,13 +180,13 @@
 }
 
 // The connection broke: what was asked on it has no answer, or only a part of one.
-void Load::ended(Line& line) {
+void Load::ended(Connection& line) {
   Turn* turn = line.turn;
   drop(line);
   if (turn != nullptr) turned_away(*turn, 0, turn->first_at > 0);
 }
 
-void Load::answered(Line& line) {
+void Load::answered(Connection& line) {
   Turn& turn = *line.turn;
   line.turn = nullptr;
   line.patience.stop();
@@ -240,7 +241,7 @@
   grave->turn = std::move(*at);
   turns_.erase(at);
   net::deferred_delete(std::move(grave));
-  if (next_ == options_.asked.size() && turns_.empty()) finish();
+  if (next_ == options_.requests.size() && turns_.empty()) finish();
 }
 
 }  // namespace thornwick::testbed
--- a/src/testbed/load.hpp
+++ b/src/testbed/load.hpp
@@ -20,11 +20,11 @@
 namespace thornwick::testbed {
 
 struct LoadOptions {
-  emulator::Scenario scenario;                  // classes, members, what clients do when they are rejected
-  std::vector<emulator::PlannedRequest> asked;  // by time
-  std::vector<std::string> routers;             // addresses; requests go to them in turn
+  emulator::Scenario scenario;                     // classes, members, what clients do when they are rejected
+  std::vector<emulator::PlannedRequest> requests;  // by time
+  std::vector<std::string> routers;                // addresses; requests go to them in turn
   std::string dialect = "platform";
-  std::size_t most_connections = 800;
+  std::size_t max_connections = 800;
   std::uint64_t seed = 1;
 };
 
@@ -44,17 +44,17 @@
   const Metrics& metrics() const { return metrics_; }
 
  private:
-  struct Line;
+  struct Connection;
   struct Turn;
   void go_on();
   void finish();
   void try_turn(Turn& turn);
-  void arrived(Line& line, std::string_view bytes);
-  void ended(Line& line);
-  void answered(Line& line);
+  void arrived(Connection& line, std::string_view bytes);
+  void ended(Connection& line);
+  void answered(Connection& line);
   void turned_away(Turn& turn, Time retry_after, bool broken);
   void end_turn(Turn& turn, double part);
-  void drop(Line& line);
+  void drop(Connection& line);
   std::string bytes_of(const Turn& turn, Time limit) const;
 
   LoadOptions options_;
@@ -70,7 +70,7 @@
   std::size_t next_router_ = 0;
   double backoff_us_ = 0;
   std::list<std::unique_ptr<Turn>> turns_;
-  std::list<std::unique_ptr<Line>> lines_;
+  std::list<std::unique_ptr<Connection>> lines_;
   net::Timer pacer_;
 };
 
--- a/src/testbed/replication_play.cpp
+++ b/src/testbed/replication_play.cpp
@@ -19,13 +19,13 @@
 
 class Play {
  public:
-  Play(const CopiesPlay& script, FaultHarnessOptions options)
+  Play(const ReplicationPlayOptions& script, FaultHarnessOptions options)
       : script_(script),
         chance_(script.seed, emulator::Concern::faults),
         rig_(with(script, std::move(options))) {}
 
-  CopiesPlayed run() {
-    if (const std::string broken = all(); !broken.empty()) played_.broken = broken;
+  ReplicationPlayResult run() {
+    if (const std::string broken = all(); !broken.empty()) played_.violation = broken;
     played_.tokens = rig_.tokens();
     const auto metrics = rig_.metrics();
     played_.served = metrics.served, played_.rejected = metrics.rejected;
@@ -39,20 +39,20 @@
     bool yes = false;
   };
 
-  static FaultHarnessOptions with(const CopiesPlay& script, FaultHarnessOptions options) {
+  static FaultHarnessOptions with(const ReplicationPlayOptions& script, FaultHarnessOptions options) {
     options.routers = script.routers, options.sites = script.sites, options.seed = script.seed;
     options.rate = 12;
     options.more = fmt::format(
         "[copies]\nenabled = true\nfile = \"{{disk}}/copies\"\nholders = {}\nlease_s = 1.5\nheartbeat_s = "
         "0.1\n"
         "[[budget]]\nname = \"day\"\nmember = \"all\"\nper = \"day\"\ntokens = {}\n",
-        script.copies, script.tokens);
+        script.replicas, script.tokens);
     return options;
   }
 
   std::string all() {
     for (std::size_t i = 0; i < rig_.size(); ++i) rig_.start(i);
-    if (!rig_.until([this] { return unfilled().empty(); }, kFounds))
+    if (!rig_.run_until([this] { return unfilled().empty(); }, kFounds))
       return "the ledger is not founded: " + unfilled();
     for (int loss = 0; loss < 2; ++loss) {
       pass(chance_.between(0.2, 1.2));
@@ -61,7 +61,7 @@
     if (!use_up()) return "the budget is not used up";
     decide();
     if (const auto broken = judge(); !broken.empty()) return broken;
-    return rig_.settle();
+    return rig_.recover_and_verify();
   }
 
   void pass(double seconds) { rig_.run_for(static_cast<Time>(1e6 * seconds)); }
@@ -71,12 +71,12 @@
   // As many machines as the copies bear, or a site's.
   std::set<std::size_t> victims() {
     std::set<std::size_t> chosen;
-    if (script_.site) {
+    if (script_.lose_site) {
       const std::size_t site = chance_.below(script_.sites);
       for (std::size_t i = site; i < rig_.size(); i += script_.sites) chosen.insert(i);
       return chosen;
     }
-    const std::size_t most = 1 + chance_.below(script_.copies / 2);
+    const std::size_t most = 1 + chance_.below(script_.replicas / 2);
     while (chosen.size() < most) chosen.insert(chance_.below(rig_.size()));
     return chosen;
   }
@@ -87,21 +87,21 @@
     correct();
     const double before = rig_.tokens();
     const Time at = net::now_us();
-    rig_.until([&] { return rig_.tokens() > before + 60; }, seconds(5));
+    rig_.run_until([&] { return rig_.tokens() > before + 60; }, seconds(5));
     played_.leader_after_s = std::max(played_.leader_after_s, static_cast<double>(net::now_us() - at) / 1e6);
-    if (script_.faults) fault(lost);
+    if (script_.other_faults) fault(lost);
     pass(chance_.between(0.1, 1.5));
     correct();
     const Time started = net::now_us();
-    if (!rig_.until([&] {
+    if (!rig_.run_until([&] {
           return std::all_of(lost.begin(), lost.end(),
                              [&](auto r) { return rig_.state(r) == FaultHarness::State::down; });
         }))
       return "a killed router does not end";
     for (const std::size_t r : lost) rig_.start(r, DiskState::empty);
     rig_.heal();
-    for (std::size_t i = 0; i < rig_.size(); ++i) rig_.go(i);
-    if (!rig_.until([this] { return unfilled().empty(); }, kFills))
+    for (std::size_t i = 0; i < rig_.size(); ++i) rig_.resume(i);
+    if (!rig_.run_until([this] { return unfilled().empty(); }, kFills))
       return "a copy is not filled again: " + unfilled();
     played_.filled_after_s =
         std::max(played_.filled_after_s, static_cast<double>(net::now_us() - started) / 1e6);
@@ -123,10 +123,10 @@
         return;
       default: {
         LinkFaults faults;
-        faults.lose = 0.2, faults.repeat = 0.2;
-        faults.least_delay = 0, faults.most_delay = 60'000;
+        faults.loss_fraction = 0.2, faults.repeat_fraction = 0.2;
+        faults.min_delay = 0, faults.max_delay = 60'000;
         for (std::size_t i = 0; i < rig_.size(); ++i) {
-          if (i != other) rig_.set(i, other, faults), rig_.set(other, i, faults);
+          if (i != other) rig_.set_faults(i, other, faults), rig_.set_faults(other, i, faults);
         }
       }
     }
@@ -148,7 +148,7 @@
   }
   // Until each correction has its word, or its router died with it.
   void decide() {
-    rig_.until(
+    rig_.run_until(
         [this] {
           bool open = false;
           for (auto& a : asked_) {
@@ -181,7 +181,7 @@
       }
     }
     if (!leader.is_object()) return "nobody leads";
-    if (leader.at("members").size() != script_.copies)
+    if (leader.at("members").size() != script_.replicas)
       return fmt::format("{} members", leader.at("members").size());
     for (const auto& m : leader.at("members")) {
       if (!m.at("votes").get<bool>() ||
@@ -194,7 +194,7 @@
   bool use_up() {
     double seen = -1;
     Time since = net::now_us();
-    return rig_.until(
+    return rig_.run_until(
         [&] {
           if (rig_.tokens() != seen) seen = rig_.tokens(), since = net::now_us();
           return net::now_us() - since > kQuiet;
@@ -241,16 +241,16 @@
     return {};
   }
 
-  CopiesPlay script_;
+  ReplicationPlayOptions script_;
   emulator::RandomStream chance_;
   std::vector<Asked> asked_;
-  CopiesPlayed played_;
+  ReplicationPlayResult played_;
   FaultHarness rig_;
 };
 
 }  // namespace
 
-CopiesPlayed play_losses(const CopiesPlay& script, FaultHarnessOptions options) {
+ReplicationPlayResult play_machine_losses(const ReplicationPlayOptions& script, FaultHarnessOptions options) {
   return Play(script, std::move(options)).run();
 }
 
--- a/src/testbed/replication_play.hpp
+++ b/src/testbed/replication_play.hpp
@@ -9,16 +9,16 @@
 
 namespace thornwick::testbed {
 
-struct CopiesPlay {
+struct ReplicationPlayOptions {
   std::uint64_t seed = 1;
-  std::size_t routers = 3, sites = 3, copies = 3;
-  double tokens = 9000;  // the day's, of all members together
-  bool faults = true;    // else machines are lost, and nothing else happens
-  bool site = false;     // a whole site is lost, instead of as many machines as the copies bear
+  std::size_t routers = 3, sites = 3, replicas = 3;
+  double tokens = 9000;      // the day's, of all members together
+  bool other_faults = true;  // else machines are lost, and nothing else happens
+  bool lose_site = false;    // a whole site is lost, instead of as many machines as the copies bear
 };
 
-struct CopiesPlayed {
-  std::string broken;  // the first thing that did not hold
+struct ReplicationPlayResult {
+  std::string violation;  // the first thing that did not hold
   std::size_t kills = 0, corrections = 0, confirmed = 0, served = 0, rejected = 0;
   double tokens = 0, limit = 0;  // as the replicas tallied; of all windows that were open, with corrections
   double filled_after_s = 0,
@@ -26,6 +26,6 @@
 };
 
 // Program, folder, scenario and `say` are the caller's.
-CopiesPlayed play_losses(const CopiesPlay& script, FaultHarnessOptions options);
+ReplicationPlayResult play_machine_losses(const ReplicationPlayOptions& script, FaultHarnessOptions options);
 
 }  // namespace thornwick::testbed
--- a/src/testbed/request_audit.cpp
+++ b/src/testbed/request_audit.cpp
@@ -42,7 +42,7 @@
 }
 
 // One connection for one request.
-struct RequestAudit::Line : net::DeferredDeletable {
+struct RequestAudit::Connection : net::DeferredDeletable {
   std::unique_ptr<net::Stream> stream;
   http::MessageReader reader{http::MessageReader::Kind::answer};
   Entry* entry = nullptr;
@@ -90,7 +90,7 @@
   entry.id = fmt::format("q{}-{}", router, ++last_);
   entry.asked = net::now_us();
   ++open_;
-  Line& line = *lines_.emplace_back(std::make_unique<Line>());
+  Connection& line = *lines_.emplace_back(std::make_unique<Connection>());
   line.entry = &entry;
   line.stream = std::make_unique<net::Stream>(net::Stream::Callbacks{
       .connected = [&line] { line.connected = true; },
@@ -103,7 +103,7 @@
   line.stream->write(request_bytes(entry.id, options_.limit, options_.cls, options_.member));
 }
 
-void RequestAudit::end(Line& line, Outcome outcome) {
+void RequestAudit::end(Connection& line, Outcome outcome) {
   if (line.entry->outcome == Outcome::open) {
     line.entry->outcome = outcome;
     line.entry->ended = net::now_us();
--- a/src/testbed/request_audit.hpp
+++ b/src/testbed/request_audit.hpp
@@ -42,15 +42,15 @@
   const std::vector<std::unique_ptr<Entry>>& entries() const { return entries_; }
 
  private:
-  struct Line;
+  struct Connection;
   void ask(std::size_t router);
-  void end(Line& line, Outcome outcome);
+  void end(Connection& line, Outcome outcome);
 
   Options options_;
   std::vector<std::string> addresses_;
   std::vector<net::Timer> pacers_;
   std::vector<std::unique_ptr<Entry>> entries_;
-  std::list<std::unique_ptr<Line>> lines_;
+  std::list<std::unique_ptr<Connection>> lines_;
   std::size_t open_ = 0;
   std::uint64_t last_ = 0;
 };
--- a/src/testbed/server.cpp
+++ b/src/testbed/server.cpp
@@ -2,7 +2,8 @@
 
 namespace thornwick::testbed {
 
-Server::Server(const std::string& address, std::function<void(Line&)> asked) : asked_(std::move(asked)) {
+Server::Server(const std::string& address, std::function<void(Connection&)> asked)
+    : asked_(std::move(asked)) {
   listener_ = std::make_unique<net::Listener>(
       address, [] { return net::descriptors().held < net::descriptors().limit; },
       [this](net::Owned<GSocket> socket) { accept(std::move(socket)); });
@@ -10,7 +11,7 @@
 
 void Server::accept(net::Owned<GSocket> socket) {
   sweep();
-  Line* line = lines_.emplace_back(std::make_unique<Line>()).get();
+  Connection* line = lines_.emplace_back(std::make_unique<Connection>()).get();
   line->number = ++last_;
   line->stream = std::make_unique<net::Stream>(
       net::Stream::Callbacks{.connected = [] {},
@@ -20,7 +21,7 @@
   line->stream->adopt(std::move(socket));
 }
 
-void Server::arrived(Line& line, std::string_view bytes) {
+void Server::arrived(Connection& line, std::string_view bytes) {
   try {
     line.reader.feed(bytes);
     for (auto piece = line.reader.next(); piece != http::MessageReader::Piece::none;
@@ -37,7 +38,7 @@
   }
 }
 
-Server::Line* Server::find(std::uint64_t number) {
+Server::Connection* Server::find(std::uint64_t number) {
   for (auto& line : lines_) {
     if (line->number == number) return line->open() ? line.get() : nullptr;
   }
--- a/src/testbed/server.hpp
+++ b/src/testbed/server.hpp
@@ -15,7 +15,7 @@
 class Server {
  public:
   // A connection that a client keeps. It lives until the client has gone and sweep() was called.
-  struct Line {
+  struct Connection {
     std::unique_ptr<net::Stream> stream;
     http::MessageReader reader{http::MessageReader::Kind::request};
     std::string body;
@@ -26,19 +26,19 @@
     }
   };
   // Throws net::NetError if it cannot listen. `asked` gets each whole request.
-  Server(const std::string& address, std::function<void(Line&)> asked);
+  Server(const std::string& address, std::function<void(Connection&)> asked);
 
   std::string address() const { return listener_->address(); }
-  Line* find(std::uint64_t number);
-  std::list<std::unique_ptr<Line>>& lines() { return lines_; }
+  Connection* find(std::uint64_t number);
+  std::list<std::unique_ptr<Connection>>& lines() { return lines_; }
 
  private:
   void accept(net::Owned<GSocket> socket);
-  void arrived(Line& line, std::string_view bytes);
+  void arrived(Connection& line, std::string_view bytes);
   void sweep();
 
-  std::function<void(Line&)> asked_;
-  std::list<std::unique_ptr<Line>> lines_;
+  std::function<void(Connection&)> asked_;
+  std::list<std::unique_ptr<Connection>> lines_;
   std::uint64_t last_ = 0;
   std::unique_ptr<net::Listener> listener_;
 };
--- a/src/tools/group_play.cpp
+++ b/src/tools/group_play.cpp
@@ -39,13 +39,13 @@
       "seed {}: {} routers, {} faults, {} starts; {} requests, {} served, {} refused, {} excused, {} "
       "attempts at the most; {} words of gone; "
       "{} datagrams, {} lost; agreed after {:.1f} s; logs in {}\n",
-      script.seed, script.routers, script.faults.size(), metrics.starts, metrics.asked, metrics.served,
-      metrics.rejected, metrics.excused, metrics.most_attempts, metrics.gone_words, metrics.datagrams,
-      metrics.lost, metrics.agreed_after_s, folder);
+      script.seed, script.routers, script.faults.size(), metrics.starts, metrics.requests, metrics.served,
+      metrics.rejected, metrics.expected_failures, metrics.max_attempts, metrics.failure_reports,
+      metrics.datagrams, metrics.lost, metrics.agreed_after_s, folder);
   fmt::print(
       "  a router: {:.0f} ms of CPU, {:.1f} MB; {:.0f} us of CPU a request; answers p50 {:.1f} ms, p99 "
       "{:.1f} ms\n",
-      metrics.cpu_ms, metrics.memory_mb, metrics.cpu_us_a_request, metrics.answer_p50_ms,
+      metrics.cpu_ms, metrics.memory_mb, metrics.cpu_us_per_request, metrics.answer_p50_ms,
       metrics.answer_p99_ms);
   std::fflush(stdout);
 }
@@ -56,20 +56,20 @@
   harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
   harness.folder = folder;
   harness.scenario = options.scenario;
-  harness.group = !options.without_group;
-  harness.wires = !options.without_wires;
+  harness.with_group = !options.without_group;
+  harness.with_link_faults = !options.without_wires;
   if (!options.quiet)
     harness.write_log = [](double at, const std::string& text) { fmt::print("{:9.3f}  {}\n", at, text); };
   const auto played = testbed::play(script, harness);
   print_summary(script, played.metrics, folder);
-  if (played.broken.empty()) return 0;
-  fmt::print("BROKEN: {}\n", played.broken);
+  if (played.violation.empty()) return 0;
+  fmt::print("BROKEN: {}\n", played.violation);
   return 1;
 }
 
 // Options of the command line take precedence over those of the script.
 int play_script(PlayOptions options, const std::string& folder) {
-  auto script = testbed::read_rig_script(options.script);
+  auto script = testbed::read_fault_script(options.script);
   script.seed = options.seed.value_or(script.seed);
   script.seconds = options.seconds.value_or(script.seconds);
   if (options.scenario.empty() && !script.scenario.empty())
@@ -89,7 +89,7 @@
   const double seconds = options.seconds.value_or(kDefaultSeconds);
   int broken = 0;
   for (std::uint64_t seed = first; seed < first + options.count; ++seed) {
-    const auto script = testbed::random_rig_script(seed, seconds, options.min_routers, options.max_routers);
+    const auto script = testbed::random_fault_script(seed, seconds, options.min_routers, options.max_routers);
     if (play_one(options, script, folder + fmt::format("/{}", seed)) == 0) continue;
     ++broken;
     fmt::print("  again: thornwick group play --scenario {} --seed {} --seconds {} --least {} --most {}\n",
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -54,7 +54,7 @@
   load_options.routers = options.routers;
   load_options.dialect = options.dialect;
   load_options.seed = options.seed;
-  load_options.most_connections = options.connections;
+  load_options.max_connections = options.connections;
   testbed::Load load(std::move(load_options));
   const MainLoop loop = make_main_loop();
   quit_on_stop_signals(loop.get());
@@ -72,9 +72,9 @@
   net::descriptors().limit = kStandinDescriptors;
   testbed::LoadOptions load_options;
   load_options.scenario = emulator::read_scenario(options.scenario);
-  load_options.asked = requests_of(options, load_options.scenario);
+  load_options.requests = requests_of(options, load_options.scenario);
   if (!options.write_trace.empty()) {
-    write_trace(options.write_trace, load_options.asked);
+    write_trace(options.write_trace, load_options.requests);
     if (options.routers.empty()) return 0;
   }
   if (options.routers.empty()) throw UsageError("load: --router ADDRESS is needed");
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -170,14 +170,14 @@
 // ---------------------------------------------------------------- processes
 
 struct PlayOptions {
-  testbed::CopiesPlay script;  // with the seed of the first play
-  std::uint64_t count = 1;     // plays, one for each seed from there on
+  testbed::ReplicationPlayOptions script;  // with the seed of the first play
+  std::uint64_t count = 1;                 // plays, one for each seed from there on
   std::string scenario;
   std::string folder;  // empty: a temporary one
   bool quiet = false;
 };
 
-void add_to_total(const testbed::CopiesPlayed& played, testbed::CopiesPlayed& total) {
+void add_to_total(const testbed::ReplicationPlayResult& played, testbed::ReplicationPlayResult& total) {
   total.kills += played.kills;
   total.corrections += played.corrections;
   total.confirmed += played.confirmed;
@@ -204,25 +204,26 @@
   return harness;
 }
 
-void print_broken(const PlayOptions& options, const testbed::CopiesPlay& script, const std::string& broken) {
+void print_broken(const PlayOptions& options, const testbed::ReplicationPlayOptions& script,
+                  const std::string& broken) {
   fmt::print(
       "seed {}: {}\n  again: thornwick copies play --scenario {} --seed {} --routers {} --sites {} "
       "--copies {}{}\n",
-      script.seed, broken, options.scenario, script.seed, script.routers, script.sites, script.copies,
-      script.site ? " --site" : "");
+      script.seed, broken, options.scenario, script.seed, script.routers, script.sites, script.replicas,
+      script.lose_site ? " --site" : "");
 }
 
 int run_play(const PlayOptions& options) {
   std::uint64_t broken = 0;
-  testbed::CopiesPlayed total;
+  testbed::ReplicationPlayResult total;
   auto script = options.script;
   const std::uint64_t end = script.seed + options.count;
   for (; script.seed < end; ++script.seed) {
-    const auto played = testbed::play_losses(script, harness_options(options, script.seed));
+    const auto played = testbed::play_machine_losses(script, harness_options(options, script.seed));
     add_to_total(played, total);
-    if (played.broken.empty()) continue;
+    if (played.violation.empty()) continue;
     ++broken;
-    print_broken(options, script, played.broken);
+    print_broken(options, script, played.violation);
   }
   fmt::print(
       "{} plays: {} machines lost with their disks, {} of {} corrections confirmed, {} answers, {} refusals, "
@@ -240,13 +241,13 @@
   command->add_option("--scenario", options->scenario, "boxes and classes of requests (TOML)")
       ->required()
       ->check(CLI::ExistingFile);
-  add_series_options(*command, options->script, options->script.copies, options->count,
+  add_series_options(*command, options->script, options->script.replicas, options->count,
                      {.first_run = "of the first play",
                       .runs = "plays, one for each seed from there on",
                       .copied = "of the ledger",
                       .max_count = 100'000,
                       .max_routers = 50});
-  command->add_flag("--site", options->script.site, "a whole site is lost at a time");
+  command->add_flag("--site", options->script.lose_site, "a whole site is lost at a time");
   command->add_option("--folder", options->folder, "for logs, disks and configurations; it stays");
   command->add_flag("--quiet", options->quiet, "no timeline");
   command->callback([options, &status] { status = run_play(*options); });
--- a/src/tools/standins.cpp
+++ b/src/tools/standins.cpp
@@ -47,7 +47,7 @@
   testbed::Installation installation(installation_options);
   if (!options.config_out.empty()) write_router_config(options.config_out, installation.router_config());
   print_addresses(installation);
-  installation.begin();
+  installation.schedule_faults();
   const MainLoop loop = make_main_loop();
   quit_on_stop_signals(loop.get());
   net::Timer end;
@@ -55,8 +55,8 @@
     end.start(static_cast<Time>(1e6 * options.seconds), [&loop] { g_main_loop_quit(loop.get()); });
   g_main_loop_run(loop.get());
   const auto& metrics = installation.metrics();
-  fmt::print("asked {} full {} begun {} done {} cut off {}\n", metrics.asked, metrics.full, metrics.begun,
-             metrics.done, metrics.cut_off);
+  fmt::print("asked {} full {} begun {} done {} cut off {}\n", metrics.requests, metrics.rejected,
+             metrics.started, metrics.completed, metrics.disconnected);
   return 0;
 }
 
--- a/tests/faults/faulty_site.hpp
+++ b/tests/faults/faulty_site.hpp
@@ -75,7 +75,7 @@
 
   Scratch scratch_;
   std::array<CountingReplica, 3> replicas_;
-  testbed::Server silent_replica_{"127.0.0.1:0", [](testbed::Server::Line&) {}};
+  testbed::Server silent_replica_{"127.0.0.1:0", [](testbed::Server::Connection&) {}};
   bool replicas_are_silent_;
   SlowDiscovery discovery_;
   std::string config_, operator_file_, address_;
--- a/tests/group/processes.cpp
+++ b/tests/group/processes.cpp
@@ -33,7 +33,7 @@
   }
   void require_agreement() {
     std::string disagreement;
-    const bool agreed = harness.until([&] {
+    const bool agreed = harness.run_until([&] {
       for (std::size_t i = 0; i < harness.size(); ++i) {
         if (harness.state(i) == FaultHarness::State::starting) return false;
       }
@@ -44,15 +44,15 @@
     REQUIRE(agreed);
   }
   void require_log(std::size_t router, const std::string& text) {
-    const bool logged = harness.until([&] { return harness.says(router, text); });
+    const bool logged = harness.run_until([&] { return harness.has_logged(router, text); });
     INFO(harness.name(router) << " never logged: " << text << "\n" << harness.log(router));
     REQUIRE(logged);
   }
   void mark() {
-    for (std::size_t i = 0; i < harness.size(); ++i) harness.mark(i);
+    for (std::size_t i = 0; i < harness.size(); ++i) harness.mark_log(i);
   }
   void require_clean_end() {
-    const std::string broken = harness.settle();
+    const std::string broken = harness.recover_and_verify();
     INFO(broken);
     CHECK(broken.empty());
     CHECK(harness.metrics().served > 0);
@@ -65,9 +65,9 @@
   for (std::uint64_t seed = first_seed; seed < first_seed + count; ++seed) {
     Scratch scratch;
     std::string timeline;
-    const auto result = play(random_rig_script(seed, 10, 3, 9), rig_options(scratch.folder(), timeline));
+    const auto result = play(random_fault_script(seed, 10, 3, 9), rig_options(scratch.folder(), timeline));
     INFO("again: thornwick group play --scenario examples/lab/demo.toml --seed " << seed << "\n" << timeline);
-    REQUIRE(result.broken == "");
+    REQUIRE(result.violation == "");
     CHECK(result.metrics.served > 0);
   }
 }
@@ -122,7 +122,7 @@
   group.mark();
   group.harness.stop(3);
   group.require_log(0, "r03: gone, was suspected");
-  group.harness.go(3);
+  group.harness.resume(3);
   group.require_log(3, "r03: this process stood still for");
   group.require_log(0, "r03: it stood still for");
   group.require_agreement();
@@ -130,12 +130,12 @@
   CHECK(log.find("stood still") <
         log.find("what this router believes of the group holds", log.find("stood still")));
   group.mark();
-  group.harness.end(2);
+  group.harness.terminate(2);
   group.require_log(0, "r02: leaving, was alive");
-  REQUIRE(group.harness.until([&] { return group.harness.state(2) == FaultHarness::State::down; }));
+  REQUIRE(group.harness.run_until([&] { return group.harness.state(2) == FaultHarness::State::down; }));
   group.require_log(0, "r02: left, was leaving");
   group.require_agreement();
-  CHECK(!group.harness.says(0, "r02: suspected"));
+  CHECK(!group.harness.has_logged(0, "r02: suspected"));
   CHECK(!group.harness.status(0).at("cut_off").get<bool>());
   CHECK(group.harness.status(0).at("sites").at(0).at("seen") == 1);  // of r00 and r02
   group.require_clean_end();
@@ -148,8 +148,8 @@
   cut.cut = true;
   for (std::size_t left = 0; left < 2; ++left) {
     for (std::size_t right = 2; right < 4; ++right) {
-      group.harness.set(left, right, cut);
-      group.harness.set(right, left, cut);
+      group.harness.set_faults(left, right, cut);
+      group.harness.set_faults(right, left, cut);
     }
   }
   for (std::size_t left = 0; left < 2; ++left) {
@@ -159,7 +159,7 @@
     group.require_log(right, "r00: gone");
     group.require_log(right, "r01: gone");
   }
-  for (std::size_t i = 0; i < 4; ++i) CHECK(!group.harness.says(i, "this router is cut off"));
+  for (std::size_t i = 0; i < 4; ++i) CHECK(!group.harness.has_logged(i, "this router is cut off"));
   group.harness.heal();
   group.require_agreement();
   group.require_clean_end();
@@ -175,8 +175,8 @@
   group.require_log(2, "r01: started anew with its disk");
   group.require_agreement();
   for (const std::size_t i : {0u, 2u})
-    CHECK((!group.harness.says(i, "r01: suspected") && !group.harness.says(i, "r01: gone") &&
-           !group.harness.says(i, "two processes")));
+    CHECK((!group.harness.has_logged(i, "r01: suspected") && !group.harness.has_logged(i, "r01: gone") &&
+           !group.harness.has_logged(i, "two processes")));
   group.require_clean_end();
 }
 
@@ -187,7 +187,7 @@
   group.require_log(4, "r04: this router is cut off");
   group.require_log(0, "r04: gone, was suspected");
   CHECK(group.harness.status(4).at("cut_off").get<bool>());
-  CHECK(!group.harness.says(4, ": gone"));
+  CHECK(!group.harness.has_logged(4, ": gone"));
   group.harness.isolate(4, false);
   group.require_log(4, "r04: this router is no longer cut off");
   group.require_agreement();
@@ -199,21 +199,21 @@
   LinkFaults cut;
   cut.cut = true;
   group.mark();
-  group.harness.set(0, 2, cut);
-  group.harness.set(2, 0, cut);
+  group.harness.set_faults(0, 2, cut);
+  group.harness.set_faults(2, 0, cut);
   const auto reaches_indirectly = [&](std::size_t observer, std::size_t member) {
     const auto status = group.harness.status(observer);
     return status.is_object() && status.at("members").at(member).at("over_another").get<bool>() &&
            status.at("members").at(member).at("standing") == "alive";
   };
-  REQUIRE(group.harness.until([&] { return reaches_indirectly(0, 2) && reaches_indirectly(2, 0); }));
+  REQUIRE(group.harness.run_until([&] { return reaches_indirectly(0, 2) && reaches_indirectly(2, 0); }));
   group.require_clean_end();
 }
 
 TEST_CASE("processes: a second process of one name is detected by the first and by the other routers") {
   ProcessGroup group(3);
   group.mark();
-  group.harness.start_twin(1);
+  group.harness.start_duplicate(1);
   group.require_log(0, "r01: two processes use its name");
   group.require_log(1, "r01: two processes use its name");
   CHECK(group.harness.status(1).at("name_used_twice").get<bool>());
@@ -223,17 +223,17 @@
     "processes: garbled, repeated and late datagrams are counted and ignored, and links connect again") {
   ProcessGroup group(3);
   LinkFaults faults;
-  faults.garble = 0.5;
-  faults.repeat = 0.5;
-  faults.most_delay = milliseconds(50);
+  faults.garble_fraction = 0.5;
+  faults.repeat_fraction = 0.5;
+  faults.max_delay = milliseconds(50);
   for (std::size_t from = 0; from < 3; ++from) {
-    for (std::size_t to = 0; to < 3; ++to) group.harness.set(from, to, faults);
+    for (std::size_t to = 0; to < 3; ++to) group.harness.set_faults(from, to, faults);
   }
   const auto count = [&](const char* section, const char* counter) {
     const auto status = group.harness.status(0);
     return status.is_object() ? status.at(section).at(counter).get<int>() : 0;
   };
-  REQUIRE(group.harness.until(
+  REQUIRE(group.harness.run_until(
       [&] { return count("datagrams", "unreadable") > 10 && count("links", "spoilt") > 0; }));
   CHECK(count("datagrams", "strangers") == 0);
   group.harness.heal();
@@ -242,20 +242,20 @@
     return status.is_object() && status.at("members").at(1).at("link") == "up" &&
            status.at("members").at(2).at("link") == "up";
   };
-  REQUIRE(group.harness.until(linked));
+  REQUIRE(group.harness.run_until(linked));
   // A reset, a half-closed and a stalled connection each end a link, and the next one connects.
   const int lost_before = count("links", "lost");
   group.harness.reset(0, 1);
-  REQUIRE(group.harness.until([&] { return count("links", "lost") > lost_before && linked(); }));
+  REQUIRE(group.harness.run_until([&] { return count("links", "lost") > lost_before && linked(); }));
   group.harness.half_close(0, 1);
-  REQUIRE(group.harness.until([&] { return count("links", "lost") > lost_before + 1 && linked(); }));
+  REQUIRE(group.harness.run_until([&] { return count("links", "lost") > lost_before + 1 && linked(); }));
   LinkFaults hold;
   hold.hold = true;
-  group.harness.set(0, 1, hold);
-  group.harness.set(1, 0, hold);
-  REQUIRE(group.harness.until([&] { return count("links", "silent") > 0; }));
+  group.harness.set_faults(0, 1, hold);
+  group.harness.set_faults(1, 0, hold);
+  REQUIRE(group.harness.run_until([&] { return count("links", "silent") > 0; }));
   group.harness.heal();
-  REQUIRE(group.harness.until(linked));
+  REQUIRE(group.harness.run_until(linked));
   group.require_agreement();
   group.require_clean_end();
 }
@@ -268,15 +268,15 @@
   group.harness.set_clock(0, 86'400'000, 1.01);
   group.harness.set_clock(1, -86'400'000, 0.99);
   for (std::size_t i = 0; i < 2; ++i) {
-    group.harness.end(i);
-    REQUIRE(group.harness.until([&] { return group.harness.state(i) == FaultHarness::State::down; }));
+    group.harness.terminate(i);
+    REQUIRE(group.harness.run_until([&] { return group.harness.state(i) == FaultHarness::State::down; }));
     group.harness.start(i);
     group.require_agreement();
   }
   group.harness.set_clock(0, -3'600'000, 1.01);  // the clock steps while the process runs
   group.harness.run_for(seconds(2));
   for (std::size_t i = 0; i < 3; ++i)
-    CHECK((!group.harness.says(i, "stood still") && !group.harness.says(i, "cut off")));
+    CHECK((!group.harness.has_logged(i, "stood still") && !group.harness.has_logged(i, "cut off")));
   group.require_clean_end();
 }
 
@@ -309,8 +309,8 @@
     CHECK(errors.find(part) != std::string::npos);
   }
   CHECK(error_of("[[router]]\nname = \"r1\"\n").find("there is no [group]") != std::string::npos);
-  CHECK_THROWS_WITH(read_rig_script(file("[rig]\nrouters = 2\nsites = 3\n[[fault]]\nat_s = 1\nkind = "
-                                         "\"eat\"\n[[fault]]\nkind = \"kill\"\nrouters = [7]\n")),
+  CHECK_THROWS_WITH(read_fault_script(file("[rig]\nrouters = 2\nsites = 3\n[[fault]]\nat_s = 1\nkind = "
+                                           "\"eat\"\n[[fault]]\nkind = \"kill\"\nrouters = [7]\n")),
                     Catch::Contains(":3: rig.sites") && Catch::Contains(":6: fault.kind: 'eat'") &&
                         Catch::Contains(":9: fault.routers: there is no number 7"));
 }
--- a/tests/incidents/drain.cpp
+++ b/tests/incidents/drain.cpp
@@ -88,7 +88,9 @@
   }
 
   // Loses this fraction of the datagrams from the first router to the second.
-  void lose_datagrams(double fraction) { link_->set(FaultyLink::there, {.lose = fraction}); }
+  void lose_datagrams(double fraction) {
+    link_->set_faults(FaultyLink::forward, {.loss_fraction = fraction});
+  }
   std::uint64_t lost_datagrams() const { return link_->metrics().lost; }
 
   CountingReplica draining, staying, also_draining;
@@ -110,8 +112,8 @@
   void open_link() {
     link_ = std::make_unique<FaultyLink>(1);
     datagram_addresses_ = {testing::free_datagram_address(), testing::free_datagram_address()};
-    link_->one_is(datagram_addresses_[0], "");
-    link_->other_is(datagram_addresses_[1], "");
+    link_->set_first_target(datagram_addresses_[0], "");
+    link_->set_second_target(datagram_addresses_[1], "");
   }
   void write_config(std::size_t router, const SlowDiscovery& discovery) const {
     testing::RouterConfig config{.rank = router,
@@ -119,7 +121,7 @@
                                  .discovery = discovery.address(),
                                  .known = entries("SERVING")};
     if (link_) {
-      config.all_peers = router == 0 ? link_->other_at() : link_->one_at();
+      config.all_peers = router == 0 ? link_->address_of_second() : link_->address_of_first();
       config.peers = {config.all_peers, config.all_peers};
       config.peers[router] = datagram_addresses_[router];
     }
--- a/tests/incidents/slow_discovery.cpp
+++ b/tests/incidents/slow_discovery.cpp
@@ -26,7 +26,7 @@
 SlowDiscovery::SlowDiscovery(Time answer_delay, Behaviour behaviour)
     : answer_delay_(answer_delay),
       behaviour_(behaviour),
-      server_("127.0.0.1:0", [this](Server::Line& line) { on_call(line); }) {}
+      server_("127.0.0.1:0", [this](Server::Connection& line) { on_call(line); }) {}
 
 void SlowDiscovery::publish(std::uint64_t revision, std::string entries) {
   revision_ = revision;
@@ -34,7 +34,7 @@
   for (const std::uint64_t watch : std::exchange(subscriptions_, {})) answer(watch);
 }
 
-void SlowDiscovery::on_call(Server::Line& line) {
+void SlowDiscovery::on_call(Server::Connection& line) {
   ++calls_;
   if (behaviour_ == Behaviour::stays_silent) return;
   const auto answered = answered_at_.find(line.number);
@@ -54,7 +54,7 @@
 }
 
 void SlowDiscovery::answer(std::uint64_t line_number) {
-  Server::Line* line = server_.find(line_number);
+  Server::Connection* line = server_.find(line_number);
   if (line == nullptr || !line->open()) return;  // the caller has given up the call
   ++answers_;
   answered_at_[line_number] = net::now_us();
@@ -69,7 +69,7 @@
 }
 
 CountingReplica::CountingReplica()
-    : server_("127.0.0.1:0", [this](Server::Line& line) {
+    : server_("127.0.0.1:0", [this](Server::Connection& line) {
         arrivals_.push_back(net::now_us());
         line.write(ok_answer("text/event-stream", "data: [DONE]\n\n"));
       }) {}
--- a/tests/incidents/slow_discovery.hpp
+++ b/tests/incidents/slow_discovery.hpp
@@ -30,7 +30,7 @@
   std::size_t answers() const { return answers_; }
 
  private:
-  void on_call(testbed::Server::Line& line);
+  void on_call(testbed::Server::Connection& line);
   void answer(std::uint64_t line_number);
   void answer_after(Time delay, std::uint64_t line_number);
 
--- a/tests/net/standins.cpp
+++ b/tests/net/standins.cpp
@@ -36,7 +36,7 @@
     node = std::make_unique<node::Node>(config);
     LoadOptions load_options;
     load_options.scenario = scenario;
-    load_options.asked = emulator::planned_requests(scenario, 1);
+    load_options.requests = emulator::planned_requests(scenario, 1);
     load_options.dialect = client_dialect;
     load_options.routers = {node->front(client_dialect == "messages" ? 1 : 0).address()};
     load = std::make_unique<Load>(load_options);
@@ -46,7 +46,7 @@
     bool late = false;
     net::Timer timeout;
     timeout.start(60'000'000, [&] { late = true; });
-    installation->begin();
+    installation->schedule_faults();
     // The clients start when the router has an endpoint list.
     while (!late && node->replica_count() == 0) g_main_context_iteration(nullptr, TRUE);
     load->start([&] { done = true; });
@@ -82,7 +82,7 @@
     CHECK(result.tries == running.node->core().counters().admitted);
     CHECK(running.node->core().open_requests() == 0);
     CHECK(result.totals.broken == 0);
-    CHECK(running.installation->metrics().done >= result.totals.served);
+    CHECK(running.installation->metrics().completed >= result.totals.served);
     CHECK(result.cached_tokens > 0);
   }
 }
@@ -112,15 +112,15 @@
   LoadOptions load_options;
   load_options.scenario = demo_scenario();
   load_options.scenario.seconds = 1;
-  load_options.asked = emulator::planned_requests(load_options.scenario, 1);
+  load_options.requests = emulator::planned_requests(load_options.scenario, 1);
   load_options.routers = {"127.0.0.1:1"};
-  for (auto& request : load_options.asked) request.at /= 10, request.deadline = request.at + 200'000;
+  for (auto& request : load_options.requests) request.at /= 10, request.deadline = request.at + 200'000;
   Load load(load_options);
   bool done = false;
   load.start([&] { done = true; });
   while (!done) g_main_context_iteration(nullptr, TRUE);
   CHECK(load.result().totals.served == 0);
-  CHECK(load.result().turns == load_options.asked.size());
+  CHECK(load.result().turns == load_options.requests.size());
   load_options.routers = {"nowhere"};
   CHECK_THROWS_AS(Load(load_options), std::invalid_argument);
 }
--- a/tests/replication/processes.cpp
+++ b/tests/replication/processes.cpp
@@ -18,15 +18,15 @@
 constexpr std::uint64_t kPlays = 5;
 #endif
 
-void require_unbroken(const CopiesPlay& script) {
+void require_unbroken(const ReplicationPlayOptions& script) {
   Scratch scratch;
   std::string timeline;
-  const auto result = play_losses(script, rig_options(scratch.folder(), timeline));
+  const auto result = play_machine_losses(script, rig_options(scratch.folder(), timeline));
   INFO("again: thornwick copies play --scenario examples/lab/demo.toml --seed "
        << script.seed << " --routers " << script.routers << " --sites " << script.sites << " --copies "
-       << script.copies << (script.site ? " --site" : "") << "\n"
+       << script.replicas << (script.lose_site ? " --site" : "") << "\n"
        << timeline);
-  REQUIRE(result.broken == "");
+  REQUIRE(result.violation == "");
   CHECK(result.kills > 0);
   CHECK(result.tokens <= result.limit);
   WARN("seed " << script.seed << ": " << result.kills << " machines lost, " << result.confirmed << " of "
@@ -51,10 +51,11 @@
 TEST_CASE(
     "ledgers of processes: five replicas at three sites bear the loss of up to two machines at a time") {
   for (std::uint64_t seed = 101; seed < 101 + kPlays; ++seed)
-    require_unbroken({.seed = seed, .routers = 5, .sites = 3, .copies = 5});
+    require_unbroken({.seed = seed, .routers = 5, .sites = 3, .replicas = 5});
 }
 
 TEST_CASE("ledgers of processes: three sites bear the loss of a whole one, and then of one again") {
   for (std::uint64_t seed = 201; seed < 201 + kPlays; ++seed)
-    require_unbroken({.seed = seed, .routers = 5, .sites = 3, .copies = 5, .faults = false, .site = true});
+    require_unbroken(
+        {.seed = seed, .routers = 5, .sites = 3, .replicas = 5, .other_faults = false, .lose_site = true});
 }
