--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -30,7 +30,7 @@
       started_(net::now_us()),
       period_(static_cast<Time>(file_.period_s * 1e6)) {
   const StartupIdentity startup = load_identity(file_.state);
-  if (!startup.problem.empty()) logging::error("group") << startup.problem;
+  if (!startup.problem.empty()) logging::error("membership") << startup.problem;
   empty_start_ = startup.empty;
   open_datagrams();
   start_failure_detection(startup.identity);
@@ -113,7 +113,7 @@
 
 void Cluster::log_start(const StartupIdentity& startup) const {
   const auto& roster = *membership_.roster;
-  logging::info("group") << roster.at(membership_.self).name << " of group " << file_.name << ", "
+  logging::info("membership") << roster.at(membership_.self).name << " of group " << file_.name << ", "
                          << roster.size() << " routers at " << roster.sites().size()
                          << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
                          << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
@@ -167,7 +167,7 @@
 void Cluster::log_change(const membership::Change& change) const {
   const auto& member = membership_.roster->at(change.member);
   const bool is_warning = change.severity == membership::Severity::warning;
-  logging::Line(is_warning ? logging::Level::warning : logging::Level::info, "group")
+  logging::Line(is_warning ? logging::Level::warning : logging::Level::info, "membership")
           .with("member", member.name)
           .with("site", member.site)
       << member.name << ": " << change.text;
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -27,7 +27,7 @@
   options.dialect = &dialect;
   servers_.push_back(std::make_unique<net::DownstreamServer>(std::move(options), dependencies_.names, core,
                                                              shared_admission_));
-  logging::info("main") << dialect.name() << " front on " << servers_.back()->address();
+  logging::info("process") << dialect.name() << " front on " << servers_.back()->address();
 }
 
 void DownstreamFronts::lend_sockets(net::HandoverState& handover_state) const {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -143,7 +143,7 @@
 void Node::open_admin_endpoint() {
   admin_endpoint_ = std::make_unique<net::AdminEndpoint>(
       config_.listeners.operators, [this](std::string_view line) { return admin_commands_.answer(line); });
-  logging::info("main") << "admin endpoint on " << admin_endpoint_->address();
+  logging::info("process") << "admin endpoint on " << admin_endpoint_->address();
 }
 
 // ---------------------------------------------------------------- events
@@ -162,12 +162,12 @@
     cluster_ = std::make_unique<Cluster>(config_, durable_state_.quota_proxy());
   } catch (const net::NetError& problem) {
     if (!handover_.active()) throw;
-    logging::error("group") << "cannot join the group: " << problem.what();
+    logging::error("membership") << "cannot join the group: " << problem.what();
   }
 }
 
 void Node::phase_changed(PhaseChange reason) {
-  logging::info("main") << lifecycle::name_of(lifecycle_.phase()) << ": " << to_string(reason) << ", "
+  logging::info("process") << lifecycle::name_of(lifecycle_.phase()) << ": " << to_string(reason) << ", "
                         << core_->open_requests() << " requests in flight";
   fronts_.phase_changed();
 }
@@ -177,14 +177,14 @@
 void Node::reload(const config::Config& config) {
   check_config(config);
   if (const auto names = config::needs_restart(config_, config); !names.empty()) {
-    logging::warning("main") << "changes that need a restart: " << names;
+    logging::warning("process") << "changes that need a restart: " << names;
   }
   ++reloads_;
   const Time now = net::now_us();
   reload_models(config, now);
   reload_budgets(config, now);
   if (config.discovery.address == config_.discovery.address) return;
-  logging::info("main") << "discovery address changed from " << config_.discovery.address << " to "
+  logging::info("process") << "discovery address changed from " << config_.discovery.address << " to "
                         << config.discovery.address;
   config_.discovery.address = config.discovery.address;
   endpoints_.switch_to(config.discovery.address);
--- a/src/testbed/fault_harness.cpp
+++ b/src/testbed/fault_harness.cpp
@@ -233,7 +233,7 @@
   r.log += line + "\n";
   news_ = true;
   std::ofstream(r.folder + "/log", std::ios::app) << line << '\n';
-  if (line.find(" group: ") != std::string::npos || line.find("error ") != std::string::npos)
+  if (line.find(" membership: ") != std::string::npos || line.find("error ") != std::string::npos)
     write_log(name(router) + "   " + line);
   if (const auto front = after(line, "platform front on "); !front.empty()) r.front = front;
   if (const auto datagrams = after(line, "datagrams at "); !datagrams.empty()) {
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -49,7 +49,7 @@
 };
 
 void shut_down(RunningRouter& running) {
-  logging::info("main") << "shutting down: " << running.node.core().open_requests() << " requests in flight";
+  logging::info("process") << "shutting down: " << running.node.core().open_requests() << " requests in flight";
   running.node.shut_down();
 }
 
@@ -58,9 +58,9 @@
   try {
     const ServeOptions& options = running.options;
     running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
-    logging::info("main") << "configuration reloaded";
+    logging::info("process") << "configuration reloaded";
   } catch (const std::exception& problem) {
-    logging::error("main") << "configuration rejected: " << problem.what();
+    logging::error("process") << "configuration rejected: " << problem.what();
   }
 }
 
@@ -81,7 +81,7 @@
 }
 
 void log_start(const config::Config& config, const node::Node& node) {
-  logging::info("main") << config.name << " serves on " << node.front(0).address() << ", "
+  logging::info("process") << config.name << " serves on " << node.front(0).address() << ", "
                         << net::descriptors().limit << " descriptors, " << node.replica_count()
                         << " targets known";
 }
--- a/tests/log_catalogue_test.py
+++ b/tests/log_catalogue_test.py
@@ -148,7 +148,7 @@
     def read_reports(self):
         for found in re.finditer(r"\bstate_?\.report\(", self.text):
             _, text, *level = split_at(self.text[found.end():], ",")
-            self.add("group", LEVEL.findall(level[0]) if level else ["info"], ["name", '": "', *split_at(text, "+")])
+            self.add("membership", LEVEL.findall(level[0]) if level else ["info"], ["name", '": "', *split_at(text, "+")])
 
     def read_drain_reports(self):
         body = re.search(r" description_of\(.*?\n}", self.text, re.DOTALL)[0]
--- a/tests/net/process.cpp
+++ b/tests/net/process.cpp
@@ -52,7 +52,7 @@
     Program program(path, "json");
     const auto start = nlohmann::json::parse(program.wait_for_line("serves on"));
     CHECK(start.at("level") == "info");
-    CHECK(start.at("part") == "main");
+    CHECK(start.at("part") == "process");
     CHECK(start.at("message").get<std::string>().starts_with("n1 serves on 127.0.0.1:"));
     CHECK(start.at("time").get<std::string>().size() == std::string("2026-12-01T00:00:00.000Z").size());
     write_config(path, "no \\\"address\\\" at all");
@@ -61,7 +61,7 @@
     CHECK(rejected.at("level") == "error");
     CHECK(rejected.at("message").get<std::string>().find("no \"address\" at all") != std::string::npos);
     program.signal(SIGTERM);
-    CHECK(nlohmann::json::parse(program.wait_for_line("shutting down")).at("part") == "main");
+    CHECK(nlohmann::json::parse(program.wait_for_line("shutting down")).at("part") == "process");
     CHECK(program.wait_for_exit() == 0);
   }
   std::remove(path.c_str());
