--- a/src/main.cpp
+++ b/src/main.cpp
@@ -115,8 +115,8 @@
       app.help();  // before parsing: afterwards it would be the help of the sub-command that ran
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& problem) {
-    return app.exit(problem) == 0 ? 0 : static_cast<int>(tools::ExitStatus::usage_error);
+  } catch (const CLI::ParseError& error) {
+    return app.exit(error) == 0 ? 0 : static_cast<int>(tools::ExitStatus::usage_error);
   }
   set_up_logging(options);
   if (builtin.help->parsed()) {
@@ -134,8 +134,8 @@
 }
 
 // Prints why the program fails and returns its exit status.
-int fail(const std::exception& problem, tools::ExitStatus status) {
-  std::cerr << "thornwick: " << problem.what() << '\n';
+int fail(const std::exception& error, tools::ExitStatus status) {
+  std::cerr << "thornwick: " << error.what() << '\n';
   return static_cast<int>(status);
 }
 
@@ -147,9 +147,9 @@
   std::signal(SIGHUP, SIG_IGN);  // until a router runs that can reload its configuration
   try {
     return thornwick::run(argc, argv);
-  } catch (const thornwick::tools::CommandError& problem) {
-    return thornwick::fail(problem, problem.status());
-  } catch (const std::exception& problem) {
-    return thornwick::fail(problem, thornwick::tools::ExitStatus::usage_error);
+  } catch (const thornwick::tools::CommandError& error) {
+    return thornwick::fail(error, error.status());
+  } catch (const std::exception& error) {
+    return thornwick::fail(error, thornwick::tools::ExitStatus::usage_error);
   }
 }
--- a/src/node/admin_commands.hpp
+++ b/src/node/admin_commands.hpp
@@ -1,4 +1,4 @@
-// The commands of the admin endpoint: HEALTH, DUMP, LEAVE and JOIN (docs/lifecycle.md).
+// Implements the commands of the admin endpoint: HEALTH, DUMP, LEAVE and JOIN (docs/lifecycle.md).
 #pragma once
 
 #include <functional>
@@ -13,14 +13,14 @@
 class AdminCommands {
  public:
   struct Callbacks {
-    std::function<std::string()> metrics;            // returns the text of DUMP, without its last line
-    std::function<void(PhaseChange)> phase_changed;  // called after LEAVE or JOIN took effect
+    std::function<std::string()> metrics;  // returns the answer to DUMP between its first and last lines
+    std::function<void(PhaseChange)> phase_changed;  // called after LEAVE or JOIN has taken effect
   };
-  // `router_lifecycle` is not owned and has to outlive the commands.
+  // `router_lifecycle` is not owned and must outlive this object.
   AdminCommands(lifecycle::Lifecycle& router_lifecycle, Callbacks callbacks)
       : lifecycle_(router_lifecycle), callbacks_(std::move(callbacks)) {}
 
-  // Runs the command in `line` and returns its answer, or an empty string if the line is no command.
+  // Runs the command in `line` and returns its answer. Returns an empty string if the line is not a command.
   std::string answer(std::string_view line);
 
  private:
--- a/src/node/affinity_report.cpp
+++ b/src/node/affinity_report.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxReplicaLines = 64;
-constexpr double kBoundsConfidence = 0.95;  // of a replica's hit rate
+constexpr double kBoundsConfidence = 0.95;  // confidence level of the bounds of a replica's hit rate
 
 double rounded_to_thousandths(double value) { return std::round(value * 1000) / 1000; }
 
@@ -26,21 +26,21 @@
   return text.str();
 }
 
-bool lost_more_trust(const affinity::Replica* left, const affinity::Replica* right) {
+bool is_less_trusted(const affinity::Replica* left, const affinity::Replica* right) {
   if (left->trust_state != right->trust_state) return left->trust_state > right->trust_state;
   return left->losses > right->losses;
 }
 
 }  // namespace
 
-void report_replicas(const affinity::AffinityTable& table, const ReplicaUid& uid_of,
-                     const std::function<void(const std::string&)>& line) {
+void print_replicas(const affinity::AffinityTable& table, const ReplicaUidLookup& uid_of,
+                    const std::function<void(const std::string&)>& print_line) {
   std::vector<const affinity::Replica*> replicas;
   table.replicas().for_each(
       [&](affinity::Slot, const affinity::Replica& replica) { replicas.push_back(&replica); });
-  std::stable_sort(replicas.begin(), replicas.end(), lost_more_trust);
+  std::stable_sort(replicas.begin(), replicas.end(), is_less_trusted);
   if (replicas.size() > kMaxReplicaLines) replicas.resize(kMaxReplicaLines);
-  for (const auto* replica : replicas) line(replica_line(*replica, uid_of(replica->id)));
+  for (const auto* replica : replicas) print_line(replica_line(*replica, uid_of(replica->id)));
 }
 
 void AffinityLog::on_fleet_copies_lost(Time) {
--- a/src/node/affinity_report.hpp
+++ b/src/node/affinity_report.hpp
@@ -1,5 +1,5 @@
-// Log lines about the affinity table: one line for each replica on request, and a warning whenever a replica
-// loses or regains trust.
+// Log lines about the affinity table: a report with one line for each replica, and one line whenever replicas
+// lose or regain trust.
 #pragma once
 
 #include <functional>
@@ -9,23 +9,25 @@
 
 namespace thornwick::node {
 
-using ReplicaUid = std::function<std::string(ReplicaId)>;
+// Returns the uid of a replica for log lines.
+using ReplicaUidLookup = std::function<std::string(ReplicaId)>;
 
-// Calls `line` with one line for each replica, 64 lines at most. Replicas that have lost trust come first.
-void report_replicas(const affinity::AffinityTable& table, const ReplicaUid& uid_of,
-                     const std::function<void(const std::string&)>& line);
+// Calls `print_line` with one line for each replica, for at most 64 replicas. Replicas that have lost trust
+// come first.
+void print_replicas(const affinity::AffinityTable& table, const ReplicaUidLookup& uid_of,
+                    const std::function<void(const std::string&)>& print_line);
 
-// Logs each loss and recovery of trust in what replicas have cached.
+// Logs each loss and each recovery of trust in the cached prompts of replicas.
 class AffinityLog final : public affinity::Observer {
  public:
-  explicit AffinityLog(ReplicaUid uid_of) : uid_of_(std::move(uid_of)) {}
+  explicit AffinityLog(ReplicaUidLookup uid_of) : uid_of_(std::move(uid_of)) {}
 
   void on_fleet_copies_lost(Time now) override;
   void on_replica_copies_lost(Time now, ReplicaId replica) override;
   void on_replica_recovered(Time now, ReplicaId replica) override;
 
  private:
-  ReplicaUid uid_of_;
+  ReplicaUidLookup uid_of_;
 };
 
 }  // namespace thornwick::node
--- a/src/node/charge_log.cpp
+++ b/src/node/charge_log.cpp
@@ -8,7 +8,7 @@
 namespace thornwick::node {
 namespace {
 
-// The number itself where the settings have no such name.
+// Returns the name at `index`, or the index in digits if the settings have no name for it.
 std::string name_at(const std::vector<std::string>& names, std::size_t index) {
   return index < names.size() ? names[index] : std::to_string(index);
 }
--- a/src/node/charge_log.hpp
+++ b/src/node/charge_log.hpp
@@ -1,4 +1,4 @@
-// Logs each charge on a budget, if the operator's file enables it (`charges`).
+// Logs each charge on a budget, if the operator's file enables these log lines (key `charges`).
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 
 namespace thornwick::node {
 
-// `config` has the names of members, classes and models. `replica_uid`: the replica that served the request.
+// Logs one charge. `config` provides the names of members, classes and models. `replica_uid` is the uid of
+// the replica that served the request.
 void log_charge(const budgets::Charge& charge, const config::Config& config, const std::string& replica_uid);
 
 }  // namespace thornwick::node
--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -12,26 +12,25 @@
 namespace thornwick::node {
 namespace {
 
-// Channels of the links.
+// Channels of the links: complete views of the group, and replicated budgets.
 constexpr std::uint8_t kViewChannel = 1;
 constexpr std::uint8_t kReplicationChannel = 2;
 
-constexpr std::size_t kNeighbours = 2;  // members that this router itself keeps links with
-constexpr int kViewPeriods = 10;        // probe periods between two whole views
+constexpr std::size_t kNeighbourCount =
+    2;  // the members after this one in the roster, to which it maintains links
+constexpr int kPeriodsBetweenViews = 10;  // probe periods between two complete views
 constexpr Time kMinLinkHeartbeat = milliseconds(500);
 
 }  // namespace
 
-// ---------------------------------------------------------------- construction
-
 Cluster::Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy)
     : membership_(membership_of(config)),
-      file_(config.operator_file.group),
-      started_(net::now_us()),
-      period_(static_cast<Time>(file_.period_s * 1e6)) {
-  const StartupIdentity startup = load_identity(file_.state);
-  if (!startup.problem.empty()) logging::error("membership") << startup.problem;
-  empty_start_ = startup.empty;
+      group_config_(config.operator_file.group),
+      started_at_(net::now_us()),
+      probe_period_(static_cast<Time>(group_config_.period_s * 1e6)) {
+  const StartupIdentity startup = load_identity(group_config_.state);
+  if (!startup.error.empty()) logging::error("membership") << startup.error;
+  has_new_disk_ = startup.new_disk;
   open_datagrams();
   start_failure_detection(startup.identity);
   open_links();
@@ -44,11 +43,12 @@
 }
 
 Cluster::~Cluster() {
-  if (status_socket_) unlink(file_.status.c_str());
+  if (status_socket_) unlink(group_config_.status.c_str());
 }
 
 const std::string& Cluster::listen_address() const {
-  return file_.listen.empty() ? membership_.roster->at(membership_.self).address : file_.listen;
+  return group_config_.listen.empty() ? membership_.roster->at(membership_.self).address
+                                      : group_config_.listen;
 }
 
 void Cluster::open_datagrams() {
@@ -62,7 +62,7 @@
 
 void Cluster::start_failure_detection(const membership::Identity& identity) {
   membership::Options options;
-  options.period = period_;
+  options.period = probe_period_;
   swim_ = std::make_unique<membership::Swim>(membership_.roster, membership_.self, identity, options,
                                              random_number(), net::now_us());
 }
@@ -72,10 +72,10 @@
   net::PeerLinks::Options options;
   for (std::size_t member = 0; member < roster.size(); ++member)
     options.addresses.push_back(roster.at(member).address);
-  options.listen = file_.links ? listen_address() : "";
+  options.listen = group_config_.links ? listen_address() : "";
   options.group = roster.hash();
   options.self = membership_.self;
-  options.heartbeat = std::max(period_, kMinLinkHeartbeat);
+  options.heartbeat = std::max(probe_period_, kMinLinkHeartbeat);
   options.seed = random_number();
   net::PeerLinks::Callbacks callbacks;
   callbacks.received = [this](std::size_t member, std::uint8_t channel, std::string_view bytes) {
@@ -86,43 +86,43 @@
     if (replication_) replication_->on_link_writable(member);
   };
   links_ = std::make_unique<net::PeerLinks>(std::move(options), std::move(callbacks));
-  if (!file_.links) return;
-  for (std::size_t k = 1; k <= kNeighbours && k < roster.size(); ++k)
+  if (!group_config_.links) return;
+  for (std::size_t k = 1; k <= kNeighbourCount && k < roster.size(); ++k)
     links_->maintain_link((membership_.self + k) % roster.size());
 }
 
-// If the file of the ledgers cannot be opened, the router stays in its group without replicated budgets.
+// Opens the ledgers. If their file cannot be opened, the router stays in its group without replicated
+// budgets.
 void Cluster::open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy,
-                               std::uint32_t run) {
+                               std::uint32_t instance_id) {
   try {
     replication_ = std::make_unique<ClusterReplication>(config, membership_, *links_, quota_proxy,
-                                                        kReplicationChannel, run);
-  } catch (const store::StoreError& problem) {
+                                                        kReplicationChannel, instance_id);
+  } catch (const store::StoreError& error) {
     logging::error("replication") << "the ledgers are not replicated and budgets cannot be granted: "
-                                  << problem.what();
+                                  << error.what();
   }
 }
 
 void Cluster::open_status_socket() {
-  if (file_.status.empty()) return;
+  if (group_config_.status.empty()) return;
   status_socket_ = std::make_unique<net::AdminEndpoint>(
-      net::listen_unix(file_.status),
+      net::listen_unix(group_config_.status),
       "STATUS, STATUS JSON, COPIES, COPIES JSON, GRANT, SET, REPLACE and CORRECTION",
       [this](std::string_view line) { return answer(line); });
 }
 
 void Cluster::log_start(const StartupIdentity& startup) const {
   const auto& roster = *membership_.roster;
-  logging::info("membership") << roster.at(membership_.self).name << " of group " << file_.name << ", "
-                         << roster.size() << " routers at " << roster.sites().size()
-                         << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
-                         << (file_.links ? ", links at " : "") << logging::field("links", links_->address())
-                         << ", start " << startup.identity.start_number
-                         << (startup.empty ? " with an empty disk" : " with its disk");
+  logging::info("membership") << roster.at(membership_.self).name << " of group " << group_config_.name
+                              << ", " << roster.size() << " routers at " << roster.sites().size()
+                              << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
+                              << (group_config_.links ? ", links at " : "")
+                              << logging::field("links", links_->address()) << ", start "
+                              << startup.identity.start_number
+                              << (startup.new_disk ? " with an empty disk" : " with its disk");
 }
 
-// ---------------------------------------------------------------- events
-
 void Cluster::on_datagram(std::span<const std::uint8_t> bytes) {
   swim_->on_message(net::now_us(), bytes);
   apply_swim_output();
@@ -173,10 +173,10 @@
       << member.name << ": " << change.text;
 }
 
-// Gossip carries changes only. A whole view, sent now and then, repairs what lost datagrams or an absence of
-// a router have left out.
+// Sends the states of all members over all links. Gossip carries only changes; the complete view, sent
+// periodically, supplies changes that a router missed because datagrams were lost or the router was absent.
 void Cluster::send_view() {
-  view_timer_.start(kViewPeriods * period_, [this] { send_view(); });
+  view_timer_.start(kPeriodsBetweenViews * probe_period_, [this] { send_view(); });
   const std::string view = membership::write_claims(swim_->claims());
   for (std::size_t member = 0; member < membership_.roster->size(); ++member) {
     if (links_->up(member)) links_->send(member, kViewChannel, view);
@@ -192,13 +192,11 @@
   if (replication_) replication_->flush_before_exit(timeout);
 }
 
-// ---------------------------------------------------------------- status
-
 std::string Cluster::answer(std::string_view line) const {
   if (replication_) {
     if (std::string answer = replication_->answer(line); !answer.empty()) return answer;
   }
-  const GroupStatus status{file_.name, *swim_, *links_, net::now_us(), started_, empty_start_};
+  const GroupStatus status{group_config_.name, *swim_, *links_, net::now_us(), started_at_, has_new_disk_};
   if (line == "STATUS") return status_text(status);
   if (line == "STATUS JSON") return status_json(status).dump() + "\n";
   return {};
--- a/src/node/cluster.hpp
+++ b/src/node/cluster.hpp
@@ -1,5 +1,5 @@
-// This router as a member of its group: failure detection over datagrams, links to neighbours, replicated
-// budgets, and the local socket for the operators' commands (docs/membership.md, docs/replication.md).
+// Makes this router a member of its group: failure detection over datagrams, links to other members,
+// replicated budgets, and the Unix socket for operators' commands (docs/membership.md, docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -21,24 +21,25 @@
 
 class Cluster {
  public:
-  // Joins the group. `quota_proxy`: the proxy of this router's budgets, which is not owned and has to outlive
-  // the cluster; null if there are no budgets. Throws BadConfig or NetError.
+  // Joins the group. `quota_proxy` is the proxy of this router's budgets, or null if budgets are not
+  // replicated; it is not owned and must outlive the cluster. Throws BadConfig or NetError.
   Cluster(const config::Config& config, LocalQuotaProxy* quota_proxy);
   ~Cluster();
   Cluster(const Cluster&) = delete;
   Cluster& operator=(const Cluster&) = delete;
 
-  // Notifies the other members that this router shuts down.
+  // Notifies the other members that this router is shutting down.
   void leave();
-  // Returns the quota that this router has leased, to be called before the process ends. Blocks for `timeout`
-  // (microseconds) at most.
+  // Returns leased quota to the ledgers. Call it before the process exits. Blocks for at most `timeout`
+  // (microseconds).
   void flush_before_exit(Time timeout);
 
  private:
   void open_datagrams();
   void start_failure_detection(const membership::Identity& identity);
   void open_links();
-  void open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy, std::uint32_t run);
+  void open_replication(const config::Config& config, LocalQuotaProxy& quota_proxy,
+                        std::uint32_t instance_id);
   void open_status_socket();
   void log_start(const StartupIdentity& startup) const;
   const std::string& listen_address() const;
@@ -48,7 +49,8 @@
   void on_view(std::size_t member, std::string_view bytes);
   void on_link_changed(std::size_t member, net::LinkState state);
   void on_tick();
-  // To be called after each event: logs changes of the view, sends due messages and sets the timer.
+  // Logs changes of member states, sends pending datagrams and starts the timer for the next tick. Call it
+  // after each call of `swim_`.
   void apply_swim_output();
   void log_change(const membership::Change& change) const;
   void send_view();
@@ -56,16 +58,17 @@
   std::string answer(std::string_view line) const;
 
   Membership membership_;
-  config::GroupFile file_;
-  Time started_;
-  Time period_;  // between two probes
-  bool empty_start_ = false;
-  std::vector<net::Owned<GSocketAddress>> addresses_;  // by member
+  config::GroupFile group_config_;
+  Time started_at_;
+  Time probe_period_;  // time between two probes, in microseconds
+  bool has_new_disk_ = false;
+  std::vector<net::Owned<GSocketAddress>> addresses_;  // datagram addresses, by index of the member
   std::unique_ptr<membership::Swim> swim_;
   std::unique_ptr<net::DatagramSocket> datagrams_;
   std::unique_ptr<net::PeerLinks> links_;
-  std::unique_ptr<ClusterReplication> replication_;    // null unless enabled and its file could be opened
-  std::unique_ptr<net::AdminEndpoint> status_socket_;  // null unless the operator's file names one
+  std::unique_ptr<ClusterReplication>
+      replication_;  // null unless replication is enabled and its file could be opened
+  std::unique_ptr<net::AdminEndpoint> status_socket_;  // null unless the operator's file has group.status
   net::Timer tick_timer_;
   net::Timer view_timer_;
 };
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -15,20 +15,22 @@
 namespace {
 
 constexpr Time kMaxTickInterval = milliseconds(50);
-// The part of the memory for records that are not on the disk yet is one divided by this.
+// Records that are not on the disk yet may take the memory limit divided by this, but at least
+// kMinStoreMemory bytes.
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kMinStoreMemory = std::size_t{4} << 20;
-// Timeouts and intervals as counts of heartbeats.
-constexpr int kElectionHeartbeats = 5;            // missed before another leader is elected
-constexpr int kHelloHeartbeats = 2;               // between two hellos
-constexpr int kAnswerTimeoutHeartbeats = 4;       // within which a ledger replica has to answer
-constexpr Time kMinInterval = milliseconds(200);  // lower bound of the hello interval and the answer timeout
+// Timeouts and intervals in heartbeat intervals.
+constexpr int kElectionHeartbeats = 5;       // without a heartbeat, after which another leader is elected
+constexpr int kHelloHeartbeats = 2;          // between two hello messages
+constexpr int kAnswerTimeoutHeartbeats = 4;  // for the answer of a ledger replica
+constexpr Time kMinInterval =
+    milliseconds(200);  // lower bound of the hello interval and of the answer timeout
 
 constexpr std::string_view kLogPart = "replication";
-constexpr const char* kPending = "+OK pending\n";
+constexpr const char* kPendingAnswer = "+OK pending\n";
 
 replication::Options replication_options(const config::Config& config, const Membership& membership,
-                                         std::uint32_t run) {
+                                         std::uint32_t instance_id) {
   const config::ReplicationFile& file = config.operator_file.replication;
   const auto lease = static_cast<Time>(file.lease_s * 1e6);
   const auto heartbeat = static_cast<Time>(file.heartbeat_s * 1e6);
@@ -45,7 +47,7 @@
   options.quota_client.replica_count = file.holders;
   options.quota_client.lease_duration = lease;
   options.quota_client.ledger_count = replication::ledger_count_for(membership.roster->size());
-  options.quota_client.instance_id = run;
+  options.quota_client.instance_id = instance_id;
   options.quota_client.max_prefetch_fraction = config.operator_file.budgets.block;
   options.quota_client.response_timeout = std::max(kMinInterval, kAnswerTimeoutHeartbeats * heartbeat);
   options.quota_client.overdraft_fraction = file.without_majority == "lenient" ? file.overdraft : 0;
@@ -57,7 +59,7 @@
   logging::Line(is_warning ? logging::Level::warning : logging::Level::info, kLogPart) << text;
 }
 
-// The answer to a later CORRECTION call about a command.
+// Returns the answer to a later CORRECTION command that asks for this outcome.
 std::string outcome_answer(const replication::OperatorOutcome& outcome) {
   using Status = replication::OperatorOutcome::Status;
   switch (outcome.status) {
@@ -70,12 +72,10 @@
 
 }  // namespace
 
-// ---------------------------------------------------------------- construction
-
 ClusterReplication::ClusterReplication(const config::Config& config, const Membership& membership,
                                        net::PeerLinks& links, LocalQuotaProxy& quota_proxy,
-                                       std::uint8_t channel, std::uint32_t run)
-    : file_(config.operator_file.replication),
+                                       std::uint8_t channel, std::uint32_t instance_id)
+    : replication_config_(config.operator_file.replication),
       roster_(membership.roster),
       self_(membership.self),
       links_(links),
@@ -84,7 +84,7 @@
       store_notifier_([this] { on_tick(); }) {
   fragmenter_.attach(links_);
   open_store(config);
-  start_replication(replication_options(config, membership, run));
+  start_replication(replication_options(config, membership, instance_id));
   log_start();
   quota_proxy_.attach(&replication_->quota_client(), [this] { schedule_tick(); });
   on_tick();
@@ -95,10 +95,12 @@
 void ClusterReplication::open_store(const config::Config& config) {
   const std::size_t memory = config.limits.memory_mb * 1024 * 1024;
   store_ = std::make_unique<persistence::LedgerStore>(
-      store::FileOptions{.path = file_.file, .holder = config.name, .megabytes = file_.megabytes},
+      store::FileOptions{.path = replication_config_.file,
+                         .holder = config.name,
+                         .megabytes = replication_config_.megabytes},
       std::max(kMinStoreMemory, memory / kStoreMemoryDivisor), store_notifier_.trigger());
   if (store_->set_aside().empty()) return;
-  logging::error(kLogPart) << file_.file << " is damaged: moved to " << store_->set_aside()
+  logging::error(kLogPart) << replication_config_.file << " is damaged: moved to " << store_->set_aside()
                            << ", its ledgers are restored from the other replicas";
 }
 
@@ -122,53 +124,51 @@
 
 void ClusterReplication::log_start() const {
   const std::size_t ledgers = replication_->quota_client().ledger_count();
-  if (!replication::survives_site_loss(*roster_, ledgers, file_.holders)) {
-    logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: " << file_.holders
-                               << " replicas need three sites";
+  if (!replication::survives_site_loss(*roster_, ledgers, replication_config_.holders)) {
+    logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: "
+                               << replication_config_.holders << " replicas need three sites";
   }
-  logging::info(kLogPart) << ledgers << " ledgers with " << file_.holders << " replicas each, "
-                          << replication_->replicas().size() << " of them here; " << file_.without_majority
-                          << " without a majority";
+  logging::info(kLogPart) << ledgers << " ledgers with " << replication_config_.holders << " replicas each, "
+                          << replication_->replicas().size() << " of them here; "
+                          << replication_config_.without_majority << " without a majority";
 }
 
-// ---------------------------------------------------------------- events
-
-// Keeps links with all replicas of all ledgers, including routers that have replaced others: the leader may
-// change, and a request to it should not wait for a connection.
-void ClusterReplication::keep_replica_links() {
-  const auto keep = [this](const std::vector<std::size_t>& members) {
+// Maintains links to the routers of all ledger replicas, including routers that have replaced others. The
+// leader may change, and a request to the new leader should not wait for a connection.
+void ClusterReplication::maintain_replica_links() {
+  const auto maintain = [this](const std::vector<std::size_t>& members) {
     for (const std::size_t member : members) {
       if (member != self_) links_.maintain_link(member);
     }
   };
   const auto& quota_client = replication_->quota_client();
   for (std::size_t ledger = 0; ledger < quota_client.ledger_count(); ++ledger)
-    keep(quota_client.replica_routers(ledger));
-  for (const auto& [ledger, replica] : replication_->replicas()) keep(replica->placed_members());
+    maintain(quota_client.replica_routers(ledger));
+  for (const auto& [ledger, replica] : replication_->replicas()) maintain(replica->placed_members());
 }
 
 void ClusterReplication::on_tick() {
-  if (processing_) return;
-  processing_ = true;
+  if (is_processing_) return;
+  is_processing_ = true;
   const Time now = net::now_us();
   replication_->on_durable(now, store_->durable());
   replication_->tick(now);
   store_->hand_over();
-  keep_replica_links();
+  maintain_replica_links();
   log_store_state();
-  processing_ = false;
+  is_processing_ = false;
   next_tick_ = 0;
   schedule_tick();
 }
 
 void ClusterReplication::log_store_state() {
   const auto metrics = store_->metrics();
-  if (metrics.failing && !store_failing_) {
+  if (metrics.failing && !store_writes_fail_) {
     logging::error(kLogPart) << "ledger writes fail, retrying: " << metrics.last_error;
-  } else if (!metrics.failing && store_failing_) {
+  } else if (!metrics.failing && store_writes_fail_) {
     logging::info(kLogPart) << "ledger writes succeed again";
   }
-  store_failing_ = metrics.failing;
+  store_writes_fail_ = metrics.failing;
   if (!store_->failed() || store_full_) return;
   store_full_ = true;
   logging::error(kLogPart)
@@ -176,20 +176,20 @@
 }
 
 void ClusterReplication::schedule_tick() {
-  if (processing_) return;
+  if (is_processing_) return;
   const Time now = net::now_us();
-  const Time wanted =
+  const Time next_tick =
       std::min(now + kMaxTickInterval, std::max(now, replication_->quota_client().next_tick()));
-  if (next_tick_ != 0 && next_tick_ <= wanted) return;
-  next_tick_ = wanted;
-  tick_timer_.start(wanted - now, [this] { on_tick(); });
+  if (next_tick_ != 0 && next_tick_ <= next_tick) return;
+  next_tick_ = next_tick;
+  tick_timer_.start(next_tick - now, [this] { on_tick(); });
 }
 
 void ClusterReplication::on_frame(std::size_t member, std::string_view bytes) {
   fragmenter_.on_frame(member, bytes, [this, member](std::string_view message) {
-    processing_ = true;
+    is_processing_ = true;
     replication_->on_message(net::now_us(), member, message);
-    processing_ = false;
+    is_processing_ = false;
     store_->hand_over();
     schedule_tick();
   });
@@ -205,16 +205,14 @@
   while (!timed_out && !replication_->quota_client().has_left()) g_main_context_iteration(nullptr, TRUE);
 }
 
-// ---------------------------------------------------------------- operators' commands
-
 std::string ClusterReplication::answer(std::string_view line) {
   const auto command = parse_replication_command(line);
   if (!command) return {};
-  return std::visit([this](const auto& known) { return run_command(known); }, *command);
+  return std::visit([this](const auto& command_value) { return run_command(command_value); }, *command);
 }
 
 ReplicationStatus ClusterReplication::status() const {
-  return {file_, *roster_, *replication_, *store_, fragmenter_};
+  return {replication_config_, *roster_, *replication_, *store_, fragmenter_};
 }
 
 std::string ClusterReplication::run_command(const ReplicationStatusQuery& query) const {
@@ -226,12 +224,12 @@
   return (answer == nullptr ? "-ERR no: no such id here" : *answer) + "\n";
 }
 
-std::string ClusterReplication::run_command(const BadCommandId&) const { return "-ERR no: not an id\n"; }
+std::string ClusterReplication::run_command(const InvalidCommandId&) const { return "-ERR no: not an id\n"; }
 
 std::string ClusterReplication::run_command(const BudgetCorrection& correction) {
   outcomes_.begin(correction.id);
   std::string answer = begin_correction(correction);
-  if (answer != kPending) outcomes_.forget(correction.id);
+  if (answer != kPendingAnswer) outcomes_.forget(correction.id);
   schedule_tick();
   return answer;
 }
@@ -247,21 +245,24 @@
   change.units = static_cast<budgets::Units>(std::llround(*correction.tokens * budgets::kUnitsPerToken));
   change.account = *account;
   replication_->quota_client().correct(
-      now, change,
-      [this, id = correction.id](const replication::OperatorOutcome& outcome) { on_decided(id, outcome); });
-  return kPending;
+      now, change, [this, id = correction.id](const replication::OperatorOutcome& outcome) {
+        on_command_decided(id, outcome);
+      });
+  return kPendingAnswer;
 }
 
 std::string ClusterReplication::run_command(const RouterReplacement& replacement) {
   outcomes_.begin(replacement.id);
   replication_->quota_client().replace(
       net::now_us(), {replacement.id, replacement.old_name, replacement.new_name},
-      [this, id = replacement.id](const replication::OperatorOutcome& outcome) { on_decided(id, outcome); });
+      [this, id = replacement.id](const replication::OperatorOutcome& outcome) {
+        on_command_decided(id, outcome);
+      });
   schedule_tick();
-  return kPending;
+  return kPendingAnswer;
 }
 
-void ClusterReplication::on_decided(std::uint64_t id, const replication::OperatorOutcome& outcome) {
+void ClusterReplication::on_command_decided(std::uint64_t id, const replication::OperatorOutcome& outcome) {
   const std::string answer = outcome_answer(outcome);
   outcomes_.set(id, answer);
   logging::info(kLogPart) << "operator command " << id << ": " << answer;
--- a/src/node/cluster_replication.hpp
+++ b/src/node/cluster_replication.hpp
@@ -1,5 +1,5 @@
-// The replicated budgets of a group at this router: its ledger replicas and its quota lease client, connected
-// to links, disk and main loop (docs/replication.md).
+// Runs the replicated budgets of the group at this router: connects its ledger replicas and its quota lease
+// client to the links, the disk and the main loop (docs/replication.md).
 #pragma once
 
 #include <memory>
@@ -20,26 +20,26 @@
 
 class ClusterReplication {
  public:
-  // Takes part in the replication from then on, and serves the calls of `quota_proxy`. `channel`: the channel
-  // of the links that only this object uses. `run`: a random number of this process. `links` and
-  // `quota_proxy` are not owned and have to outlive this object. Throws store::StoreError.
+  // Takes part in replication and serves the calls of `quota_proxy` until destruction. `channel` is a channel
+  // of the links that no other object uses. `instance_id` is a random number that identifies this process.
+  // `links` and `quota_proxy` are not owned and must outlive this object. Throws store::StoreError.
   ClusterReplication(const config::Config& config, const Membership& membership, net::PeerLinks& links,
-                     LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t run);
+                     LocalQuotaProxy& quota_proxy, std::uint8_t channel, std::uint32_t instance_id);
   ~ClusterReplication();
   ClusterReplication(const ClusterReplication&) = delete;
   ClusterReplication& operator=(const ClusterReplication&) = delete;
 
-  // Events of the links.
+  // Handlers of events of the links. `member` is an index of the roster.
   void on_frame(std::size_t member, std::string_view bytes);
   void on_link_writable(std::size_t member) { fragmenter_.on_writable(member); }
   void on_link_lost(std::size_t member) { fragmenter_.on_link_lost(member); }
 
-  // To be called before a planned end: reports the used quota and returns the rest. Runs the main loop until
-  // the ledger replicas have answered, for `timeout` (microseconds) at most.
+  // Reports the used quota to the ledgers and returns the unused quota. Call it before the process exits.
+  // Runs the main loop until the ledger replicas have answered, for at most `timeout` (microseconds).
   void flush_before_exit(Time timeout);
 
-  // Runs the command in `line` and returns its answer, or an empty string if the line is none of the commands
-  // of replication_commands.hpp.
+  // Runs the command in `line` and returns its answer. Returns an empty string if the line is none of the
+  // commands of replication_commands.hpp.
   std::string answer(std::string_view line);
 
  private:
@@ -49,7 +49,7 @@
 
   void on_tick();
   void schedule_tick();
-  void keep_replica_links();
+  void maintain_replica_links();
   void log_store_state();
 
   ReplicationStatus status() const;
@@ -57,25 +57,26 @@
   std::string run_command(const OutcomeQuery& query) const;
   std::string run_command(const BudgetCorrection& correction);
   std::string run_command(const RouterReplacement& replacement);
-  std::string run_command(const BadCommandId&) const;
+  std::string run_command(const InvalidCommandId&) const;
   std::string begin_correction(const BudgetCorrection& correction);
-  void on_decided(std::uint64_t id, const replication::OperatorOutcome& outcome);
+  void on_command_decided(std::uint64_t id, const replication::OperatorOutcome& outcome);
 
-  config::ReplicationFile file_;
+  config::ReplicationFile replication_config_;
   std::shared_ptr<const membership::Roster> roster_;
   std::size_t self_;
   net::PeerLinks& links_;
   LocalQuotaProxy& quota_proxy_;
   net::MessageFragmenter fragmenter_;
-  LoopNotifier store_notifier_;  // outlives the store, whose thread triggers it
+  LoopNotifier store_notifier_;  // destroyed after the store, whose thread triggers the notifier
   std::unique_ptr<persistence::LedgerStore> store_;
   std::unique_ptr<replication::ReplicationNode> replication_;
   CommandOutcomes outcomes_;
   net::Timer tick_timer_;
-  Time next_tick_ = 0;          // 0: no tick is scheduled
-  bool processing_ = false;     // within on_tick(), which schedules the next tick itself
-  bool store_failing_ = false;  // the latest write has failed
-  bool store_full_ = false;     // a write found no room
+  Time next_tick_ = 0;  // time of the scheduled tick; 0 if none is scheduled
+  bool is_processing_ =
+      false;  // true within on_tick() and on_frame(), which schedule the next tick themselves
+  bool store_writes_fail_ = false;  // whether the latest write of the store failed
+  bool store_full_ = false;         // whether a write failed for lack of room
 };
 
 }  // namespace thornwick::node
--- a/src/node/cluster_status.cpp
+++ b/src/node/cluster_status.cpp
@@ -11,22 +11,20 @@
 using Json = nlohmann::ordered_json;
 using membership::MemberState;
 
-// To the millisecond, rounded towards zero.
+// Converts microseconds to seconds, in whole milliseconds, rounded towards zero.
 double in_seconds(Time time) {
-  const Time whole_milliseconds = time / milliseconds(1);
-  return static_cast<double>(whole_milliseconds) / 1000;
+  const Time elapsed_milliseconds = time / milliseconds(1);
+  return static_cast<double>(elapsed_milliseconds) / 1000;
 }
 
-// ---------------------------------------------------------------- JSON
-
 Json self_json(const GroupStatus& status) {
   const auto& swim = status.swim;
   const auto& self = swim.view(swim.self());
   return {{"group", status.group},
           {"self", swim.roster().at(swim.self()).name},
-          {"start", status.empty_start ? "empty" : "kept"},
+          {"start", status.has_new_disk ? "empty" : "kept"},
           {"back", name_of(self.recovery)},
-          {"running_s", in_seconds(status.now - status.started)},
+          {"running_s", in_seconds(status.now - status.started_at)},
           {"incarnation", swim.incarnation()},
           {"present", swim.running_count()},
           {"routers", swim.roster().size()},
@@ -37,23 +35,28 @@
           {"loss", swim.loss_rate()}};
 }
 
-// How many routers of a site are seen here, and the range of what the live members last reported.
+// Returns how many routers of a site this router believes to run, and the range of the counts that live
+// members last reported.
 Json site_json(const GroupStatus& status, std::size_t site) {
   const auto& roster = status.swim.roster();
   const std::size_t seen_here = status.swim.running_count(site);
-  std::size_t least_seen = seen_here;
-  std::size_t most_seen = seen_here;
+  std::size_t min_seen = seen_here;
+  std::size_t max_seen = seen_here;
   std::size_t reporters = 1;
   for (std::size_t member = 0; member < roster.size(); ++member) {
     const auto& view = status.swim.view(member);
     const bool reports = site < view.reported_running_by_site.size() && view.state == MemberState::alive;
     if (member == status.swim.self() || !reports) continue;
-    least_seen = std::min<std::size_t>(least_seen, view.reported_running_by_site[site]);
-    most_seen = std::max<std::size_t>(most_seen, view.reported_running_by_site[site]);
+    min_seen = std::min<std::size_t>(min_seen, view.reported_running_by_site[site]);
+    max_seen = std::max<std::size_t>(max_seen, view.reported_running_by_site[site]);
     ++reporters;
   }
-  return {{"site", roster.sites()[site]}, {"routers", roster.site_size(site)}, {"seen", seen_here},
-          {"tellers", reporters},         {"least_seen", least_seen},          {"most_seen", most_seen}};
+  return {{"site", roster.sites()[site]},
+          {"routers", roster.site_size(site)},
+          {"seen", seen_here},
+          {"tellers", reporters},
+          {"least_seen", min_seen},
+          {"most_seen", max_seen}};
 }
 
 std::string_view link_name(const GroupStatus& status, std::size_t member) {
@@ -61,7 +64,8 @@
   return status.links.up(member) ? "up" : "none";
 }
 
-// Null for this router itself, and for one that has not answered yet.
+// Returns the seconds since the member's last answer. Null for this router itself, and for a member that has
+// not answered yet.
 Json answered_json(const GroupStatus& status, std::size_t member) {
   const auto& view = status.swim.view(member);
   if (member == status.swim.self() || view.last_answer_at == 0) return nullptr;
@@ -122,8 +126,6 @@
       {"held_back", counters.queue_full}};
 }
 
-// ---------------------------------------------------------------- text
-
 std::string summary_text(const GroupStatus& status) {
   const auto& swim = status.swim;
   return fmt::format("{} of group {}: {} of {} routers present{}{}{}\n", swim.roster().at(swim.self()).name,
--- a/src/node/cluster_status.hpp
+++ b/src/node/cluster_status.hpp
@@ -1,4 +1,4 @@
-// The status of this router's view of its group, as one JSON object or as text.
+// Prints this router's view of its group, as one JSON object or as text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,14 +9,15 @@
 
 namespace thornwick::node {
 
-// The sources of a status. Holds references, and is to be used within one call.
+// The data that a status is made from. Holds references, so it must not be kept beyond the call it is made
+// for.
 struct GroupStatus {
   const std::string& group;
   const membership::Swim& swim;
   const net::PeerLinks& links;
   Time now;
-  Time started;      // when this process started
-  bool empty_start;  // this process found no state of an earlier one on its disk
+  Time started_at;    // when this process joined the group
+  bool has_new_disk;  // whether this process found no state of an earlier process on its disk
 };
 
 nlohmann::ordered_json status_json(const GroupStatus& status);
--- a/src/node/config_validation.cpp
+++ b/src/node/config_validation.cpp
@@ -14,10 +14,10 @@
 namespace thornwick::node {
 namespace {
 
-// The affinity table's part of the memory is one divided by this, unless the operator's file has its size.
+// The affinity table may take the memory limit divided by this, unless the operator's file sets its size.
 constexpr std::size_t kAffinityMemoryDivisor = 16;
 
-// Collects errors of the operator's file, one line each: "FILE:LINE: KEY: what is wrong".
+// Collects errors of the operator's file, one line for each: "FILE:LINE: KEY: DESCRIPTION".
 class ErrorLines {
  public:
   explicit ErrorLines(const std::string& path) : path_(path) {}
@@ -35,8 +35,8 @@
   std::string lines_;
 };
 
-// Returns the number of a budget's member or class; `name` may also be "each" or "all". If the settings do
-// not have the name, an error is added and the result must not be used.
+// Returns the index of a budget's member or class in `names`, or a special value if `name` is "each" or
+// "all". If the settings do not have the name, adds an error, and the result must not be used.
 std::uint16_t subject_number(const config::BudgetEntry& entry, const std::string& key,
                              const std::string& name, const std::vector<std::string>& names,
                              ErrorLines& errors) {
@@ -83,7 +83,7 @@
   return budget;
 }
 
-// Throws BadConfig if the value of the configuration's `key` is not an address.
+// Throws BadConfig if `address`, the value of the configuration's `key`, is not an address.
 void check_address(const std::string& key, const std::string& address) {
   if (net::parse_address(address)) return;
   throw config::BadConfig("configuration: " + key + " is not an address: " + address);
@@ -91,7 +91,7 @@
 
 }  // namespace
 
-const fronts::Dialect& dialect_named(const std::string& name) {
+const fronts::Dialect& find_dialect_or_throw(const std::string& name) {
   const auto* found = fronts::find_dialect(name);
   if (found == nullptr) throw config::BadConfig("operator's file: no such dialect: " + name);
   return *found;
@@ -124,7 +124,7 @@
   options.router_index = config.settings.rank + 1;
   options.router_count = std::max(config.settings.group_size, options.router_index);
   if (config.operator_file.replication.enabled) {
-    // The group grants from whole limits; they are not split among its routers.
+    // Replicated budgets are granted from the full limits, so the limits are not split among the routers.
     options.router_index = 1;
     options.router_count = 1;
   }
@@ -150,10 +150,10 @@
     errors.add(file.line, "group.status: the path is too long for a local socket");
   Membership membership;
   membership.roster = std::make_shared<membership::Roster>(file.name, file.sites, file.routers);
-  const std::string& own_name = file.self.empty() ? config.name : file.self;
-  membership.self = membership.roster->find(own_name);
+  const std::string& local_name = file.self.empty() ? config.name : file.self;
+  membership.self = membership.roster->find(local_name);
   if (membership.self == membership.roster->size())
-    errors.add(file.line, "group.self: no router is called '" + own_name + "', as this one is");
+    errors.add(file.line, "group.self: no router is called '" + local_name + "', as this one is");
   errors.throw_if_any();
   return membership;
 }
@@ -166,13 +166,13 @@
 void check_config(const config::Config& config) {
   budget_options(config);
   if (!config.operator_file.group.name.empty()) membership_of(config);
-  dialect_named(config.operator_file.target_dialect);
-  for (const auto& [uid, name] : config.operator_file.targets) dialect_named(name);
+  find_dialect_or_throw(config.operator_file.target_dialect);
+  for (const auto& [uid, name] : config.operator_file.targets) find_dialect_or_throw(name);
   check_address("listen", config.listeners.requests);
   check_address("discovery", config.discovery.address);
   if (!config.listeners.operators.empty()) check_address("ops", config.listeners.operators);
-  // The routing policy checks the settings as it is built.
-  [[maybe_unused]] const RoutingPolicy checked(config.settings, 0);
+  // The constructor of the routing policy checks the settings.
+  [[maybe_unused]] const RoutingPolicy policy(config.settings, 0);
 }
 
 }  // namespace thornwick::node
--- a/src/node/config_validation.hpp
+++ b/src/node/config_validation.hpp
@@ -1,6 +1,5 @@
-// Converts a configuration to the options of a router's modules, and validates the configuration as a whole.
-// Each file by itself is validated as it is read (config/); here names and addresses are checked that refer
-// to other files.
+// Converts a configuration to the options of the router's modules, and validates names and addresses across
+// the configuration's files. Checks of a single file are made when the file is read (config/).
 #pragma once
 
 #include <memory>
@@ -14,31 +13,31 @@
 
 namespace thornwick::node {
 
-// Returns the dialect of that name. Throws BadConfig if there is none.
-const fronts::Dialect& dialect_named(const std::string& name);
+// Returns the dialect called `name`. Throws BadConfig if there is none.
+const fronts::Dialect& find_dialect_or_throw(const std::string& name);
 
-// The affinity table's size, eviction and lifetimes.
+// Returns the options of the affinity table: size, eviction policy and lifetimes.
 affinity::Options affinity_options(const config::Config& config);
 
-// The budgets, with names of members, classes and models replaced by their numbers in the settings. Throws
-// BadConfig with one line for each name that the settings do not have.
+// Returns the options of the budgets, with names of members, classes and models replaced by their indices in
+// the settings. Throws BadConfig with one line for each name that the settings do not have.
 budgets::Options budget_options(const config::Config& config);
 
-// The routers of the group, and the number of this router.
+// The routers of the group, and the index of this router among them.
 struct Membership {
   std::shared_ptr<const membership::Roster> roster;
   std::size_t self = 0;
 };
-// Throws BadConfig with one line for each error: this router's own name is missing, an address is invalid, a
-// path is too long.
+// Returns the membership that the configuration describes. Throws BadConfig with one line for each error: an
+// address is invalid, the path of the status socket is too long, or no router has this router's name.
 Membership membership_of(const config::Config& config);
 
-// The path of the Unix socket for handovers between this router's processes. Empty if there is no admin
-// endpoint or no folder for it ($TMPDIR).
+// Returns the path of the Unix socket for handovers between processes of this router. The path is empty if
+// the router has no admin endpoint, or $TMPDIR, the folder of the socket, is not set.
 std::string handover_path(const config::Config& config);
 
-// Runs all checks above, and those of addresses, dialects and the routing policy's settings. Throws
-// BadConfig, or the exception of the routing policy.
+// Checks budgets, group, dialects, addresses and the settings of the routing policy. Throws BadConfig, or the
+// exception of the routing policy.
 void check_config(const config::Config& config);
 
 }  // namespace thornwick::node
--- a/src/node/connection_options.hpp
+++ b/src/node/connection_options.hpp
@@ -1,5 +1,5 @@
-// Divides the process's descriptors and memory between clients and replicas. Reads net::descriptors(), whose
-// limit has to be set before.
+// Divides the descriptors and the memory of the process between connections to clients and to replicas. The
+// limit of net::descriptors() must be set before these functions are called.
 #pragma once
 
 #include "config/config.hpp"
@@ -8,12 +8,12 @@
 
 namespace thornwick::node {
 
-// Returns the options of the connection pool to replicas, without the callback `sent`. They refer to
-// `config`, which has to outlive the pool. Throws BadConfig for an unknown dialect.
+// Returns the options of the connection pool to replicas, without the callback `on_attempt_sent`. The options
+// refer to `config`, which must outlive the pool. Throws BadConfig for an unknown dialect.
 net::UpstreamPool::Options upstream_options(const config::Config& config);
 
 // Returns the options that all servers for clients share, without address, dialect, lifecycle and callbacks.
-// They refer to `config`, which has to outlive the servers.
+// The options refer to `config`, which must outlive the servers.
 net::DownstreamServer::Options downstream_options(const config::Config& config);
 
 }  // namespace thornwick::node
--- a/src/node/counters_report.cpp
+++ b/src/node/counters_report.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 void print_request_counters(const core::RequestManager& core, std::ostream& out) {
-  // In the order of AttemptOutcome.
+  // The names are in the order of AttemptOutcome.
   static constexpr std::string_view outcome_names[] = {"served",         "error", "full",      "timed_out",
                                                        "connect_failed", "reset", "cancelled", "not_sent"};
   const auto& counters = core.counters();
--- a/src/node/counters_report.hpp
+++ b/src/node/counters_report.hpp
@@ -1,4 +1,4 @@
-// The counters line: name=value for each counter of a router's parts, in a fixed order.
+// Prints the counters line: name=value for each counter of the router's components, in a fixed order.
 #pragma once
 
 #include <ostream>
@@ -11,7 +11,7 @@
 
 namespace thornwick::node {
 
-// Each function writes its part of the line, without a newline.
+// Each function writes the counters of one component, without a newline.
 void print_request_counters(const core::RequestManager& core, std::ostream& out);
 void print_downstream_counters(const DownstreamFronts& fronts, std::ostream& out);
 void print_upstream_counters(const net::UpstreamPool& upstream, std::ostream& out);
--- a/src/node/decider_chain.cpp
+++ b/src/node/decider_chain.cpp
@@ -26,39 +26,39 @@
   models::Pools::Options options;
   options.settings = config.settings;
   options.catalogue = config.operator_file.catalogue;
-  options.identity_of = [&endpoints](ReplicaId replica) { return replica_names(endpoints, replica); };
-  options.make_decider = [&durable_state](const Settings& settings, Time created, models::ModelId) {
-    return build_policy(settings, created, durable_state);
+  options.identity_of = [&endpoints](ReplicaId replica) { return replica_identity(endpoints, replica); };
+  options.make_decider = [&durable_state](const Settings& settings, Time created_at, models::ModelId) {
+    return build_policy(settings, created_at, durable_state);
   };
   return std::make_unique<models::Pools>(std::move(options), now);
 }
 
-// If discovery pushes its list, every router learns of a drain from it. If routers poll, a router may learn
-// of a drain late, and its peers' reports are used too.
+// If discovery pushes its list, every router learns of a drain from discovery. If routers poll, a router may
+// learn of a drain late, so it also uses the reports of its peers.
 bool learns_drains_from_peers(const Settings& settings) {
   return settings.may_message_peers && settings.discovery_by_polling && settings.group_size > 1;
 }
 
-std::string_view description_of(core::DrainTracker::ReportOutcome fate) {
-  using Fate = core::DrainTracker::ReportOutcome;
-  switch (fate) {
-    case Fate::sent: return "draining or gone: reported to peers";
-    case Fate::accepted: return "a peer reports it draining or gone: no more attempts";
-    case Fate::unlisted: return "a peer reports it draining or gone: as in the endpoint list";
-    case Fate::held_back:
-      return "a peer reports it draining or gone: ignored for now, too many replicas are reported";
-    case Fate::expired: break;
+std::string_view description_of(core::DrainTracker::ReportOutcome outcome) {
+  using Outcome = core::DrainTracker::ReportOutcome;
+  switch (outcome) {
+    case Outcome::sent: return "draining or removed: reported to peers";
+    case Outcome::accepted: return "a peer reports it draining or removed: no more attempts";
+    case Outcome::unlisted: return "a peer reports it draining or removed: as in the endpoint list";
+    case Outcome::held_back:
+      return "a peer reports it draining or removed: ignored for now, too many replicas are reported";
+    case Outcome::expired: break;
   }
   return "a peer's report expired: ready according to the endpoint list";
 }
 
-// Logs the fate of each report about a replica.
+// Returns an observer that logs the outcome of each report about a replica.
 core::DrainTracker::Observer report_logger(const net::EndpointTable& endpoints) {
-  return [&endpoints](core::DrainTracker::ReportOutcome fate, ReplicaId replica) {
-    using Fate = core::DrainTracker::ReportOutcome;
-    const auto level = fate == Fate::unlisted ? logging::Level::debug : logging::Level::info;
+  return [&endpoints](core::DrainTracker::ReportOutcome outcome, ReplicaId replica) {
+    using Outcome = core::DrainTracker::ReportOutcome;
+    const auto level = outcome == Outcome::unlisted ? logging::Level::debug : logging::Level::info;
     logging::Line(level, "drain") << "replica " << logging::field("replica", uid_of(endpoints, replica))
-                                  << ": " << description_of(fate);
+                                  << ": " << description_of(outcome);
   };
 }
 
--- a/src/node/decider_chain.hpp
+++ b/src/node/decider_chain.hpp
@@ -14,16 +14,17 @@
 namespace thornwick::node {
 
 struct DeciderChain {
-  std::unique_ptr<core::Decider> decider;  // the outermost one
-  // Parts of the chain. Null if there is no catalogue of models, or no peer that reports drains.
+  std::unique_ptr<core::Decider> decider;  // the outermost decider
+  // Deciders within the chain, owned by it. `pools` is null if there is no catalogue of models,
+  // `drain_tracker` if no peers report drains.
   models::Pools* pools = nullptr;
   const core::DrainTracker* drain_tracker = nullptr;
 };
 
-// The chain from the innermost decider to the outermost one: routing policy, AdmissionController (if there
-// are budgets or fair shares), models::Pools (if there is a catalogue; with one policy for each pool),
-// SlowStartBudget, DrainTracker (if peers report drains), traces. The chain refers to the arguments, which
-// have to outlive it.
+// Builds the chain, from the innermost decider to the outermost one: routing policy, AdmissionController (if
+// there are budgets or fair shares), models::Pools (if there is a catalogue; with one routing policy for each
+// pool), SlowStartBudget, DrainTracker (if peers report drains), tracing. The chain refers to the arguments,
+// which must outlive it.
 DeciderChain build_decider_chain(const config::Config& config, const net::EndpointTable& endpoints,
                                  const DurableState& durable_state);
 
--- a/src/node/downstream_fronts.cpp
+++ b/src/node/downstream_fronts.cpp
@@ -19,8 +19,8 @@
                                    core::RequestManager& core, net::HandoverState& handover_state) {
   auto options = downstream_options(dependencies_.config);
   options.router_lifecycle = &dependencies_.router_lifecycle;
-  options.on_overload_rejection = [&metrics = dependencies_.metrics](std::string_view cls) {
-    metrics.count_request(cls, metrics::RequestState::deferred);
+  options.on_overload_rejection = [&metrics = dependencies_.metrics](std::string_view priority_class) {
+    metrics.count_request(priority_class, metrics::RequestState::deferred);
   };
   options.listening_socket = std::move(handover_state.sockets[address]);
   options.address = address;
@@ -30,11 +30,11 @@
   logging::info("process") << dialect.name() << " front on " << servers_.back()->address();
 }
 
-void DownstreamFronts::lend_sockets(net::HandoverState& handover_state) const {
+void DownstreamFronts::share_sockets(net::HandoverState& handover_state) const {
   const config::Config& config = dependencies_.config;
-  lend_socket(handover_state, config.listeners.requests, servers_.front()->socket());
+  share_socket(handover_state, config.listeners.requests, servers_.front()->socket());
   if (servers_.size() > 1)
-    lend_socket(handover_state, config.operator_file.messages_listen, servers_.back()->socket());
+    share_socket(handover_state, config.operator_file.messages_listen, servers_.back()->socket());
 }
 
 void DownstreamFronts::phase_changed() {
@@ -46,7 +46,7 @@
                      [](const auto& server) { return server->connection_count() > 0; });
 }
 
-void lend_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket) {
+void share_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket) {
   if (socket == nullptr) return;
   handover_state.sockets[address].reset(G_SOCKET(g_object_ref(socket)));
 }
--- a/src/node/downstream_fronts.hpp
+++ b/src/node/downstream_fronts.hpp
@@ -1,5 +1,5 @@
-// The listeners for clients: the platform's dialect at the configuration's address, and the messages dialect
-// where the operator's file names an address for it.
+// Listens for clients: with the platform's dialect at the configuration's address, and with the messages
+// dialect if the operator's file names an address for it.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 class DownstreamFronts {
  public:
-  // None is owned; all have to outlive the fronts.
+  // None of the referenced objects is owned; all must outlive the fronts.
   struct Dependencies {
     const config::Config& config;
     const lifecycle::Lifecycle& router_lifecycle;
@@ -24,12 +24,12 @@
   };
   explicit DownstreamFronts(Dependencies dependencies) : dependencies_(dependencies) {}
 
-  // Listens from then on. Takes the listening sockets out of `handover_state` where a predecessor has handed
-  // them over. Throws NetError.
+  // Starts to listen. Takes listening sockets that a predecessor has handed over out of `handover_state`, and
+  // opens the others. Throws NetError.
   void open(core::RequestManager& core, net::HandoverState& handover_state);
-  // Adds the listening sockets to the state for a successor. They stay open here.
-  void lend_sockets(net::HandoverState& handover_state) const;
-  // To be called after the lifecycle has entered another phase.
+  // Adds references to the listening sockets to the state for a successor. The sockets stay open here.
+  void share_sockets(net::HandoverState& handover_state) const;
+  // Notifies the servers of a change of phase. Call it after the lifecycle has entered another phase.
   void phase_changed();
 
   bool has_connections() const;
@@ -45,8 +45,8 @@
   std::vector<std::unique_ptr<net::DownstreamServer>> servers_;
 };
 
-// Adds a reference to `socket` to the state for a successor, under the address that the configuration names.
-// Adds nothing if `socket` is null.
-void lend_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket);
+// Adds a reference to `socket` to the state for a successor. `address` is the address as the configuration
+// has it. Adds nothing if `socket` is null.
+void share_socket(net::HandoverState& handover_state, const std::string& address, GSocket* socket);
 
 }  // namespace thornwick::node
--- a/src/node/drain_watcher.cpp
+++ b/src/node/drain_watcher.cpp
@@ -3,8 +3,8 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kIdleTime = seconds(3);  // a process that is to end does so after this time without clients
-constexpr Time kCheckInterval = kIdleTime / 10;
+constexpr Time kMinIdleTime = seconds(3);  // without clients and requests, after which the process may exit
+constexpr Time kCheckInterval = kMinIdleTime / 10;
 
 }  // namespace
 
@@ -18,11 +18,11 @@
 }
 
 void DrainWatcher::on_timer() {
-  const bool busy = busy_();
+  const bool busy = is_busy_();
   if (busy) restart_idle_time();
-  // Once a successor listens at the address, no new client can connect here.
-  const Time required = lifecycle_.phase() == lifecycle::Phase::handed_over ? 0 : kIdleTime;
-  if (!busy && net::now_us() - idle_since_ >= required) return drained_();
+  // A process that has handed over need not wait: new clients connect to the successor.
+  const Time required_idle_time = lifecycle_.phase() == lifecycle::Phase::handed_over ? 0 : kMinIdleTime;
+  if (!busy && net::now_us() - idle_since_ >= required_idle_time) return on_drained_();
   schedule();
 }
 
--- a/src/node/drain_watcher.hpp
+++ b/src/node/drain_watcher.hpp
@@ -1,4 +1,4 @@
-// Watches a process that is to end, until no request is in flight and no client is connected.
+// Waits until a process that shuts down or has handed over has no request in flight and no client connected.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,16 @@
 class DrainWatcher {
  public:
   // `busy` returns whether requests are in flight or clients are connected. `router_lifecycle` is not owned
-  // and has to outlive the watcher.
+  // and must outlive the watcher.
   DrainWatcher(const lifecycle::Lifecycle& router_lifecycle, std::function<bool()> busy)
-      : lifecycle_(router_lifecycle), busy_(std::move(busy)) {}
+      : lifecycle_(router_lifecycle), is_busy_(std::move(busy)) {}
 
-  // Sets the callback for the end of a watch, when the process has been idle for long enough. It is called on
-  // the loop.
-  void on_drained(std::function<void()> drained) { drained_ = std::move(drained); }
+  // Sets the callback that the main loop calls once the process has been idle for long enough to exit.
+  void on_drained(std::function<void()> callback) { on_drained_ = std::move(callback); }
 
-  // Starts a watch, or restarts the running one.
+  // Starts to watch, or restarts the running watch.
   void start();
-  // The idle time begins now; a running watch goes on.
+  // Restarts the idle time without stopping the watch.
   void restart_idle_time() { idle_since_ = net::now_us(); }
   void stop() { timer_.stop(); }
 
@@ -30,8 +29,8 @@
   void on_timer();
 
   const lifecycle::Lifecycle& lifecycle_;
-  std::function<bool()> busy_;
-  std::function<void()> drained_ = [] {};
+  std::function<bool()> is_busy_;
+  std::function<void()> on_drained_ = [] {};
   Time idle_since_ = 0;
   net::Timer timer_;
 };
--- a/src/node/durable_state.cpp
+++ b/src/node/durable_state.cpp
@@ -11,16 +11,16 @@
 namespace thornwick::node {
 namespace {
 
-// The part of the memory for changes that are not durable yet is one divided by this. The store holds up to
-// three batches of them.
+// Changes that are not durable yet may take the memory limit divided by this. The store holds them in at most
+// three batches (kStoreBatches).
 constexpr std::size_t kStoreMemoryDivisor = 16;
 constexpr std::size_t kStoreBatches = 3;
 constexpr Time kMinFlushInterval = milliseconds(1);
-constexpr double kMinShare = 1e-6;
+constexpr double kMinFairShareWeight = 1e-6;
 
 }  // namespace
 
-DurableState::DurableState(const config::Config& config, ReplicaUid uid_of)
+DurableState::DurableState(const config::Config& config, ReplicaUidLookup uid_of)
     : config_(config), uid_of_(std::move(uid_of)), affinity_log_(uid_of_) {
   if (config.operator_file.affinity.enabled)
     affinity_table_ = std::make_unique<affinity::AffinityTable>(affinity_options(config), &affinity_log_);
@@ -29,8 +29,6 @@
   open_fair_share();
 }
 
-// ---------------------------------------------------------------- the store
-
 void DurableState::open_store() {
   const bool budgets = !config_.operator_file.budgets.budgets.empty();
   if (config_.operator_file.store.file.empty() || (!affinity_table_ && !budgets)) return;
@@ -38,9 +36,9 @@
     state_store_ = make_state_store();
     if (affinity_table_) load_affinity_table();
     schedule_store_flush();
-  } catch (const store::StoreError& problem) {
+  } catch (const store::StoreError& error) {
     state_store_.reset();
-    logging::error("store") << "state is not persisted: " << problem.what();
+    logging::error("store") << "state is not persisted: " << error.what();
   }
 }
 
@@ -68,22 +66,22 @@
                          << " dropped for lack of room";
 }
 
-// Flushes twice within the time in which changes have to be durable: one flush gathers a change, and the next
-// one has written it.
+// Flushes twice within the time in which changes must become durable, because one flush gathers a change and
+// the next flush finds it written.
 void DurableState::schedule_store_flush() {
-  const auto half = static_cast<Time>(config_.operator_file.store.sync_s * 1e6 / 2);
-  flush_timer_.start(std::max(half, kMinFlushInterval), [this] { flush_store(); });
+  const auto flush_interval = static_cast<Time>(config_.operator_file.store.sync_s * 1e6 / 2);
+  flush_timer_.start(std::max(flush_interval, kMinFlushInterval), [this] { flush_store(); });
 }
 
 void DurableState::flush_store() {
   state_store_->writer().hand_over();
   const auto metrics = state_store_->writer().metrics();
-  if (metrics.failing && !store_failing_) {
+  if (metrics.failing && !store_writes_fail_) {
     logging::error("store") << "writes fail, retrying: " << metrics.last_error;
-  } else if (!metrics.failing && store_failing_) {
+  } else if (!metrics.failing && store_writes_fail_) {
     logging::info("store") << "writes succeed again";
   }
-  store_failing_ = metrics.failing;
+  store_writes_fail_ = metrics.failing;
   schedule_store_flush();
 }
 
@@ -92,8 +90,6 @@
   return !state_store_ || state_store_->writer().drain(std::chrono::milliseconds(timeout / milliseconds(1)));
 }
 
-// ---------------------------------------------------------------- budgets
-
 void DurableState::open_quota_service() {
   const config::BudgetsFile& file = config_.operator_file.budgets;
   if (file.budgets.empty() && !file.fair) return;
@@ -110,7 +106,8 @@
   if (quota_state_store_) load_accounts();
 }
 
-// Accounts are replicated in the group, or kept in this router's store, or lost with the process.
+// Opens the proxy of replicated accounts, or the store of this router's accounts. Without either, accounts
+// are lost when the process exits.
 void DurableState::open_quota_backend() {
   if (config_.operator_file.replication.enabled) {
     quota_proxy_ = std::make_unique<LocalQuotaProxy>();
@@ -130,7 +127,7 @@
   if (!config_.operator_file.budgets.fair) return;
   budgets::FairShareOptions options;
   for (const auto& tenant : config_.settings.tenants)
-    options.weights.push_back(std::max(kMinShare, tenant.share));
+    options.weights.push_back(std::max(kMinFairShareWeight, tenant.share));
   fair_share_ = std::make_unique<budgets::FairShare>(options);
 }
 
@@ -145,8 +142,6 @@
   update_prices();
 }
 
-// ---------------------------------------------------------------- reports
-
 void DurableState::print_counters(std::ostream& out) const {
   if (!quota_service_) return;
   const auto& metrics = quota_service_->accounts.metrics();
@@ -158,8 +153,8 @@
       << " budget_shared=" << metrics.on_shared_account;
 }
 
-void DurableState::log_replicas(const std::function<void(const std::string&)>& line) const {
-  if (affinity_table_) report_replicas(*affinity_table_, uid_of_, line);
+void DurableState::log_replicas(const std::function<void(const std::string&)>& print_line) const {
+  if (affinity_table_) print_replicas(*affinity_table_, uid_of_, print_line);
 }
 
 }  // namespace thornwick::node
--- a/src/node/durable_state.hpp
+++ b/src/node/durable_state.hpp
@@ -1,5 +1,5 @@
-// The state of a router that may outlive its process: the affinity table, the accounts of budgets, and the
-// store on disk for both.
+// Owns the state of a router that may outlive its process: the affinity table, the accounts of budgets, and
+// the store on disk for both.
 #pragma once
 
 #include <functional>
@@ -21,25 +21,26 @@
 
 class DurableState {
  public:
-  // Loads the contents of the store. If the store cannot be opened, an error is logged and the router serves
-  // without it. `config` is not owned, has to outlive this object, and may change. Throws BadConfig.
-  DurableState(const config::Config& config, ReplicaUid uid_of);
+  // Opens the store and loads its contents. If the store cannot be opened, an error is logged and the router
+  // serves without a store. `config` is not owned, must outlive this object, and may change. Throws
+  // BadConfig.
+  DurableState(const config::Config& config, ReplicaUidLookup uid_of);
 
-  // Makes all state durable, at the end of a graceful shutdown. Blocks for `timeout` (microseconds) at most;
-  // returns false if that was too short.
+  // Makes all state durable at the end of a graceful shutdown. Blocks for at most `timeout` (microseconds).
+  // Returns false if the time was too short.
   [[nodiscard]] bool save(Time timeout);
-  // To be called after the configuration's budgets or prices have changed. Usage that was charged stays
-  // charged. There must be a quota service.
+  // Applies the configuration's budgets and prices. Call it after they have changed, and only if there is a
+  // quota service. Charges that were made earlier stay.
   void budgets_changed(Time now);
 
-  // The counters of budgets, in the form " name=value".
+  // Writes the counters of budgets, each as " name=value".
   void print_counters(std::ostream& out) const;
-  // Calls `line` with one line for each replica in the affinity table, 64 lines at most. Replicas that have
-  // lost trust come first.
-  void log_replicas(const std::function<void(const std::string&)>& line) const;
+  // Calls `print_line` with one line for each replica in the affinity table, for at most 64 replicas.
+  // Replicas that have lost trust come first.
+  void log_replicas(const std::function<void(const std::string&)>& print_line) const;
 
-  // Each is null if the configuration does not enable it. The store is also null if it could not be opened,
-  // and the proxy if budgets are not replicated.
+  // Each object is null if the configuration does not enable it. The store is also null if it could not be
+  // opened, and the proxy if budgets are not replicated.
   const persistence::StateStore* state_store() const { return state_store_.get(); }
   affinity::AffinityTable* affinity_table() const { return affinity_table_.get(); }
   budgets::QuotaService* quota_service() const { return quota_service_.get(); }
@@ -60,18 +61,18 @@
   void update_prices();
 
   const config::Config& config_;
-  ReplicaUid uid_of_;
+  ReplicaUidLookup uid_of_;
   AffinityLog affinity_log_;
-  // Members are destroyed in the reverse order, so that those that refer to the store are destroyed before
-  // it.
+  // Members are destroyed in reverse order, so that members that refer to the store are destroyed before the
+  // store.
   std::unique_ptr<persistence::StateStore> state_store_;
   std::unique_ptr<affinity::AffinityTable> affinity_table_;
-  std::unique_ptr<persistence::QuotaStateStore> quota_state_store_;  // of accounts in the state store
-  std::unique_ptr<LocalQuotaProxy> quota_proxy_;                     // of accounts that the group replicates
+  std::unique_ptr<persistence::QuotaStateStore> quota_state_store_;  // for accounts in the state store
+  std::unique_ptr<LocalQuotaProxy> quota_proxy_;                     // for accounts that the group replicates
   std::unique_ptr<budgets::QuotaService> quota_service_;
   std::unique_ptr<budgets::FairShare> fair_share_;
   net::Timer flush_timer_;
-  bool store_failing_ = false;
+  bool store_writes_fail_ = false;
 };
 
 }  // namespace thornwick::node
--- a/src/node/endpoint_names.hpp
+++ b/src/node/endpoint_names.hpp
@@ -1,4 +1,4 @@
-// Names of replicas for logs and catalogues, looked up in the endpoint table.
+// Looks up names of replicas in the endpoint table, for logs and for the catalogue of models.
 #pragma once
 
 #include <string>
@@ -8,14 +8,15 @@
 
 namespace thornwick::node {
 
-// The replica's uid, or its number in digits where it is no longer known.
+// Returns the replica's uid, or its id in digits if the endpoint table no longer has the replica.
 inline std::string uid_of(const net::EndpointTable& endpoints, ReplicaId replica) {
   const net::EndpointEntry* entry = endpoints.find(replica);
   return entry == nullptr ? std::to_string(replica) : entry->uid;
 }
 
-// What a catalogue matches replicas by. Empty where the replica is no longer known.
-inline models::ReplicaIdentity replica_names(const net::EndpointTable& endpoints, ReplicaId replica) {
+// Returns the names by which the catalogue selects replicas. They are empty if the endpoint table no longer
+// has the replica.
+inline models::ReplicaIdentity replica_identity(const net::EndpointTable& endpoints, ReplicaId replica) {
   const net::EndpointEntry* entry = endpoints.find(replica);
   if (entry == nullptr) return {};
   return {entry->uid, entry->model, entry->group};
--- a/src/node/handover_coordinator.cpp
+++ b/src/node/handover_coordinator.cpp
@@ -10,8 +10,10 @@
 namespace thornwick::node {
 namespace {
 
-constexpr Time kReadinessInterval = milliseconds(20);  // between two checks whether this process can serve
-constexpr std::size_t kSpareDescriptorsDivisor = 8;    // one in eight descriptors is spare during a handover
+constexpr Time kReadinessInterval =
+    milliseconds(20);  // time between two checks whether this process can serve
+constexpr std::size_t kSpareDescriptorsDivisor =
+    8;  // one in eight descriptors is kept spare during a handover
 
 }  // namespace
 
@@ -20,36 +22,34 @@
       callbacks_(std::move(callbacks)),
       descriptor_limit_(net::descriptors().limit) {}
 
-// ---------------------------------------------------------------- as the successor
-
-void HandoverCoordinator::join_predecessor(net::Owned<GSocket> connection,
-                                           std::size_t predecessor_descriptors) {
+void HandoverCoordinator::take_over(net::Owned<GSocket> connection, std::size_t predecessor_descriptors) {
   std::size_t& limit = net::descriptors().limit;
   limit -= std::min(limit / 2, predecessor_descriptors);
   net::HandoverClient::Callbacks callbacks;
   callbacks.predecessor_yielded = [this](bool drained) { on_predecessor_yielded(drained); };
   callbacks.predecessor_exited = [this] {
     logging::info("handover") << "the predecessor has exited";
-    // Deferred: on_predecessor_gone destroys the client, whose callback this is.
-    timer_.start(0, [this] { on_predecessor_gone(); });
+    // The call is deferred because on_predecessor_exited destroys the client, which is running this callback.
+    timer_.start(0, [this] { on_predecessor_exited(); });
   };
   client_ = std::make_unique<net::HandoverClient>(std::move(connection), std::move(callbacks));
   timer_.start(0, [this] { report_serving(); });
 }
 
-// The predecessor has freed its path, so this process can wait for a successor of its own there.
+// The predecessor has freed the path of the handover socket, so this process can listen there for its own
+// successor.
 void HandoverCoordinator::on_predecessor_yielded(bool drained) {
   if (drained && dependencies_.router_lifecycle.begin_drain(net::now_us()))
     callbacks_.phase_changed(PhaseChange::predecessor_drained);
   callbacks_.open_cluster();
-  if (!server_) host();
+  if (!server_) listen_for_successor();
 }
 
-void HandoverCoordinator::on_predecessor_gone() {
+void HandoverCoordinator::on_predecessor_exited() {
   net::descriptors().limit = descriptor_limit_;
   client_.reset();
   callbacks_.open_cluster();
-  if (!server_) host();
+  if (!server_) listen_for_successor();
 }
 
 void HandoverCoordinator::report_serving() {
@@ -62,9 +62,7 @@
   logging::info("handover") << "serving in the place of the predecessor";
 }
 
-// ---------------------------------------------------------------- as the predecessor
-
-void HandoverCoordinator::host() {
+void HandoverCoordinator::listen_for_successor() {
   const std::string path = handover_path(dependencies_.config);
   if (path.empty()) return;
   net::HandoverServer::Callbacks callbacks;
@@ -73,17 +71,18 @@
   callbacks.successor_lost = [this] { on_successor_lost(); };
   try {
     server_ = std::make_unique<net::HandoverServer>(path, std::move(callbacks));
-  } catch (const net::NetError& problem) {
-    logging::warning("handover") << problem.what();
+  } catch (const net::NetError& error) {
+    logging::warning("handover") << error.what();
   }
 }
 
-// Together both processes may hold as many descriptors as one alone. This one keeps those that it holds, and
-// a few spare ones for the requests in flight that it completes.
+// Returns the state for a successor. Both processes together may hold as many descriptors as one process
+// alone, so this process limits itself to the descriptors that it holds, and a few spare ones to complete the
+// requests in flight.
 net::HandoverState HandoverCoordinator::offer() {
   net::HandoverState state;
-  dependencies_.fronts.lend_sockets(state);
-  lend_socket(state, dependencies_.config.listeners.peers, dependencies_.peers.socket());
+  dependencies_.fronts.share_sockets(state);
+  share_socket(state, dependencies_.config.listeners.peers, dependencies_.peers.socket());
   state.drained = dependencies_.router_lifecycle.drained();
   const std::size_t spare = descriptor_limit_ / kSpareDescriptorsDivisor;
   state.reserved_descriptors = std::min(descriptor_limit_, net::descriptors().held + spare);
@@ -94,11 +93,11 @@
   return state;
 }
 
-// Returns whether this router is drained; the successor then starts drained too.
+// Returns whether this router is drained. If it is, the successor becomes drained too.
 bool HandoverCoordinator::on_successor_serving() {
   dependencies_.router_lifecycle.hand_over(net::now_us());
   if (client_) client_->send_handed_over();
-  callbacks_.close_cluster();  // the successor uses its addresses from now on
+  callbacks_.close_cluster();  // the successor now uses the addresses of the cluster
   dependencies_.peers.pause_reading();
   callbacks_.phase_changed(PhaseChange::successor_serving);
   dependencies_.drain_watcher.start();
--- a/src/node/handover_coordinator.hpp
+++ b/src/node/handover_coordinator.hpp
@@ -1,5 +1,5 @@
-// Replaces the process under load: lends sockets and state to a successor, takes over those of a predecessor,
-// and reacts when either of them serves or ends (docs/lifecycle.md). net::HandoverServer and
+// Replaces the process under load: shares sockets and state with a successor, takes over those of a
+// predecessor, and reacts when the other process serves or exits (docs/lifecycle.md). net::HandoverServer and
 // net::HandoverClient pass the messages.
 #pragma once
 
@@ -21,7 +21,7 @@
 
 class HandoverCoordinator {
  public:
-  // None is owned; all have to outlive the coordinator.
+  // None of the referenced objects is owned; all must outlive the coordinator.
   struct Dependencies {
     const config::Config& config;
     lifecycle::Lifecycle& router_lifecycle;
@@ -33,27 +33,28 @@
     DrainWatcher& drain_watcher;
   };
   struct Callbacks {
-    // This process takes part in the group for the router from now on. May be called more than once.
+    // Called when this process begins to represent the router in its group. May be called more than once.
     std::function<void()> open_cluster;
-    // Another process takes part in the group for the router from now on.
+    // Called when another process begins to represent the router in its group.
     std::function<void()> close_cluster;
     // Called after the lifecycle has entered another phase.
     std::function<void(PhaseChange)> phase_changed;
   };
   HandoverCoordinator(Dependencies dependencies, Callbacks callbacks);
 
-  // Becomes the successor of the process at the other end of `connection`. `predecessor_descriptors`: how
-  // many descriptors that process keeps; this one has only the others until that process has ended.
-  void join_predecessor(net::Owned<GSocket> connection, std::size_t predecessor_descriptors);
-  // Waits for a successor. If it cannot listen for one, it logs a warning, and the router serves on.
-  void host();
+  // Becomes the successor of the process at the other end of `connection`. `predecessor_descriptors` is the
+  // number of descriptors that the predecessor keeps. This process may use only the remaining descriptors
+  // until the predecessor has exited.
+  void take_over(net::Owned<GSocket> connection, std::size_t predecessor_descriptors);
+  // Listens for a successor. If that fails, logs a warning, and the router continues to serve.
+  void listen_for_successor();
 
-  // Whether join_predecessor() or host() was called: the start is over.
+  // Returns whether the handover was set up: take_over() was called, or listen_for_successor() succeeded.
   bool active() const { return client_ != nullptr || server_ != nullptr; }
 
  private:
   void on_predecessor_yielded(bool drained);
-  void on_predecessor_gone();
+  void on_predecessor_exited();
   void report_serving();
   net::HandoverState offer();
   bool on_successor_serving();
@@ -61,7 +62,7 @@
 
   Dependencies dependencies_;
   Callbacks callbacks_;
-  std::size_t descriptor_limit_;  // of this process while it is the only one
+  std::size_t descriptor_limit_;  // limit of this process while no other process serves the router
   std::unique_ptr<net::HandoverClient> client_;
   std::unique_ptr<net::HandoverServer> server_;
   net::Timer timer_;
--- a/src/node/identity.cpp
+++ b/src/node/identity.cpp
@@ -39,8 +39,9 @@
   return content + "sum " + checksum.get() + "\n";
 }
 
-// Removes `label` and the number after it from the front of `text`.
-std::optional<std::uint32_t> take_number(std::string_view& text, std::string_view label) {
+// Removes `label` and the number after it from the front of `text`, and returns the number. Returns no value
+// if `text` does not begin with them.
+std::optional<std::uint32_t> take_labelled_number(std::string_view& text, std::string_view label) {
   if (!text.starts_with(label)) return std::nullopt;
   text.remove_prefix(label.size());
   std::uint32_t value = 0;
@@ -50,11 +51,11 @@
   return value;
 }
 
-// Returns none if the text is not, byte for byte, the output of file_content.
+// Returns no value if the text is not, byte for byte, the output of file_content.
 std::optional<membership::Identity> parse_identity(std::string_view text) {
-  std::string_view rest = text;
-  const auto disk = take_number(rest, "thornwick-group 1\ndisk ");
-  const auto start = take_number(rest, "\nstart ");
+  std::string_view remaining_text = text;
+  const auto disk = take_labelled_number(remaining_text, "thornwick-group 1\ndisk ");
+  const auto start = take_labelled_number(remaining_text, "\nstart ");
   if (!disk || !start) return std::nullopt;
   membership::Identity identity;
   identity.disk_id = *disk;
@@ -65,26 +66,26 @@
 
 struct ReadResult {
   std::optional<membership::Identity> identity;
-  std::string problem;  // empty if the file was read, or there is none
+  std::string error;  // empty if the file was read, or does not exist
 };
 
-// Renames a damaged file.
+// Reads the file. If it is damaged, renames it to PATH.damaged.
 ReadResult read_identity(const std::string& path) {
   char* raw_text = nullptr;
   GError* raw_error = nullptr;
   if (!g_file_get_contents(path.c_str(), &raw_text, nullptr, &raw_error)) {
     const Error error(raw_error);
     if (g_error_matches(error.get(), G_FILE_ERROR, G_FILE_ERROR_NOENT)) return {};
-    return {.identity = std::nullopt, .problem = error->message};
+    return {.identity = std::nullopt, .error = error->message};
   }
   const Text text(raw_text);
-  if (const auto identity = parse_identity(text.get())) return {.identity = identity, .problem = {}};
-  const std::string aside = path + ".damaged";
-  g_rename(path.c_str(), aside.c_str());
-  return {.identity = std::nullopt, .problem = path + " is damaged; set aside as " + aside};
+  if (const auto identity = parse_identity(text.get())) return {.identity = identity, .error = {}};
+  const std::string damaged_path = path + ".damaged";
+  g_rename(path.c_str(), damaged_path.c_str());
+  return {.identity = std::nullopt, .error = path + " is damaged; set aside as " + damaged_path};
 }
 
-// Returns the problem, or an empty string if the file is durable.
+// Returns the error, or an empty string if the file was written durably.
 std::string write_identity(const std::string& path, const membership::Identity& identity) {
   const std::string content = file_content(identity);
   const auto flags =
@@ -109,19 +110,19 @@
 StartupIdentity load_identity(const std::string& path) {
   StartupIdentity startup;
   if (!path.empty()) {
-    const ReadResult found = read_identity(path);
-    startup.problem = found.problem;
-    startup.empty = !found.identity.has_value();
-    if (found.identity) startup.identity = *found.identity;
+    const ReadResult read_result = read_identity(path);
+    startup.error = read_result.error;
+    startup.new_disk = !read_result.identity.has_value();
+    if (read_result.identity) startup.identity = *read_result.identity;
   }
   startup.identity.instance_id = random_id();
-  if (startup.empty) startup.identity.disk_id = random_id();
+  if (startup.new_disk) startup.identity.disk_id = random_id();
   ++startup.identity.start_number;
   if (path.empty()) return startup;
-  if (std::string problem = write_identity(path, startup.identity); !problem.empty()) {
-    startup.problem = std::move(problem);
+  if (std::string error = write_identity(path, startup.identity); !error.empty()) {
+    startup.error = std::move(error);
     startup.identity.disk_id = random_id();
-    startup.empty = true;
+    startup.new_disk = true;
   }
   return startup;
 }
--- a/src/node/local_quota_proxy.hpp
+++ b/src/node/local_quota_proxy.hpp
@@ -1,4 +1,4 @@
-// The quota store of this router's accounts if budgets are replicated in the group.
+// Provides the quota store of this router's accounts if budgets are replicated in the group.
 #pragma once
 
 #include <functional>
@@ -10,13 +10,14 @@
 
 namespace thornwick::node {
 
-// Forwards each call to the quota lease client, which exists only while this process takes part in the group
-// for the router (handovers change that). While there is no client, nothing is granted and nothing is
+// Forwards each call to the quota lease client, which exists only while this process represents the router in
+// its group: a handover creates or destroys the client. While there is no client, nothing is granted or
 // charged, and the accounts stay open.
 class LocalQuotaProxy final : public budgets::QuotaStore {
  public:
-  // Sets the client and opens all accounts at it. It is not owned; null means that there is none from now on.
-  // `on_use` is called after each call that may make the client send a request to the ledger replicas.
+  // Sets the client and opens all accounts at the client. `quota_client` is not owned; null detaches the
+  // client. `on_use` is called after each call that may make the client send a request to the ledger
+  // replicas.
   void attach(
       budgets::QuotaStore* quota_client, std::function<void()> on_use = [] {}) {
     quota_client_ = quota_client;
@@ -34,36 +35,37 @@
     return static_cast<AccountIndex>(accounts_.size() - 1);
   }
 
-  void change(AccountIndex place, const budgets::LimitRule& rule) override {
-    accounts_.at(place).rule = rule;
+  void change(AccountIndex account, const budgets::LimitRule& rule) override {
+    accounts_.at(account).rule = rule;
     if (quota_client_ == nullptr) return;
-    quota_client_->change(place, rule);
+    quota_client_->change(account, rule);
     on_use_();
   }
 
-  bool reserve(AccountIndex place, budgets::Units units, Time wall) override {
+  bool reserve(AccountIndex account, budgets::Units units, Time wall_time) override {
     if (quota_client_ == nullptr) return false;
-    const bool granted = quota_client_->reserve(place, units, wall);
+    const bool granted = quota_client_->reserve(account, units, wall_time);
     on_use_();
     return granted;
   }
 
-  void settle(AccountIndex place, budgets::Units reserved, budgets::Units used, Time at, Time wall) override {
+  void settle(AccountIndex account, budgets::Units reserved, budgets::Units used, Time reserved_at,
+              Time wall_time) override {
     if (quota_client_ == nullptr) return;
-    quota_client_->settle(place, reserved, used, at, wall);
+    quota_client_->settle(account, reserved, used, reserved_at, wall_time);
     on_use_();
   }
 
-  QuotaStatus quota_status(AccountIndex place, budgets::Units wanted, Time wall) override {
-    if (quota_client_ != nullptr) return quota_client_->quota_status(place, wanted, wall);
-    return {.remaining = accounts_.at(place).rule.amount,
+  QuotaStatus quota_status(AccountIndex account, budgets::Units requested, Time wall_time) override {
+    if (quota_client_ != nullptr) return quota_client_->quota_status(account, requested, wall_time);
+    return {.remaining = accounts_.at(account).rule.amount,
             .reset_after = 0,
             .retry_after = kRetryAfter,
             .awaiting_lease = true};
   }
 
  private:
-  static constexpr Time kRetryAfter = seconds(1);  // advised while there is no client
+  static constexpr Time kRetryAfter = seconds(1);  // retry_after while there is no client
 
   struct Account {
     std::string key;
@@ -72,7 +74,7 @@
 
   budgets::QuotaStore* quota_client_ = nullptr;
   std::function<void()> on_use_ = [] {};
-  std::vector<Account> accounts_;  // by place
+  std::vector<Account> accounts_;  // by AccountIndex
 };
 
 }  // namespace thornwick::node
--- a/src/node/loop_clock.hpp
+++ b/src/node/loop_clock.hpp
@@ -1,4 +1,4 @@
-// The request manager's clock, backed by the GLib main loop's timers.
+// Implements the request manager's clock with timers of the GLib main loop.
 #pragma once
 
 #include <functional>
@@ -8,15 +8,15 @@
 
 namespace thornwick::node {
 
-// Tells the time in microseconds of the loop's monotonic clock. A call of `wake_at` replaces the earlier one.
+// Times are microseconds of the loop's monotonic clock. A call of `wake_at` replaces the earlier call.
 class LoopClock : public core::Clock {
  public:
   Time now() const override { return net::now_us(); }
-  void wake_at(Time when) override {
-    timer_.start(when - now(), [this] { wake(); });
+  void wake_at(Time due_at) override {
+    timer_.start(due_at - now(), [this] { wake(); });
   }
 
-  // Called on the loop at the time that `wake_at` named. Has to be set before the first `wake_at`.
+  // Called by the main loop at the time passed to `wake_at`. Must be set before the first call of `wake_at`.
   std::function<void()> wake;
 
  private:
--- a/src/node/loop_notifier.hpp
+++ b/src/node/loop_notifier.hpp
@@ -1,4 +1,4 @@
-// Lets another thread schedule a call on the main loop.
+// Lets other threads schedule a call on the main loop.
 #pragma once
 
 #include <glib.h>
@@ -8,8 +8,8 @@
 
 namespace thornwick::node {
 
-// To be constructed and destroyed in the loop's thread. After its destruction nothing is called any more,
-// even if triggers are still used.
+// Must be constructed and destroyed in the thread of the main loop. After destruction `on_loop` is not called
+// any more, even if triggers are still used.
 class LoopNotifier {
  public:
   explicit LoopNotifier(std::function<void()> on_loop)
@@ -18,7 +18,8 @@
   LoopNotifier(const LoopNotifier&) = delete;
   LoopNotifier& operator=(const LoopNotifier&) = delete;
 
-  // May be called in any thread; each call leads to one call of `on_loop`, later and on the loop.
+  // Returns a function that may be called in any thread. Each call of it makes the main loop call `on_loop`
+  // once, later.
   std::function<void()> trigger() const {
     return [target = target_] {
       g_idle_add_full(G_PRIORITY_DEFAULT, run, new std::shared_ptr<Target>(target), release);
@@ -27,7 +28,7 @@
 
  private:
   struct Target {
-    std::function<void()> on_loop;  // read and written in the loop's thread only
+    std::function<void()> on_loop;  // accessed only in the thread of the main loop
   };
 
   static gboolean run(gpointer data) {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -14,12 +14,10 @@
 namespace thornwick::node {
 namespace {
 
-constexpr int kClusterTimeDivisor = 4;  // a quarter of save()'s timeout
+constexpr int kClusterTimeoutDivisor = 4;  // the cluster may take a quarter of the timeout of save()
 
 }  // namespace
 
-// ---------------------------------------------------------------- construction
-
 Node::Node(const config::Config& config, net::HandoverState handover_state)
     : config_(config),
       metrics_(config.names.classes),
@@ -65,9 +63,9 @@
   if (config_.listeners.operators.empty()) return;
   open_admin_endpoint();
   if (handover_state.connection) {
-    handover_.join_predecessor(std::move(handover_state.connection), handover_state.reserved_descriptors);
+    handover_.take_over(std::move(handover_state.connection), handover_state.reserved_descriptors);
   } else {
-    handover_.host();
+    handover_.listen_for_successor();
   }
 }
 
@@ -114,9 +112,9 @@
                                                 std::move(chain.decider));
 }
 
-// Fills the affinity table before the first endpoint list comes, because a replica that the list adds first
-// would get another slot. If a store has filled the table already, its contents stay: they are as new as the
-// predecessor's and more complete.
+// Restores the state that a predecessor has handed over. Fills the affinity table before the first endpoint
+// list arrives, because a replica that the list added first would get another slot. If a store has filled the
+// table already, the contents of the table stay: they are as new as the predecessor's and more complete.
 void Node::restore_state(const net::HandoverState& handover_state) {
   affinity::AffinityTable* affinity_table =
       durable_state_.state_store() != nullptr ? nullptr : durable_state_.affinity_table();
@@ -130,14 +128,16 @@
   core_->learn(learned_state.value_or(LearnedState{}));
 }
 
-// Prefers the predecessor's endpoint list, which is current, to that of the configuration, which may be old.
+// Applies the predecessor's endpoint list, which is current, or else the list of the configuration, which may
+// be old.
 void Node::restore_endpoints(const net::HandoverState& handover_state) {
-  const std::string& list =
+  const std::string& list_json =
       handover_state.endpoint_list.empty() ? config_.discovery.known_endpoints : handover_state.endpoint_list;
-  if (list.empty()) return;
+  if (list_json.empty()) return;
   simdjson::dom::parser parser;
-  simdjson::dom::element known;
-  if (parser.parse(list).get(known) == simdjson::SUCCESS) endpoints_.apply_known_list(known);
+  simdjson::dom::element known_endpoints;
+  if (parser.parse(list_json).get(known_endpoints) == simdjson::SUCCESS)
+    endpoints_.apply_known_list(known_endpoints);
 }
 
 void Node::open_admin_endpoint() {
@@ -146,51 +146,47 @@
   logging::info("process") << "admin endpoint on " << admin_endpoint_->address();
 }
 
-// ---------------------------------------------------------------- events
-
 void Node::on_endpoints(EndpointUpdate scope, std::span<const Endpoint> entries) {
   upstream_.on_endpoints_changed();
   if (endpoints_.size() > 0) lifecycle_.set_endpoints_known();
   core_->on_endpoints(scope, entries);
 }
 
-// At the start it is an error if the group's addresses cannot be opened. During a handover the router serves
-// on without its group instead.
+// Joins the group. If the router's address in the group cannot be opened, throws NetError at the start; after
+// a handover was set up, logs an error, and the router continues to serve without its group.
 void Node::open_cluster() {
   if (config_.operator_file.group.name.empty() || cluster_) return;
   try {
     cluster_ = std::make_unique<Cluster>(config_, durable_state_.quota_proxy());
-  } catch (const net::NetError& problem) {
+  } catch (const net::NetError& error) {
     if (!handover_.active()) throw;
-    logging::error("membership") << "cannot join the group: " << problem.what();
+    logging::error("membership") << "cannot join the group: " << error.what();
   }
 }
 
 void Node::phase_changed(PhaseChange reason) {
   logging::info("process") << lifecycle::name_of(lifecycle_.phase()) << ": " << to_string(reason) << ", "
-                        << core_->open_requests() << " requests in flight";
+                           << core_->open_requests() << " requests in flight";
   fronts_.phase_changed();
 }
 
-// ---------------------------------------------------------------- signals and commands of operators
-
 void Node::reload(const config::Config& config) {
   check_config(config);
-  if (const auto names = config::needs_restart(config_, config); !names.empty()) {
-    logging::warning("process") << "changes that need a restart: " << names;
+  if (const auto changed_keys = config::needs_restart(config_, config); !changed_keys.empty()) {
+    logging::warning("process") << "changes that need a restart: " << changed_keys;
   }
-  ++reloads_;
+  ++reload_count_;
   const Time now = net::now_us();
   reload_models(config, now);
   reload_budgets(config, now);
   if (config.discovery.address == config_.discovery.address) return;
   logging::info("process") << "discovery address changed from " << config_.discovery.address << " to "
-                        << config.discovery.address;
+                           << config.discovery.address;
   config_.discovery.address = config.discovery.address;
   endpoints_.switch_to(config.discovery.address);
 }
 
-// Requests in flight keep their model and replica.
+// Replaces the catalogue of models. Requests in flight keep their model and replica.
 void Node::reload_models(const config::Config& config, Time now) {
   if (pools_ == nullptr || config.operator_file.catalogue.empty()) return;
   config_.operator_file.catalogue =
@@ -200,13 +196,14 @@
                           << " models";
 }
 
-// Usage that was charged stays charged. Whether there are budgets at all only changes at the next start.
+// Replaces the budgets. Charges that were made earlier stay. A change from no budgets to some, or from some
+// to none, takes effect only at the next start.
 void Node::reload_budgets(const config::Config& config, Time now) {
   config::BudgetsFile& current = config_.operator_file.budgets;
-  const config::BudgetsFile& fresh = config.operator_file.budgets;
-  if (durable_state_.quota_service() == nullptr || fresh.budgets.empty() != current.budgets.empty()) return;
-  current.budgets = fresh.budgets;
-  current.soft_worth = fresh.soft_worth;
+  const config::BudgetsFile& updated = config.operator_file.budgets;
+  if (durable_state_.quota_service() == nullptr || updated.budgets.empty() != current.budgets.empty()) return;
+  current.budgets = updated.budgets;
+  current.soft_worth = updated.soft_worth;
   durable_state_.budgets_changed(now);
 }
 
@@ -218,7 +215,7 @@
 }
 
 bool Node::save(Time timeout) {
-  if (cluster_) cluster_->flush_before_exit(timeout / kClusterTimeDivisor);
+  if (cluster_) cluster_->flush_before_exit(timeout / kClusterTimeoutDivisor);
   return durable_state_.save(timeout);
 }
 
@@ -237,11 +234,11 @@
   if (pools_ != nullptr) print_model_counters(*pools_, out);
   out << " phase=" << lifecycle::name_of(lifecycle_.phase()) << " sends=" << metrics_.attempts();
   if (admin_endpoint_) {
-    const net::AdminCounters& calls = admin_endpoint_->counters();
-    out << " calls=" << calls.calls << " bad_calls=" << calls.invalid_lines
-        << " silent_calls=" << calls.timed_out;
+    const net::AdminCounters& admin_counters = admin_endpoint_->counters();
+    out << " calls=" << admin_counters.calls << " bad_calls=" << admin_counters.invalid_lines
+        << " silent_calls=" << admin_counters.timed_out;
   }
-  out << " reloads=" << reloads_;
+  out << " reloads=" << reload_count_;
   if (flow_exporter_) out << " flow_records=" << flow_exporter_->sent_records();
 }
 
--- a/src/node/phase_change.hpp
+++ b/src/node/phase_change.hpp
@@ -1,4 +1,4 @@
-// Why a router's lifecycle has entered another phase.
+// The reasons for which a router's lifecycle enters another phase.
 #pragma once
 
 #include <string_view>
@@ -8,13 +8,13 @@
 enum class PhaseChange {
   leave_command,        // operators called LEAVE
   join_command,         // operators called JOIN
-  shutdown,             // the process was asked to end
+  shutdown,             // the process was asked to shut down
   predecessor_drained,  // the predecessor of a handover was drained, and so is this process
   successor_serving,    // the successor of a handover serves
-  successor_lost,       // the successor of a handover has ended
+  successor_lost,       // the successor of a handover has exited
 };
 
-// The reason as log lines state it.
+// Returns the text of the reason for log lines.
 constexpr std::string_view to_string(PhaseChange reason) {
   switch (reason) {
     case PhaseChange::leave_command: return "LEAVE was called";
@@ -24,7 +24,7 @@
     case PhaseChange::successor_serving: return "a successor serves";
     case PhaseChange::successor_lost: break;
   }
-  return "the successor is gone";
+  return "the successor has exited";
 }
 
 }  // namespace thornwick::node
--- a/src/node/replication_commands.cpp
+++ b/src/node/replication_commands.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxOutcomes = 256;
 
-// Removes the first word, and the space after it, from the front of `line`.
+// Removes the first word, and the space after it, from the front of `line`, and returns the word.
 std::string_view take_word(std::string_view& line) {
   const auto end = std::min(line.find(' '), line.size());
   const auto first = line.substr(0, end);
@@ -17,7 +17,7 @@
   return first;
 }
 
-// Nothing unless all of the text is one number.
+// Returns no value unless the complete text is one number.
 template <typename Number>
 std::optional<Number> parse_number(std::string_view text) {
   Number value{};
@@ -31,7 +31,7 @@
   correction.kind = kind;
   correction.id = id;
   correction.tokens = parse_number<double>(take_word(arguments));
-  // Negated, so that a NaN is none either.
+  // The comparison is negated so that NaN is rejected too.
   if (correction.tokens && !(std::abs(*correction.tokens) <= kMaxCorrectionTokens)) correction.tokens.reset();
   correction.account = arguments;
   return correction;
@@ -52,7 +52,7 @@
   if (name == "COPIES") return ReplicationStatusQuery{.json = line == "JSON"};
   if (name != "GRANT" && name != "SET" && name != "REPLACE" && name != "CORRECTION") return std::nullopt;
   const std::uint64_t id = parse_number<std::uint64_t>(take_word(line)).value_or(0);
-  if (id == 0) return BadCommandId{};
+  if (id == 0) return InvalidCommandId{};
   if (name == "CORRECTION") return OutcomeQuery{id};
   if (name == "REPLACE") return parse_replacement(id, line);
   const auto kind = name == "SET" ? BudgetCorrection::Kind::set : BudgetCorrection::Kind::grant;
--- a/src/node/replication_commands.hpp
+++ b/src/node/replication_commands.hpp
@@ -1,5 +1,5 @@
-// The operators' commands about replicated budgets, as lines at a router's local socket, and the outcomes of
-// commands that take time (docs/replication.md).
+// Parses the operators' commands about replicated budgets, which arrive as lines at a router's Unix socket,
+// and stores the outcomes of commands that take time (docs/replication.md).
 #pragma once
 
 #include <cstddef>
@@ -13,49 +13,50 @@
 
 namespace thornwick::node {
 
-// COPIES [JSON]
+// COPIES [JSON]: prints the status of the replicated budgets.
 struct ReplicationStatusQuery {
   bool json = false;
 };
-// CORRECTION ID: the outcome of an earlier command.
+// CORRECTION ID: prints the outcome of an earlier command.
 struct OutcomeQuery {
   std::uint64_t id = 0;
 };
-// GRANT ID TOKENS ACCOUNT and SET ID TOKENS ACCOUNT
+// GRANT ID TOKENS ACCOUNT and SET ID TOKENS ACCOUNT: change the remaining tokens of an account.
 struct BudgetCorrection {
   enum class Kind {
-    grant,  // adds to what is left on the account
-    set,    // replaces it
+    grant,  // adds to the remaining tokens of the account
+    set,    // replaces the remaining tokens of the account
   };
 
   Kind kind = Kind::grant;
   std::uint64_t id = 0;
-  std::optional<double> tokens;  // none: not a number, or its amount is above kMaxCorrectionTokens
+  std::optional<double>
+      tokens;  // no value if not a number, or if its magnitude is above kMaxCorrectionTokens
   std::string account;
 };
-// REPLACE ID OLD NEW: another router takes over the ledger replicas of one that is gone for good.
+// REPLACE ID OLD NEW: router NEW takes over the ledger replicas of router OLD, which was removed permanently.
 struct RouterReplacement {
   std::uint64_t id = 0;
   std::string old_name;
   std::string new_name;
 };
-// One of the above commands with an invalid id. Ids are numbers from 1 on.
-struct BadCommandId {};
+// A command with an id, from the commands above, whose id is invalid. Valid ids are numbers of at least 1.
+struct InvalidCommandId {};
 
 inline constexpr double kMaxCorrectionTokens = 1e15;
 
 using ReplicationCommand =
-    std::variant<ReplicationStatusQuery, OutcomeQuery, BudgetCorrection, RouterReplacement, BadCommandId>;
+    std::variant<ReplicationStatusQuery, OutcomeQuery, BudgetCorrection, RouterReplacement, InvalidCommandId>;
 
-// Returns none if the line begins with none of these commands.
+// Returns no value if the line does not begin with one of these commands.
 std::optional<ReplicationCommand> parse_replication_command(std::string_view line);
 
-// The outcomes of commands by id, for later CORRECTION calls. Keeps the latest 256 ids.
+// Stores the outcomes of the latest 256 commands by id, for later CORRECTION commands.
 class CommandOutcomes {
  public:
-  // The command with this id has begun, perhaps not for the first time.
+  // Marks the command with this id as pending. The command may have been sent before.
   void begin(std::uint64_t id);
-  // Sets the answer, without its newline. An id that was forgotten meanwhile is added again.
+  // Sets the answer, without its newline. An id that was removed meanwhile is added again.
   void set(std::uint64_t id, std::string answer) { answers_[id] = std::move(answer); }
   void forget(std::uint64_t id) { answers_.erase(id); }
   // Returns null if the id is not known.
@@ -63,7 +64,7 @@
 
  private:
   std::map<std::uint64_t, std::string> answers_;
-  std::deque<std::uint64_t> order_;  // ids in the order of begin()
+  std::deque<std::uint64_t> order_;  // ids in the order of the calls of begin()
 };
 
 }  // namespace thornwick::node
--- a/src/node/replication_status.cpp
+++ b/src/node/replication_status.cpp
@@ -10,16 +10,14 @@
 using Json = nlohmann::ordered_json;
 using budgets::in_tokens;
 
-constexpr std::size_t kMaxAccounts = 64;  // in each list of a status
+constexpr std::size_t kMaxEntries = 64;  // entries in each list of a status
 
 std::string_view name_of(replication::Stage stage) {
-  // In the order of Stage.
+  // The names are in the order of Stage.
   static constexpr std::string_view names[] = {"blank", "founding", "entering", "member"};
   return names[static_cast<int>(stage)];
 }
 
-// ---------------------------------------------------------------- JSON
-
 Json members_json(const replication::LedgerReplica& replica) {
   Json members = Json::array();
   if (replica.consensus() == nullptr) return members;
@@ -28,16 +26,16 @@
   return members;
 }
 
-Json wanted_json(const replication::LedgerReplica& replica, const membership::Roster& roster) {
-  Json wanted = Json::array();
-  for (const std::size_t member : replica.placed_members()) wanted.push_back(roster.at(member).name);
-  return wanted;
+Json placed_members_json(const replication::LedgerReplica& replica, const membership::Roster& roster) {
+  Json placed_members = Json::array();
+  for (const std::size_t member : replica.placed_members()) placed_members.push_back(roster.at(member).name);
+  return placed_members;
 }
 
-Json ledger_json(std::size_t number, const replication::LedgerReplica& replica,
+Json ledger_json(std::size_t ledger_number, const replication::LedgerReplica& replica,
                  const membership::Roster& roster) {
   const auto* consensus = replica.consensus();
-  return {{"ledger", number},
+  return {{"ledger", ledger_number},
           {"stage", name_of(replica.stage())},
           {"leads", replica.is_leader()},
           {"leader", replica.leader_name()},
@@ -47,19 +45,19 @@
           {"committed", consensus != nullptr ? consensus->commit_index() : 0},
           {"last", consensus != nullptr ? consensus->last_index() : 0},
           {"members", members_json(replica)},
-          {"wanted", wanted_json(replica, roster)},
+          {"wanted", placed_members_json(replica, roster)},
           {"accounts", replica.ledger().accounts().size()},
           {"sessions", replica.ledger().sessions().size()}};
 }
 
 Json ledgers_json(const ReplicationStatus& status) {
   Json ledgers = Json::array();
-  for (const auto& [number, replica] : status.replication.replicas())
-    ledgers.push_back(ledger_json(number, *replica, status.roster));
+  for (const auto& [ledger_number, replica] : status.replication.replicas())
+    ledgers.push_back(ledger_json(ledger_number, *replica, status.roster));
   return ledgers;
 }
 
-// Granted to sessions that have expired, and not reported as used.
+// Returns the units that were granted to sessions that have expired, and that were not reported as used.
 budgets::Units expired_units(const replication::Ledger& ledger, const replication::WindowLedger& window) {
   budgets::Units units = 0;
   for (const auto& [session, lease] : window.leases) {
@@ -70,11 +68,11 @@
   return units;
 }
 
-void add_account_windows(std::size_t number, const replication::Ledger& ledger, Json& windows) {
+void add_account_windows(std::size_t ledger_number, const replication::Ledger& ledger, Json& windows) {
   for (const auto& [key, account] : ledger.accounts()) {
     for (const auto& [window, state] : account.windows) {
-      if (windows.size() >= kMaxAccounts) return;
-      windows.push_back({{"ledger", number},
+      if (windows.size() >= kMaxEntries) return;
+      windows.push_back({{"ledger", ledger_number},
                          {"account", key},
                          {"window", window},
                          {"limit", in_tokens(state.amount)},
@@ -89,25 +87,25 @@
 
 Json account_windows_json(const ReplicationStatus& status) {
   Json windows = Json::array();
-  for (const auto& [number, replica] : status.replication.replicas())
-    add_account_windows(number, replica->ledger(), windows);
+  for (const auto& [ledger_number, replica] : status.replication.replicas())
+    add_account_windows(ledger_number, replica->ledger(), windows);
   return windows;
 }
 
 // The quota that this router has leased of the limits.
-Json holds_json(const ReplicationStatus& status) {
-  Json holds = Json::array();
+Json leases_json(const ReplicationStatus& status) {
+  Json leases = Json::array();
   for (const auto& line : status.replication.quota_client().window_statuses()) {
-    if (holds.size() >= kMaxAccounts) break;
-    holds.push_back({{"account", line.key},
-                     {"window", line.window},
-                     {"limit", in_tokens(line.limit)},
-                     {"left", in_tokens(line.available)},
-                     {"in_hand", in_tokens(line.unreserved)},
-                     {"used", in_tokens(line.used)},
-                     {"reserved", in_tokens(line.reserved)}});
+    if (leases.size() >= kMaxEntries) break;
+    leases.push_back({{"account", line.key},
+                      {"window", line.window},
+                      {"limit", in_tokens(line.limit)},
+                      {"left", in_tokens(line.available)},
+                      {"in_hand", in_tokens(line.unreserved)},
+                      {"used", in_tokens(line.used)},
+                      {"reserved", in_tokens(line.reserved)}});
   }
-  return holds;
+  return leases;
 }
 
 Json majority_json(const ReplicationStatus& status) {
@@ -140,8 +138,6 @@
           {"disk_failing", disk.failing}};
 }
 
-// ---------------------------------------------------------------- text
-
 std::string ledger_text(const Json& ledger) {
   const auto leader = ledger.at("leader").get<std::string>();
   std::string text =
@@ -170,11 +166,11 @@
                      window.at("open").get<double>());
 }
 
-std::string hold_text(const Json& hold) {
+std::string lease_text(const Json& lease) {
   return fmt::format("here {} (window {}): {} in hand, {} reserved, {} used\n",
-                     hold.at("account").get<std::string>(), hold.at("window").get<std::int64_t>(),
-                     hold.at("in_hand").get<double>(), hold.at("reserved").get<double>(),
-                     hold.at("used").get<double>());
+                     lease.at("account").get<std::string>(), lease.at("window").get<std::int64_t>(),
+                     lease.at("in_hand").get<double>(), lease.at("reserved").get<double>(),
+                     lease.at("used").get<double>());
 }
 
 }  // namespace
@@ -182,20 +178,20 @@
 Json status_json(const ReplicationStatus& status) {
   return {{"majority", majority_json(status)}, {"without_majority", status.file.without_majority},
           {"ledgers", ledgers_json(status)},   {"books", account_windows_json(status)},
-          {"purse", holds_json(status)},       {"figures", counters_json(status)}};
+          {"purse", leases_json(status)},      {"figures", counters_json(status)}};
 }
 
 std::string status_text(const ReplicationStatus& status) {
   const Json json = status_json(status);
   std::string text;
   for (const auto& ledger : json.at("ledgers")) text += ledger_text(ledger);
-  std::size_t number = 0;
+  std::size_t ledger_number = 0;
   for (const auto& has_majority : json.at("majority")) {
-    if (!has_majority.get<bool>()) text += missing_majority_text(number, status.file.without_majority);
-    ++number;
+    if (!has_majority.get<bool>()) text += missing_majority_text(ledger_number, status.file.without_majority);
+    ++ledger_number;
   }
   for (const auto& window : json.at("books")) text += account_window_text(window);
-  for (const auto& hold : json.at("purse")) text += hold_text(hold);
+  for (const auto& lease : json.at("purse")) text += lease_text(lease);
   return text;
 }
 
--- a/src/node/replication_status.hpp
+++ b/src/node/replication_status.hpp
@@ -1,4 +1,4 @@
-// The status of a router's replicated budgets, as one JSON object or as text.
+// Prints the status of a router's replicated budgets, as one JSON object or as text.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,8 @@
 
 namespace thornwick::node {
 
-// The sources of a status. Holds references, and is to be used within one call.
+// The data that a status is made from. Holds references, so it must not be kept beyond the call it is made
+// for.
 struct ReplicationStatus {
   const config::ReplicationFile& file;
   const membership::Roster& roster;
@@ -21,7 +22,7 @@
   const net::MessageFragmenter& fragmenter;
 };
 
-// Lists at most 64 accounts of the ledgers and 64 of this router's leases.
+// Each status lists at most 64 accounts of the ledgers and 64 of this router's leases.
 nlohmann::ordered_json status_json(const ReplicationStatus& status);
 std::string status_text(const ReplicationStatus& status);
 
--- a/src/node/request_recorder.cpp
+++ b/src/node/request_recorder.cpp
@@ -9,9 +9,10 @@
 namespace thornwick::node {
 namespace {
 
-// The state in the metrics; none if the client had gone, which the metrics do not count.
-std::optional<metrics::RequestState> metrics_state(core::CompletionStatus ending) {
-  switch (ending) {
+// Returns the state under which the metrics count the request. Returns no value if the client has
+// disconnected, because the metrics do not count such requests.
+std::optional<metrics::RequestState> metrics_state(core::CompletionStatus status) {
+  switch (status) {
     case core::CompletionStatus::served: return metrics::RequestState::answered;
     case core::CompletionStatus::rejected: return metrics::RequestState::deferred;
     case core::CompletionStatus::client_disconnected: return std::nullopt;
@@ -19,15 +20,15 @@
   }
 }
 
-// Why the policy chose this replica, as far as the request shows it.
+// Returns why the policy chose the last replica, as far as the request shows the reason.
 std::string_view choice_reason(const core::RequestSummary& summary) {
   const CacheHint& cache_hint = summary.request.cache_hint;
   if (summary.attempts > 1) return "retry";
   return cache_hint.has_replica && cache_hint.replica == summary.last_replica ? "cached-prompt" : "load";
 }
 
-std::string_view name_of(core::CompletionStatus ending) {
-  switch (ending) {
+std::string_view name_of(core::CompletionStatus status) {
+  switch (status) {
     case core::CompletionStatus::served: return "served";
     case core::CompletionStatus::rejected: return "rejected";
     case core::CompletionStatus::failed: return "failed";
@@ -72,16 +73,17 @@
   return endpoint == nullptr ? "removed" : endpoint->uid;
 }
 
-// Logs at most one line a second for each ending; with log level debug, all of them.
+// Logs a request that was not served: at most one line a second for each status at level info, and the other
+// requests at level debug.
 void RequestRecorder::log_without_answer(const core::RequestSummary& summary) {
   using logging::field;
-  const std::string_view ending = name_of(summary.status);
-  const bool due = log_limiter_.allows(net::now_us(), ending);
-  if (!due && !logging::is_debug_enabled()) return;
+  const std::string_view status = name_of(summary.status);
+  const bool within_rate_limit = log_limiter_.allows(net::now_us(), status);
+  if (!within_rate_limit && !logging::is_debug_enabled()) return;
   const Time took_ms = (summary.ended_at - summary.arrived_at) / milliseconds(1);
-  logging::Line(due ? logging::Level::info : logging::Level::debug, "request")
+  logging::Line(within_rate_limit ? logging::Level::info : logging::Level::debug, "request")
           .with("request_number", summary.request.id)
-      << "request " << field("request", summary.external_id) << " ended: " << field("ending", ending) << ", "
+      << "request " << field("request", summary.external_id) << " ended: " << field("ending", status) << ", "
       << field("reason", name_of(summary.refusal)) << ", attempts=" << field("attempts", summary.attempts)
       << " last_replica=" << field("replica", replica_name(summary)) << " took " << field("took_ms", took_ms)
       << " ms";
--- a/src/node/request_recorder.hpp
+++ b/src/node/request_recorder.hpp
@@ -1,4 +1,4 @@
-// Records each completed request: in the metrics, as a log line and as a flow record.
+// Records each completed request in the metrics, in the log and as a flow record.
 #pragma once
 
 #include <string>
@@ -13,8 +13,8 @@
 
 class RequestRecorder {
  public:
-  // `flow_exporter` is null if no flow records are configured. None is owned; all have to outlive the
-  // recorder.
+  // `flow_exporter` is null if no flow records are configured. None of the arguments is owned; all must
+  // outlive the recorder.
   RequestRecorder(metrics::Metrics& metrics, const net::EndpointTable& endpoints,
                   net::FlowExporter* flow_exporter)
       : metrics_(metrics), endpoints_(endpoints), flow_exporter_(flow_exporter) {}
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -38,8 +38,6 @@
           {"at_ms", state.updated_at / milliseconds(1)}};
 }
 
-// ---------------------------------------------------------------- show
-
 void print_account(std::string_view key, std::string_view bytes) {
   const auto state = persistence::decode_limit(bytes);
   const Json json = state ? account_json(key, *state) : Json{{"account", key}, {"unreadable", true}};
@@ -54,8 +52,6 @@
   });
 }
 
-// ---------------------------------------------------------------- set and grant
-
 // `set` replaces what is left on the account, `grant` adds to it.
 enum class ChangeKind { set, grant };
 
--- a/src/tools/command_error.hpp
+++ b/src/tools/command_error.hpp
@@ -35,11 +35,11 @@
 // A file that cannot be read or written, or that has an error in it.
 class FileError : public CommandError {
  public:
-  FileError(const std::string& path, const std::string& problem)
-      : CommandError(ExitStatus::usage_error, path + ": " + problem) {}
+  FileError(const std::string& path, const std::string& error)
+      : CommandError(ExitStatus::usage_error, path + ": " + error) {}
   // An error in the line of this number, from 1 on.
-  FileError(const std::string& path, int line, const std::string& problem)
-      : CommandError(ExitStatus::usage_error, path + ":" + std::to_string(line) + ": " + problem) {}
+  FileError(const std::string& path, int line, const std::string& error)
+      : CommandError(ExitStatus::usage_error, path + ":" + std::to_string(line) + ": " + error) {}
 };
 
 }  // namespace thornwick::tools
--- a/src/tools/group.cpp
+++ b/src/tools/group.cpp
@@ -14,8 +14,6 @@
 namespace thornwick::tools {
 namespace {
 
-// ---------------------------------------------------------------- virtual time
-
 struct VirtualOptions {
   std::uint64_t seed = 1;   // of the first script
   std::uint64_t count = 1;  // scripts, one for each seed from there on
@@ -55,8 +53,6 @@
   command->callback([options, &status] { status = run_virtual(*options); });
 }
 
-// ---------------------------------------------------------------- table
-
 int run_table(const experiments::GroupTableOptions& options) {
   std::vector<experiments::GroupRow> rows;
   for (const auto& detector : options.ways) {
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -19,8 +19,6 @@
 namespace thornwick::tools {
 namespace {
 
-// ---------------------------------------------------------------- options of all trials
-
 // Help texts and bounds of the options that trials in virtual time and trials with processes share.
 struct SeriesOptions {
   std::string first_run;  // help of --seed
@@ -50,8 +48,6 @@
       ->capture_default_str();
 }
 
-// ---------------------------------------------------------------- virtual time
-
 struct VirtualOptions {
   emulator::ReplicationOptions simulation;  // with the seed of the first script
   std::uint64_t count = 1;                  // scripts, one for each seed from there on
@@ -114,8 +110,6 @@
   command->callback([options, &status] { status = run_virtual(*options); });
 }
 
-// ---------------------------------------------------------------- a running router
-
 struct ReplaceOptions {
   std::string socket;
   std::string old_name;
@@ -140,8 +134,6 @@
   command->callback([options, &status] { status = run_replace(*options); });
 }
 
-// ---------------------------------------------------------------- a file
-
 // The ledger's number, which begins each key (two bytes, the higher first); -1: the key is too short.
 int ledger_of(std::string_view key) {
   if (key.size() < 2) return -1;
@@ -167,8 +159,6 @@
   command->callback([path, &status] { status = check_file(*path); });
 }
 
-// ---------------------------------------------------------------- processes
-
 struct PlayOptions {
   testbed::CopiesPlay script;  // with the seed of the first play
   std::uint64_t count = 1;     // plays, one for each seed from there on
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -49,7 +49,8 @@
 };
 
 void shut_down(RunningRouter& running) {
-  logging::info("process") << "shutting down: " << running.node.core().open_requests() << " requests in flight";
+  logging::info("process") << "shutting down: " << running.node.core().open_requests()
+                           << " requests in flight";
   running.node.shut_down();
 }
 
@@ -59,8 +60,8 @@
     const ServeOptions& options = running.options;
     running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
     logging::info("process") << "configuration reloaded";
-  } catch (const std::exception& problem) {
-    logging::error("process") << "configuration rejected: " << problem.what();
+  } catch (const std::exception& error) {
+    logging::error("process") << "configuration rejected: " << error.what();
   }
 }
 
@@ -82,8 +83,8 @@
 
 void log_start(const config::Config& config, const node::Node& node) {
   logging::info("process") << config.name << " serves on " << node.front(0).address() << ", "
-                        << net::descriptors().limit << " descriptors, " << node.replica_count()
-                        << " targets known";
+                           << net::descriptors().limit << " descriptors, " << node.replica_count()
+                           << " targets known";
 }
 
 }  // namespace
--- a/src/tools/store.cpp
+++ b/src/tools/store.cpp
@@ -60,8 +60,6 @@
   return out + "]";
 }
 
-// ---------------------------------------------------------------- thornwick store
-
 int check_store(const std::string& path) {
   return with_store_errors([&] {
     // Opening takes the lock; the check itself reads everything in a process of its own.
@@ -105,8 +103,6 @@
   });
 }
 
-// ---------------------------------------------------------------- thornwick affinity
-
 void print_unreadable(std::string_view kind, std::string_view key) {
   std::cout << "{\"" << kind << "\":\"" << hex(key) << "\",\"unreadable\":true}\n";
 }
@@ -146,8 +142,6 @@
   });
 }
 
-// ---------------------------------------------------------------- command line
-
 struct FileCommand {
   std::string name;
   std::string description;
--- a/src/tools/store_file.hpp
+++ b/src/tools/store_file.hpp
@@ -24,8 +24,8 @@
 int with_store_errors(Work work) {
   try {
     return work();
-  } catch (const store::StoreError& problem) {
-    throw CommandError(ExitStatus::failure, problem.what());
+  } catch (const store::StoreError& error) {
+    throw CommandError(ExitStatus::failure, error.what());
   }
 }
 
--- a/src/tools/trace_file.cpp
+++ b/src/tools/trace_file.cpp
@@ -85,8 +85,8 @@
       if (const auto fault = check_request(request, scenario, previous))
         throw FileError(path, number, to_string(*fault));
       requests.push_back(request);
-    } catch (const nlohmann::json::exception& problem) {
-      throw FileError(path, number, problem.what());
+    } catch (const nlohmann::json::exception& error) {
+      throw FileError(path, number, error.what());
     }
   }
   return requests;
--- a/tests/compat/identity.cpp
+++ b/tests/compat/identity.cpp
@@ -24,8 +24,8 @@
   const std::string path = scratch.path("group");
   write_bytes(path, read_bytes(data_path("group-start-41")));
   const node::StartupIdentity loaded = node::load_identity(path);
-  CHECK(loaded.problem.empty());
-  CHECK_FALSE(loaded.empty);
+  CHECK(loaded.error.empty());
+  CHECK_FALSE(loaded.new_disk);
   CHECK(loaded.identity.disk_id == kDisk);
   CHECK(loaded.identity.start_number == kStart + 1);
 }
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -151,29 +151,29 @@
 
 TEST_CASE(
     "a start is counted in the state file, and an empty, a damaged and an unwritable file each give a new "
-    "disk "
-    "identity") {
+    "disk identity") {
   Scratch scratch;
   const std::string path = scratch.path("group");
   const auto first = node::load_identity(path);
-  CHECK((first.empty && first.problem.empty() && first.identity.start_number == 1 &&
+  CHECK((first.new_disk && first.error.empty() && first.identity.start_number == 1 &&
          first.identity.instance_id != 0));
   const auto second = node::load_identity(path);
-  CHECK((!second.empty && second.identity.disk_id == first.identity.disk_id &&
+  CHECK((!second.new_disk && second.identity.disk_id == first.identity.disk_id &&
          second.identity.start_number == 2));
   CHECK((second.identity.instance_id != 0 &&
-         second.identity.instance_id != first.identity.instance_id));  // a run of 0 would identify no process
+         second.identity.instance_id !=
+             first.identity.instance_id));  // an instance id of 0 would identify no process
   const std::string bytes = testing::read_bytes(path);
   for (std::size_t offset = 0; offset < bytes.size(); offset += 7) {
     std::string changed = bytes;
     changed[offset] = static_cast<char>(changed[offset] ^ 1);
     testing::write_bytes(path, changed);
     const auto damaged = node::load_identity(path);
-    CHECK((damaged.empty && !damaged.problem.empty() && damaged.identity.start_number == 1 &&
+    CHECK((damaged.new_disk && !damaged.error.empty() && damaged.identity.start_number == 1 &&
            damaged.identity.disk_id != first.identity.disk_id));
   }
   const auto nowhere = node::load_identity(scratch.path("no/such/folder"));
-  CHECK((nowhere.empty && !nowhere.problem.empty()));
+  CHECK((nowhere.new_disk && !nowhere.error.empty()));
   const auto none = node::load_identity("");
-  CHECK((none.empty && none.problem.empty()));
+  CHECK((none.new_disk && none.error.empty()));
 }
--- a/tests/incidents/peer_reports.cpp
+++ b/tests/incidents/peer_reports.cpp
@@ -99,7 +99,7 @@
     REQUIRE(peer_.connect_to(datagram_address_));
     const core::DrainReport report{.replica = net::preferred_id(kDrainingUid), .start_stamp = 0};
     peer_.send_all(core::encode_drain_message({&report, 1}));
-    REQUIRE(first_process().wait_for_line("a peer reports it draining or gone") != "");
+    REQUIRE(first_process().wait_for_line("a peer reports it draining or removed") != "");
   }
   // Sends each request on a new connection and does not wait for answers.
   void send_requests(std::size_t count) {
--- a/tests/net/handover.cpp
+++ b/tests/net/handover.cpp
@@ -255,7 +255,7 @@
     ServingRouter second(files.config, files.tmp);
     CHECK(first.program.wait_for_line("handed-over: a successor serves") != "");
   }
-  CHECK(first.program.wait_for_line("serving: the successor is gone") != "");
+  CHECK(first.program.wait_for_line("serving: the successor has exited") != "");
   CHECK(health_status(first.front).starts_with("HTTP/1.1 200"));
   CHECK(call_admin_endpoint(first.admin_endpoint, "LEAVE") == "+OK drained\n");
   // A drain applies to the router, whichever of its processes serves.
--- a/tests/net/replication_commands.cpp
+++ b/tests/net/replication_commands.cpp
@@ -42,7 +42,7 @@
   CHECK_FALSE(node::parse_replication_command("grant 1 2 day").has_value());
   for (const char* line : {"GRANT", "SET 0 1 day", "REPLACE x old new", "CORRECTION -1", "CORRECTION 1x"}) {
     INFO(line);
-    parse_as<node::BadCommandId>(line);
+    parse_as<node::InvalidCommandId>(line);
   }
   for (const char* line : {"GRANT 1", "GRANT 1 x day", "SET 1 1e16 day", "SET 1 nan day", "SET 1 -inf day"}) {
     INFO(line);
