--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// The program's command line: global options, and the sub-commands that src/tools implements.
+// Implements the program's command line: global options, and the sub-commands of src/tools and
+// src/experiments.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <csignal>
@@ -32,7 +33,7 @@
     "SIGHUP reads the configuration again; SIGUSR1 prints the counters; SIGTERM lets the router finish what\n"
     "it has and end.";
 
-// In the order of logging::Level.
+// Returns the names of the log levels, in the order of logging::Level.
 const std::vector<std::string>& level_names() {
   static const std::vector<std::string> names = {"debug", "info", "warning", "error"};
   return names;
@@ -49,8 +50,8 @@
   std::string log_format = "text";
 };
 
-// The sub-commands that run() itself implements. All others run in their callbacks, while the command line is
-// parsed.
+// The sub-commands that run() itself implements, except `serve`, which is also the default. All other
+// sub-commands run in callbacks while the command line is parsed.
 struct BuiltinCommands {
   CLI::App* check_config = nullptr;
   CLI::App* version = nullptr;
@@ -81,7 +82,8 @@
   return commands;
 }
 
-// Adds the sub-commands of src/tools and src/experiments. The one that runs sets `status` to the exit status.
+// Adds the sub-commands of src/tools and src/experiments. The sub-command that runs sets `status` to its exit
+// status.
 std::vector<CLI::App*> add_tools(CLI::App& app, const GlobalOptions& options, int& status) {
   const std::string& operator_file = options.files.operator_file;
   std::vector<CLI::App*> commands = tools::add_store_commands(app, status);
@@ -111,8 +113,9 @@
   add_global_options(app, options);
   const BuiltinCommands builtin = add_builtin_commands(app);
   const std::vector<CLI::App*> tool_commands = add_tools(app, options, status);
-  const std::string help =
-      app.help();  // before parsing: afterwards it would be the help of the sub-command that ran
+  // The help page is made before parsing, because afterwards it would be the page of the sub-command that
+  // ran.
+  const std::string help = app.help();
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
@@ -133,7 +136,7 @@
   return status;
 }
 
-// Prints why the program fails and returns its exit status.
+// Prints the error and returns the exit status of the program.
 int fail(const std::exception& error, tools::ExitStatus status) {
   std::cerr << "thornwick: " << error.what() << '\n';
   return static_cast<int>(status);
@@ -144,7 +147,7 @@
 
 int main(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGHUP, SIG_IGN);  // until a router runs that can reload its configuration
+  std::signal(SIGHUP, SIG_IGN);  // ignored until a router runs, which reloads its configuration at SIGHUP
   try {
     return thornwick::run(argc, argv);
   } catch (const thornwick::tools::CommandError& error) {
--- a/src/tools/budgets.cpp
+++ b/src/tools/budgets.cpp
@@ -52,15 +52,15 @@
   });
 }
 
-// `set` replaces what is left on the account, `grant` adds to it.
+// `set` replaces the remaining tokens of the account, `grant` adds to them.
 enum class ChangeKind { set, grant };
 
 struct Change {
   ChangeKind kind = ChangeKind::set;
-  std::string path;  // a store's file, or the local socket of a running router
+  std::string path;  // path of a store's file, or of the Unix socket of a running router
   std::string account;
   double tokens = 0;
-  std::uint64_t id = 0;  // of an earlier attempt at a running router; 0: a new command
+  std::uint64_t id = 0;  // id of an earlier attempt at a running router; 0 for a new command
 };
 
 std::optional<budgets::LimitState> find_account(const store::File& file, const std::string& account) {
@@ -71,7 +71,7 @@
   return found;
 }
 
-// Opening the file fails while a router runs on it.
+// Changes the account in a store's file. Throws CommandError while a router has the file open.
 int change_in_file(const Change& change) {
   return with_store_errors([&] {
     store::File file(read_write(change.path, kHolder), persistence::state_tables());
--- a/src/tools/group.cpp
+++ b/src/tools/group.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 struct VirtualOptions {
-  std::uint64_t seed = 1;   // of the first script
-  std::uint64_t count = 1;  // scripts, one for each seed from there on
+  std::uint64_t seed = 1;   // seed of the first script
+  std::uint64_t count = 1;  // number of scripts, one for each seed from the first on
   bool verbose = false;
 };
 
@@ -24,22 +24,22 @@
 void ignore_line(const std::string&) {}
 
 int run_virtual(const VirtualOptions& options) {
-  std::uint64_t broken = 0;
+  std::uint64_t violations = 0;
   std::uint64_t faults = 0;
-  std::uint64_t gone_claims = 0;
+  std::uint64_t failure_reports = 0;
   for (std::uint64_t seed = options.seed; seed < options.seed + options.count; ++seed) {
-    const auto played =
+    const auto result =
         emulator::play_script(emulator::random_script(seed), options.verbose ? print_line : ignore_line);
-    faults += played.faults;
-    gone_claims += played.gone_reports;
-    if (played.violation.empty()) continue;
-    ++broken;
+    faults += result.faults;
+    failure_reports += result.gone_reports;
+    if (result.violation.empty()) continue;
+    ++violations;
     fmt::print("seed {}: {}\n  again: thornwick group virtual --seed {} --count 1 --say\n", seed,
-               played.violation, seed);
+               result.violation, seed);
   }
-  fmt::print("{} scripts, {} faults, {} words of gone, {} broken\n", options.count, faults, gone_claims,
-             broken);
-  return broken == 0 ? 0 : 1;
+  fmt::print("{} scripts, {} faults, {} reports of failed routers, {} broken\n", options.count, faults,
+             failure_reports, violations);
+  return violations == 0 ? 0 : 1;
 }
 
 void add_virtual(CLI::App& group, int& status) {
--- a/src/tools/group.hpp
+++ b/src/tools/group.hpp
@@ -1,5 +1,5 @@
-// `thornwick group`: the status of a running router's group, and fault trials of groups with real processes
-// and in virtual time.
+// `thornwick group`: prints how a running router sees its group, and runs fault trials of groups with real
+// processes and in virtual time.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,8 +7,8 @@
 
 namespace thornwick::tools {
 
-// The command sets `status` to its exit status. `operator_file`: the path of the operator's file, which has
-// its value once the command line is parsed.
+// Adds the command, which sets `status` to its exit status. `operator_file` is the path of the operator's
+// file; the reference is read after the command line is parsed.
 CLI::App* add_group(CLI::App& app, int& status, const std::string& operator_file);
 
 }  // namespace thornwick::tools
--- a/src/tools/group_play.cpp
+++ b/src/tools/group_play.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 struct PlayOptions {
-  std::string script;  // path; empty: scripts are drawn
-  std::string folder;  // empty: a temporary one
+  std::string script;  // path of the script; empty: random scripts are played
+  std::string folder;  // empty: a temporary folder
   std::string scenario;
   std::optional<std::uint64_t> seed;
   std::optional<double> seconds;
@@ -26,10 +26,10 @@
   std::size_t max_routers = 9;
   bool quiet = false;
   bool without_group = false;
-  bool without_wires = false;
+  bool without_network_faults = false;
 };
 
-// Of a script that is drawn.
+// Defaults of random scripts: the first seed, and how long faults last, in seconds.
 constexpr std::uint64_t kDefaultSeed = 1;
 constexpr double kDefaultSeconds = 10;
 
@@ -37,7 +37,7 @@
                    const std::string& folder) {
   fmt::print(
       "seed {}: {} routers, {} faults, {} starts; {} requests, {} served, {} refused, {} excused, {} "
-      "attempts at the most; {} words of gone; "
+      "attempts at the most; {} reports of failed routers; "
       "{} datagrams, {} lost; agreed after {:.1f} s; logs in {}\n",
       script.seed, script.routers, script.faults.size(), metrics.starts, metrics.asked, metrics.served,
       metrics.rejected, metrics.excused, metrics.most_attempts, metrics.gone_words, metrics.datagrams,
@@ -50,24 +50,28 @@
   std::fflush(stdout);
 }
 
-// Prints the timeline and a summary. Returns the exit status: 0 if no check failed.
+// Plays one script and prints the timeline and a summary. Returns the exit status: 0 if no check failed,
+// else 1.
 int play_one(const PlayOptions& options, const testbed::FaultScript& script, const std::string& folder) {
-  testbed::FaultHarnessOptions harness;
-  harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
-  harness.folder = folder;
-  harness.scenario = options.scenario;
-  harness.group = !options.without_group;
-  harness.wires = !options.without_wires;
+  testbed::FaultHarnessOptions harness_options;
+  harness_options.program = std::filesystem::read_symlink("/proc/self/exe").string();
+  harness_options.folder = folder;
+  harness_options.scenario = options.scenario;
+  harness_options.group = !options.without_group;
+  harness_options.wires = !options.without_network_faults;
   if (!options.quiet)
-    harness.write_log = [](double at, const std::string& text) { fmt::print("{:9.3f}  {}\n", at, text); };
-  const auto played = testbed::play(script, harness);
+    harness_options.write_log = [](double at, const std::string& text) {
+      fmt::print("{:9.3f}  {}\n", at, text);
+    };
+  const auto played = testbed::play(script, harness_options);
   print_summary(script, played.metrics, folder);
   if (played.broken.empty()) return 0;
   fmt::print("BROKEN: {}\n", played.broken);
   return 1;
 }
 
-// Options of the command line take precedence over those of the script.
+// Plays the script of the command line. Options of the command line take precedence over options of the
+// script.
 int play_script(PlayOptions options, const std::string& folder) {
   auto script = testbed::read_rig_script(options.script);
   script.seed = options.seed.value_or(script.seed);
@@ -80,15 +84,15 @@
   return play_one(options, script, folder);
 }
 
-int play_drawn_scripts(const PlayOptions& options, const std::string& folder) {
+int play_random_scripts(const PlayOptions& options, const std::string& folder) {
   if (options.scenario.empty()) {
     throw UsageError(
         "group play: --scenario FILE is needed: boxes and classes, as `thornwick boxes` takes it");
   }
-  const std::uint64_t first = options.seed.value_or(kDefaultSeed);
+  const std::uint64_t first_seed = options.seed.value_or(kDefaultSeed);
   const double seconds = options.seconds.value_or(kDefaultSeconds);
   int broken = 0;
-  for (std::uint64_t seed = first; seed < first + options.count; ++seed) {
+  for (std::uint64_t seed = first_seed; seed < first_seed + options.count; ++seed) {
     const auto script = testbed::random_rig_script(seed, seconds, options.min_routers, options.max_routers);
     if (play_one(options, script, folder + fmt::format("/{}", seed)) == 0) continue;
     ++broken;
@@ -106,7 +110,7 @@
 
 int run_play(const PlayOptions& options) {
   const std::string folder = folder_of(options);
-  return options.script.empty() ? play_drawn_scripts(options, folder) : play_script(options, folder);
+  return options.script.empty() ? play_random_scripts(options, folder) : play_script(options, folder);
 }
 
 }  // namespace
@@ -136,7 +140,7 @@
   command->add_option("--folder", options->folder, "for logs, disks and configurations; it stays");
   command->add_flag("--quiet", options->quiet, "no timeline");
   command->add_flag("--alone", options->without_group, "the same routers without a group, to compare with");
-  command->add_flag("--straight", options->without_wires,
+  command->add_flag("--straight", options->without_network_faults,
                     "no wires between them: no faults of the network, and room for hundreds");
   command->callback([options, &status] { status = run_play(*options); });
 }
--- a/src/tools/group_play.hpp
+++ b/src/tools/group_play.hpp
@@ -1,4 +1,4 @@
-// `thornwick group play`: real router processes with faults between them, on this machine
+// `thornwick group play`: runs real router processes on this machine, with faults between them
 // (docs/membership.md).
 #pragma once
 
@@ -6,7 +6,7 @@
 
 namespace thornwick::tools {
 
-// The command sets `status` to its exit status: 0 if all checks passed, 1 if one failed.
+// Adds the command, which sets `status` to its exit status: 0 if all checks passed, 1 if one failed.
 void add_group_play(CLI::App& group, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/load.cpp
+++ b/src/tools/load.cpp
@@ -18,8 +18,8 @@
 
 struct LoadOptions {
   std::string scenario;
-  std::string trace;        // replayed instead of the scenario's day; empty: none
-  std::string write_trace;  // path; empty: none is written
+  std::string trace;        // path of a trace to replay instead of the scenario's day; empty: none
+  std::string write_trace;  // path of a trace to write; empty: none is written
   std::vector<std::string> routers;
   std::string dialect = "platform";
   std::uint64_t seed = 1;
@@ -33,11 +33,13 @@
              result.whole.share(), result.cached_share(), result.turns, result.tries);
   fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9} {:>9} {:>9} {:>9}\n", "class", "requests", "served", "in time",
              "p50 ms", "p90 ms", "p99 ms", "p999 ms");
-  for (const auto& cls : result.classes) {
-    const auto quantile_ms = [&cls](double quantile) { return cls.first_us.quantile(quantile) / 1000; };
-    fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9.1f} {:>9.1f} {:>9.1f} {:>9.1f}\n", cls.name, cls.turns,
-               cls.served, cls.in_time, quantile_ms(0.5), quantile_ms(0.9), quantile_ms(0.99),
-               quantile_ms(0.999));
+  for (const auto& priority_class : result.classes) {
+    const auto quantile_ms = [&priority_class](double quantile) {
+      return priority_class.first_us.quantile(quantile) / 1000;
+    };
+    fmt::print("{:<12} {:>8} {:>8} {:>8} {:>9.1f} {:>9.1f} {:>9.1f} {:>9.1f}\n", priority_class.name,
+               priority_class.turns, priority_class.served, priority_class.in_time, quantile_ms(0.5),
+               quantile_ms(0.9), quantile_ms(0.99), quantile_ms(0.999));
   }
   const auto& metrics = load.metrics();
   fmt::print("without a connection {}, unanswered {}, sent 10 ms late or more {}\n", metrics.no_connection,
--- a/src/tools/main_loop.hpp
+++ b/src/tools/main_loop.hpp
@@ -1,4 +1,4 @@
-// GLib's main loop, for commands that run until they are complete or stopped.
+// Creates GLib's main loop for commands that run until they are complete or stopped by a signal.
 #pragma once
 
 #include <glib.h>
@@ -12,10 +12,10 @@
 };
 using MainLoop = std::unique_ptr<GMainLoop, UnrefMainLoop>;
 
-// Returns a loop of GLib's default context that does not run yet.
+// Returns a main loop on GLib's default context. The loop does not run yet.
 inline MainLoop make_main_loop() { return MainLoop(g_main_loop_new(nullptr, FALSE)); }
 
-// Ends the loop at SIGTERM and SIGINT. The loop has to exist as long as these signals may come.
+// Makes SIGTERM and SIGINT quit the loop. The loop must exist as long as these signals may arrive.
 void quit_on_stop_signals(GMainLoop* loop);
 
 }  // namespace thornwick::tools
--- a/src/tools/models.cpp
+++ b/src/tools/models.cpp
@@ -18,7 +18,7 @@
   std::string_view name;
 };
 
-// The names of the reasons whose bits are set.
+// Returns the names of the fallback reasons whose bits are set in `reasons`.
 Json reasons_json(std::uint8_t reasons) {
   static constexpr ReasonName names[] = {{models::FallbackReason::no_ready_replica, "missing"},
                                          {models::FallbackReason::overloaded, "overloaded"},
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -19,50 +19,50 @@
 namespace thornwick::tools {
 namespace {
 
-// Help texts and bounds of the options that trials in virtual time and trials with processes share.
+// Help texts and bounds of the options that trials in virtual time and trials with real processes share.
 struct SeriesOptions {
-  std::string first_run;  // help of --seed
-  std::string runs;       // help of --count
-  std::string copied;     // help of --copies
+  std::string seed_help;      // help of --seed
+  std::string count_help;     // help of --count
+  std::string replicas_help;  // help of --copies
   int max_count = 0;
   int max_routers = 0;
 };
 
-// Adds the options of a series of runs. `script` holds the first run's seed and the size of the group;
-// `replicas` is its number of replicas of each ledger, `count` the number of runs.
+// Adds the options of a series of runs. `script` receives the seed of the first run and the size of the
+// group, `replicas` the number of replicas of each ledger, and `count` the number of runs.
 template <typename Script>
 void add_series_options(CLI::App& command, Script& script, std::size_t& replicas, std::uint64_t& count,
-                        const SeriesOptions& series) {
-  command.add_option("--seed", script.seed, series.first_run)->capture_default_str();
-  command.add_option("--count", count, series.runs)
-      ->check(CLI::Range(1, series.max_count))
+                        const SeriesOptions& series_options) {
+  command.add_option("--seed", script.seed, series_options.seed_help)->capture_default_str();
+  command.add_option("--count", count, series_options.count_help)
+      ->check(CLI::Range(1, series_options.max_count))
       ->capture_default_str();
   command.add_option("--routers", script.routers, "in the group")
-      ->check(CLI::Range(3, series.max_routers))
+      ->check(CLI::Range(3, series_options.max_routers))
       ->capture_default_str();
   command.add_option("--sites", script.sites, "that they are spread over")
       ->check(CLI::Range(1, 16))
       ->capture_default_str();
-  command.add_option("--copies", replicas, series.copied)
+  command.add_option("--copies", replicas, series_options.replicas_help)
       ->check(CLI::IsMember({3, 5}))
       ->capture_default_str();
 }
 
 struct VirtualOptions {
   emulator::ReplicationOptions simulation;  // with the seed of the first script
-  std::uint64_t count = 1;                  // scripts, one for each seed from there on
+  std::uint64_t count = 1;                  // number of scripts, one for each seed from the first on
   bool verbose = false;
 };
 
-void add_to_total(const emulator::ReplicationResult& played, emulator::ReplicationResult& total) {
-  total.kills += played.kills;
-  total.lost_disks += played.lost_disks;
-  total.older_disks += played.older_disks;
-  total.stops += played.stops;
-  total.cuts += played.cuts;
-  total.corrections += played.corrections;
-  total.confirmed += played.confirmed;
-  total.granted += played.granted;
+void add_to_total(const emulator::ReplicationResult& result, emulator::ReplicationResult& total) {
+  total.kills += result.kills;
+  total.lost_disks += result.lost_disks;
+  total.older_disks += result.older_disks;
+  total.stops += result.stops;
+  total.cuts += result.cuts;
+  total.corrections += result.corrections;
+  total.confirmed += result.confirmed;
+  total.granted += result.granted;
 }
 
 int run_virtual(const VirtualOptions& options) {
@@ -71,15 +71,15 @@
   auto simulation = options.simulation;
   const std::uint64_t end = simulation.seed + options.count;
   for (; simulation.seed < end; ++simulation.seed) {
-    const auto played = emulator::simulate_replication(simulation);
-    if (options.verbose) fmt::print("{}", played.timeline);
-    add_to_total(played, total);
-    if (played.violation.empty()) continue;
+    const auto result = emulator::simulate_replication(simulation);
+    if (options.verbose) fmt::print("{}", result.timeline);
+    add_to_total(result, total);
+    if (result.violation.empty()) continue;
     ++broken;
     fmt::print(
         "seed {}: {}\n  again: thornwick copies virtual --seed {} --routers {} --sites {} --copies {} "
         "--ledgers {} --say\n",
-        simulation.seed, played.violation, simulation.seed, simulation.routers, simulation.sites,
+        simulation.seed, result.violation, simulation.seed, simulation.routers, simulation.sites,
         simulation.replicas, simulation.ledgers);
   }
   fmt::print(
@@ -95,9 +95,9 @@
   auto* command =
       copies.add_subcommand("virtual", "random fault scripts on routers, ledgers and disks in virtual time");
   add_series_options(*command, options->simulation, options->simulation.replicas, options->count,
-                     {.first_run = "of the first script",
-                      .runs = "scripts, one for each seed from there on",
-                      .copied = "of each ledger",
+                     {.seed_help = "of the first script",
+                      .count_help = "scripts, one for each seed from there on",
+                      .replicas_help = "of each ledger",
                       .max_count = 100'000'000,
                       .max_routers = 300});
   command->add_option("--ledgers", options->simulation.ledgers, "that accounts are spread over")
@@ -134,7 +134,8 @@
   command->callback([options, &status] { status = run_replace(*options); });
 }
 
-// The ledger's number, which begins each key (two bytes, the higher first); -1: the key is too short.
+// Returns the ledger's number, which the first two bytes of the key encode, the higher byte first. Returns -1
+// if the key is too short.
 int ledger_of(std::string_view key) {
   if (key.size() < 2) return -1;
   return static_cast<unsigned char>(key[0]) * 256 + static_cast<unsigned char>(key[1]);
@@ -161,25 +162,26 @@
 
 struct PlayOptions {
   testbed::CopiesPlay script;  // with the seed of the first play
-  std::uint64_t count = 1;     // plays, one for each seed from there on
+  std::uint64_t count = 1;     // number of plays, one for each seed from the first on
   std::string scenario;
-  std::string folder;  // empty: a temporary one
+  std::string folder;  // empty: a temporary folder
   bool quiet = false;
 };
 
-void add_to_total(const testbed::CopiesPlayed& played, testbed::CopiesPlayed& total) {
-  total.kills += played.kills;
-  total.corrections += played.corrections;
-  total.confirmed += played.confirmed;
-  total.served += played.served;
-  total.rejected += played.rejected;
-  total.tokens += played.tokens;
-  total.limit += played.limit;
-  total.filled_after_s = std::max(total.filled_after_s, played.filled_after_s);
-  total.leader_after_s = std::max(total.leader_after_s, played.leader_after_s);
+void add_to_total(const testbed::CopiesPlayed& result, testbed::CopiesPlayed& total) {
+  total.kills += result.kills;
+  total.corrections += result.corrections;
+  total.confirmed += result.confirmed;
+  total.served += result.served;
+  total.rejected += result.rejected;
+  total.tokens += result.tokens;
+  total.limit += result.limit;
+  total.filled_after_s = std::max(total.filled_after_s, result.filled_after_s);
+  total.leader_after_s = std::max(total.leader_after_s, result.leader_after_s);
 }
 
-// With an empty folder for this play alone.
+// Returns the options of one play. Removes the folder of an earlier play with the same seed, so that each
+// play starts with an empty folder.
 testbed::FaultHarnessOptions harness_options(const PlayOptions& options, std::uint64_t seed) {
   testbed::FaultHarnessOptions harness;
   harness.program = std::filesystem::read_symlink("/proc/self/exe").string();
@@ -194,7 +196,8 @@
   return harness;
 }
 
-void print_broken(const PlayOptions& options, const testbed::CopiesPlay& script, const std::string& broken) {
+void print_violation(const PlayOptions& options, const testbed::CopiesPlay& script,
+                     const std::string& broken) {
   fmt::print(
       "seed {}: {}\n  again: thornwick copies play --scenario {} --seed {} --routers {} --sites {} "
       "--copies {}{}\n",
@@ -208,11 +211,11 @@
   auto script = options.script;
   const std::uint64_t end = script.seed + options.count;
   for (; script.seed < end; ++script.seed) {
-    const auto played = testbed::play_losses(script, harness_options(options, script.seed));
-    add_to_total(played, total);
-    if (played.broken.empty()) continue;
+    const auto result = testbed::play_losses(script, harness_options(options, script.seed));
+    add_to_total(result, total);
+    if (result.broken.empty()) continue;
     ++broken;
-    print_broken(options, script, played.broken);
+    print_violation(options, script, result.broken);
   }
   fmt::print(
       "{} plays: {} machines lost with their disks, {} of {} corrections confirmed, {} answers, {} refusals, "
@@ -231,9 +234,9 @@
       ->required()
       ->check(CLI::ExistingFile);
   add_series_options(*command, options->script, options->script.copies, options->count,
-                     {.first_run = "of the first play",
-                      .runs = "plays, one for each seed from there on",
-                      .copied = "of the ledger",
+                     {.seed_help = "of the first play",
+                      .count_help = "plays, one for each seed from there on",
+                      .replicas_help = "of the ledger",
                       .max_count = 100'000,
                       .max_routers = 50});
   command->add_flag("--site", options->script.site, "a whole site is lost at a time");
--- a/src/tools/running_router.cpp
+++ b/src/tools/running_router.cpp
@@ -13,10 +13,10 @@
 namespace thornwick::tools {
 namespace {
 
-constexpr Time kDecisionTimeout = seconds(20);
+constexpr Time kOutcomeTimeout = seconds(20);
 constexpr Time kAnswerTimeout = seconds(3);
 constexpr Time kStatusTimeout = seconds(5);
-constexpr Time kPollInterval = milliseconds(50);  // between two questions for the decision
+constexpr Time kPollInterval = milliseconds(50);  // time between two requests for the outcome
 
 struct StatusOptions {
   std::string socket;
@@ -35,12 +35,13 @@
   return 0;
 }
 
-// Returns the router's last answer: the decision, or that there is none yet.
-std::string wait_for_decision(const std::string& socket, const RouterCommand& command, std::uint64_t id) {
+// Sends the command and asks for its outcome until it is decided or kOutcomeTimeout has passed. Returns the
+// router's last answer: the outcome, or `+OK pending`.
+std::string wait_for_outcome(const std::string& socket, const RouterCommand& command, std::uint64_t id) {
   std::string answer = net::call_unix_socket(
       socket, fmt::format("{} {} {}", command.name, id, command.arguments), kAnswerTimeout);
-  const Time limit = net::now_us() + kDecisionTimeout;
-  while (answer.starts_with("+OK pending") && net::now_us() < limit) {
+  const Time deadline = net::now_us() + kOutcomeTimeout;
+  while (answer.starts_with("+OK pending") && net::now_us() < deadline) {
     answer = net::call_unix_socket(socket, fmt::format("CORRECTION {}", id), kAnswerTimeout);
     usleep(static_cast<useconds_t>(kPollInterval));
   }
@@ -62,7 +63,7 @@
 
 int run_command(const std::string& socket, const RouterCommand& command) {
   const std::uint64_t id = command.id != 0 ? command.id : node::random_number() | 1;
-  const std::string answer = wait_for_decision(socket, command, id);
+  const std::string answer = wait_for_outcome(socket, command, id);
   if (answer.starts_with("+OK yes")) {
     fmt::print("yes (id {})\n", id);
     return 0;
--- a/src/tools/serve.cpp
+++ b/src/tools/serve.cpp
@@ -17,68 +17,70 @@
 namespace thornwick::tools {
 namespace {
 
-constexpr Time kSaveTimeout = seconds(2);  // of a graceful shutdown, for a slow disk
-// Descriptors that net::descriptors() does not count: the standard streams, those of GLib, and files that are
-// open for a short time.
+constexpr Time kSaveTimeout =
+    seconds(2);  // for saving state at a graceful shutdown, which a slow disk delays
+// Descriptors that net::descriptors() does not count: the standard streams, descriptors of GLib, and files
+// that are open for a short time.
 constexpr std::size_t kUncountedDescriptors = 12;
 
 // Raises the process's soft limit of descriptors to `wanted` if the hard limit allows it. Returns the number
 // of descriptors that the process may hold, at most `wanted`.
-std::size_t raise_descriptor_limit(std::size_t wanted) {
+std::size_t raise_descriptor_limit(std::size_t target) {
   rlimit limit{};
-  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return wanted;
-  if (limit.rlim_cur < wanted) {
-    limit.rlim_cur = std::min<rlim_t>(wanted, limit.rlim_max);
+  if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return target;
+  if (limit.rlim_cur < target) {
+    limit.rlim_cur = std::min<rlim_t>(target, limit.rlim_max);
     setrlimit(RLIMIT_NOFILE, &limit);
   }
-  return std::min<std::size_t>(wanted, limit.rlim_cur);
+  return std::min<std::size_t>(target, limit.rlim_cur);
 }
 
-// Sets the limit of the descriptors for connections and listeners.
+// Sets the limit of net::descriptors(), which connections and listeners count against.
 void set_connection_limit(const config::Config& config) {
   const std::size_t limit = raise_descriptor_limit(config.limits.sockets);
-  const std::size_t for_operators =
+  const std::size_t admin_descriptors =
       config.listeners.operators.empty() ? 0 : net::AdminEndpoint::kMaxCallers + 1;
-  net::descriptors().limit = limit - std::min(kUncountedDescriptors + for_operators, limit / 4);
+  net::descriptors().limit = limit - std::min(kUncountedDescriptors + admin_descriptors, limit / 4);
 }
 
-// The router and its options, for the signal handlers.
+// The router and its options, as the signal handlers need them.
 struct RunningRouter {
   node::Node& node;
   const ServeOptions& options;
 };
 
-void shut_down(RunningRouter& running) {
-  logging::info("process") << "shutting down: " << running.node.core().open_requests()
+void shut_down(RunningRouter& running_router) {
+  logging::info("process") << "shutting down: " << running_router.node.core().open_requests()
                            << " requests in flight";
-  running.node.shut_down();
+  running_router.node.shut_down();
 }
 
-// If the new configuration has errors, the router goes on with the one in use.
-void reload(RunningRouter& running) {
+// Reloads the configuration. If the new configuration has errors, the one in use stays in force.
+void reload(RunningRouter& running_router) {
   try {
-    const ServeOptions& options = running.options;
-    running.node.reload(config::read_config(options.config, options.operator_file, config::Reading::again));
+    const ServeOptions& options = running_router.options;
+    running_router.node.reload(
+        config::read_config(options.config, options.operator_file, config::Reading::again));
     logging::info("process") << "configuration reloaded";
   } catch (const std::exception& error) {
     logging::error("process") << "configuration rejected: " << error.what();
   }
 }
 
-void log_counters(RunningRouter& running) {
+void log_counters(RunningRouter& running_router) {
   std::ostringstream text;
-  running.node.print_counters(text);
+  running_router.node.print_counters(text);
   logging::info("counters") << text.str();
-  running.node.log_replicas([](const std::string& replica) { logging::info("affinity") << replica; });
+  running_router.node.log_replicas([](const std::string& replica) { logging::info("affinity") << replica; });
 }
 
 template <void (*handler)(RunningRouter&)>
-void on_signal(int signal, RunningRouter& running) {
+void on_signal(int signal, RunningRouter& running_router) {
   const auto call = [](gpointer data) -> gboolean {
     handler(*static_cast<RunningRouter*>(data));
     return G_SOURCE_CONTINUE;
   };
-  g_unix_signal_add(signal, call, &running);
+  g_unix_signal_add(signal, call, &running_router);
 }
 
 void log_start(const config::Config& config, const node::Node& node) {
@@ -96,16 +98,16 @@
   node::Node node(config, handover_state ? std::move(*handover_state) : net::HandoverState{});
   const MainLoop loop = make_main_loop();
   node.on_shut_down([&loop] { g_main_loop_quit(loop.get()); });
-  RunningRouter running{node, options};
-  on_signal<shut_down>(SIGTERM, running);
-  on_signal<shut_down>(SIGINT, running);
-  on_signal<reload>(SIGHUP, running);
-  on_signal<log_counters>(SIGUSR1, running);
+  RunningRouter running_router{node, options};
+  on_signal<shut_down>(SIGTERM, running_router);
+  on_signal<shut_down>(SIGINT, running_router);
+  on_signal<reload>(SIGHUP, running_router);
+  on_signal<log_counters>(SIGUSR1, running_router);
   log_start(config, node);
   g_main_loop_run(loop.get());
   if (!node.save(kSaveTimeout))
     logging::warning("store") << "shutdown timed out before the last changes were written";
-  log_counters(running);
+  log_counters(running_router);
 }
 
 }  // namespace thornwick::tools
--- a/src/tools/serve.hpp
+++ b/src/tools/serve.hpp
@@ -6,14 +6,14 @@
 namespace thornwick::tools {
 
 struct ServeOptions {
-  std::string config;         // path of the platform's configuration; empty: that of $GW_CONFIG
-  std::string operator_file;  // path; empty: none
+  std::string config;         // path of the platform's configuration; empty: the path in $GW_CONFIG
+  std::string operator_file;  // path of the operator's file; empty: none
 };
 
-// Takes over from the process that serves at the same address, if there is one, and serves on GLib's default
-// main loop. SIGTERM and SIGINT begin a graceful shutdown, after which this function returns; SIGHUP reads
-// the configuration again; SIGUSR1 logs the counters. Throws BadConfig or net::NetError if the router cannot
-// start.
+// Runs a router on GLib's default main loop, after taking over from the process that serves at the same
+// address, if there is one. SIGTERM and SIGINT begin a graceful shutdown, after which this function returns;
+// SIGHUP reloads the configuration; SIGUSR1 logs the counters. Throws BadConfig or net::NetError if the
+// router cannot start.
 void serve(const ServeOptions& options);
 
 }  // namespace thornwick::tools
--- a/src/tools/standins.cpp
+++ b/src/tools/standins.cpp
@@ -17,18 +17,19 @@
 
 struct StandinOptions {
   std::string scenario;
-  std::string config_out;  // empty: none is written
+  std::string config_out;  // path of the router's configuration to write; empty: none is written
   std::string discovery = "127.0.0.1:0";
   std::string listen = "127.0.0.1:8080";
   std::uint64_t seed = 1;
   double seconds = 0;
 };
 
-// Writes a new file and renames it, so that a process that waits for the file never reads a part of it.
+// Writes a new file and renames it to `path`, so that a process that waits for the file never reads an
+// incomplete file.
 void write_router_config(const std::string& path, const std::string& config) {
-  const std::string fresh = path + ".new";
-  std::ofstream(fresh) << config << '\n';
-  if (std::rename(fresh.c_str(), path.c_str()) != 0) throw FileError(path, "cannot be written");
+  const std::string temporary_path = path + ".new";
+  std::ofstream(temporary_path) << config << '\n';
+  if (std::rename(temporary_path.c_str(), path.c_str()) != 0) throw FileError(path, "cannot be written");
 }
 
 void print_addresses(const testbed::Installation& installation) {
--- a/src/tools/standins.hpp
+++ b/src/tools/standins.hpp
@@ -1,4 +1,4 @@
-// `thornwick boxes`: stand-ins for replicas and discovery on loopback (docs/experiments.md).
+// `thornwick boxes`: runs stand-ins for replicas and for discovery on loopback (docs/experiments.md).
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -6,10 +6,10 @@
 
 namespace thornwick::tools {
 
-// The limit of descriptors for commands with stand-ins.
+// The limit of net::descriptors() for commands that run stand-ins or clients.
 inline constexpr std::size_t kStandinDescriptors = 4000;
 
-// The command sets `status` to its exit status.
+// Adds the command, which sets `status` to its exit status.
 CLI::App* add_standins(CLI::App& app, int& status);
 
 }  // namespace thornwick::tools
--- a/src/tools/store.cpp
+++ b/src/tools/store.cpp
@@ -17,9 +17,10 @@
 
 using fronts::json_text;
 
-constexpr const char* kStoreHolder = "thornwick store";
+constexpr const char* kHolder = "thornwick store";
 
-// Returns two hexadecimal digits for each byte. Sessions and prefixes have sixteen, as clients write them.
+// Returns two hexadecimal digits for each byte. Sessions and prefixes have sixteen digits, as clients write
+// them.
 std::string hex(std::string_view bytes) {
   static constexpr char digits[] = "0123456789abcdef";
   std::string text;
@@ -30,18 +31,18 @@
   return text;
 }
 
-// Prints progress on standard error once a second, so nothing for work that takes less.
+// Prints progress to standard error once a second, and nothing for work that takes less than a second.
 class ProgressPrinter {
  public:
   void on_progress(std::uint64_t records, std::uint64_t total) {
     const auto now = std::chrono::steady_clock::now();
-    if (now - last_ < std::chrono::seconds(1)) return;
-    last_ = now;
+    if (now - last_printed_at_ < std::chrono::seconds(1)) return;
+    last_printed_at_ = now;
     std::cerr << "  " << records << " of " << total << " records\n";
   }
 
  private:
-  std::chrono::steady_clock::time_point last_ = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point last_printed_at_ = std::chrono::steady_clock::now();
 };
 
 std::string table_json(const store::Contents::Table& table) {
@@ -62,8 +63,8 @@
 
 int check_store(const std::string& path) {
   return with_store_errors([&] {
-    // Opening takes the lock; the check itself reads everything in a process of its own.
-    const store::File file(read_only(path, kStoreHolder), {});
+    // Opening the file takes its lock. The check reads the complete file in a separate process.
+    const store::File file(read_only(path, kHolder), {});
     ProgressPrinter printer;
     const auto contents =
         store::File::check(path, [&](auto records, auto total) { printer.on_progress(records, total); });
@@ -81,7 +82,7 @@
 
 int dump_store(const std::string& path) {
   return with_store_errors([&] {
-    const store::File file(read_only(path, kStoreHolder), {});
+    const store::File file(read_only(path, kHolder), {});
     ProgressPrinter printer;
     file.each_table(print_record, [&](auto records, auto total) { printer.on_progress(records, total); });
     return 0;
@@ -134,7 +135,7 @@
 
 int show_affinity(const std::string& path) {
   return with_store_errors([&] {
-    const store::File file(read_only(path, kStoreHolder), persistence::state_tables());
+    const store::File file(read_only(path, kHolder), persistence::state_tables());
     file.each(persistence::kReplicaTable, print_replica);
     file.each(persistence::kPrefixTable, print_prefix);
     file.each(persistence::kSessionTable, print_session);
--- a/src/tools/store_file.hpp
+++ b/src/tools/store_file.hpp
@@ -1,4 +1,4 @@
-// Options and errors of the commands on a store's file.
+// Options and error handling that all commands on a store's file share.
 #pragma once
 
 #include <string>
@@ -8,12 +8,13 @@
 
 namespace thornwick::tools {
 
-// Options to read a file without changing it. Other processes see `holder` as the one that has it open.
+// Returns options to read a file without changing it. `holder` is the name of the process that has the file
+// open, as other processes see it.
 inline store::FileOptions read_only(const std::string& path, const std::string& holder) {
   return {.path = path, .holder = holder, .set_aside_damaged = false, .read_only = true};
 }
 
-// Options to change a file. A damaged file stays where it is.
+// Returns options to change a file. A damaged file is not renamed.
 inline store::FileOptions read_write(const std::string& path, const std::string& holder) {
   return {.path = path, .holder = holder, .set_aside_damaged = false};
 }
--- a/src/tools/trace_file.cpp
+++ b/src/tools/trace_file.cpp
@@ -47,26 +47,26 @@
           {"worth", request.priority_weight}};
 }
 
-// What is wrong with a request whose line is well formed.
-enum class TraceFault { unknown_name, out_of_order, impossible_value };
+// The error of a request whose line is well formed.
+enum class TraceError { unknown_name, out_of_order, impossible_value };
 
-std::string to_string(TraceFault fault) {
-  switch (fault) {
-    case TraceFault::unknown_name: return "no such class or member";
-    case TraceFault::out_of_order: return "earlier than the line before";
-    case TraceFault::impossible_value: break;
+std::string to_string(TraceError trace_error) {
+  switch (trace_error) {
+    case TraceError::unknown_name: return "no such class or member";
+    case TraceError::out_of_order: return "earlier than the line before";
+    case TraceError::impossible_value: break;
   }
   return "times or lengths that make no sense";
 }
 
-// Returns none if the request is valid. `previous`: the time of the request in the line before.
-std::optional<TraceFault> check_request(const emulator::PlannedRequest& request,
-                                        const emulator::Scenario& scenario, Time previous) {
+// Returns no value if the request is valid. `previous_at` is the time of the request in the line before.
+std::optional<TraceError> check_request(const emulator::PlannedRequest& request,
+                                        const emulator::Scenario& scenario, Time previous_at) {
   if (request.cls >= scenario.classes.size() || request.member >= scenario.members.size())
-    return TraceFault::unknown_name;
-  if (request.at < previous) return TraceFault::out_of_order;
+    return TraceError::unknown_name;
+  if (request.at < previous_at) return TraceError::out_of_order;
   if (request.at < 0 || request.deadline <= request.at || request.generated < 1)
-    return TraceFault::impossible_value;
+    return TraceError::impossible_value;
   return std::nullopt;
 }
 
@@ -78,15 +78,15 @@
   if (!in) throw FileError(path, "cannot be read");
   std::vector<emulator::PlannedRequest> requests;
   std::string line;
-  for (int number = 1; std::getline(in, line); ++number) {
+  for (int line_number = 1; std::getline(in, line); ++line_number) {
     try {
       const auto request = request_from(nlohmann::json::parse(line));
-      const Time previous = requests.empty() ? request.at : requests.back().at;
-      if (const auto fault = check_request(request, scenario, previous))
-        throw FileError(path, number, to_string(*fault));
+      const Time previous_at = requests.empty() ? request.at : requests.back().at;
+      if (const auto trace_error = check_request(request, scenario, previous_at))
+        throw FileError(path, line_number, to_string(*trace_error));
       requests.push_back(request);
     } catch (const nlohmann::json::exception& error) {
-      throw FileError(path, number, error.what());
+      throw FileError(path, line_number, error.what());
     }
   }
   return requests;
