--- a/src/testbed/fault_harness.cpp
+++ b/src/testbed/fault_harness.cpp
@@ -233,7 +233,7 @@
   r.log += line + "\n";
   state_changed_ = true;
   std::ofstream(r.folder + "/log", std::ios::app) << line << '\n';
-  if (line.find(" group: ") != std::string::npos || line.find("error ") != std::string::npos)
+  if (line.find(" membership: ") != std::string::npos || line.find("error ") != std::string::npos)
     write_log(name(router) + "   " + line);
   if (const auto front = value_after(line, "platform front on "); !front.empty()) r.front_address = front;
   if (const auto datagrams = value_after(line, "datagrams at "); !datagrams.empty()) {
