--- a/src/config/budgets_section.cpp
+++ b/src/config/budgets_section.cpp
@@ -19,13 +19,13 @@
 void check_budget(const BudgetEntry& budget, const models::Catalogue& catalogue, std::set<std::string>& names,
                   Section& section) {
   if (budget.name.empty() || budget.name.find('|') != std::string::npos) {
-    section.reject("name", "no name, or one with a bar in it");
+    section.reject("name", "'" + budget.name + "' is not a name: it must not be empty or contain '|'");
   }
   const bool is_new = names.insert(budget.name).second;
-  if (!is_new) section.reject("name", "there are two of this name");
+  if (!is_new) section.reject("name", "'" + budget.name + "' is already the name of another budget");
   if (!section.has("tokens")) section.reject("tokens", "there is none");
   if (budget.burst > 0 && budget.period != "second") {
-    section.reject("burst", "only a budget per second has one");
+    section.reject("burst", "only a budget with per = \"second\" has a burst");
   }
   const bool names_model = budget.model != "each" && budget.model != "all";
   if (names_model && !has_model(catalogue, budget.model)) {
--- a/src/config/group_section.cpp
+++ b/src/config/group_section.cpp
@@ -45,10 +45,10 @@
     errors.push_back({.code = settings::ErrorCode::rejected,
                       .line = into.routers.front().line,
                       .key = "router",
-                      .detail = "there is no [group] that it belongs to"});
+                      .detail = "a [[router]] needs a [group], and the file has none"});
     return;
   }
-  if (into.name.empty()) group.reject("name", "there has to be one");
+  if (into.name.empty()) group.reject("name", "missing or empty; a group needs a name");
   add_faults(membership::validate_roster(into.sites, into.routers, into.line), errors);
   if (!into.local_router.empty() && !has_router(into, into.local_router)) {
     group.reject("self", "no router is called '" + into.local_router + "'");
--- a/src/config/replication_section.cpp
+++ b/src/config/replication_section.cpp
@@ -9,12 +9,15 @@
 
 void check_replication(const ReplicationFile& replication, const GroupFile& group,
                        settings::Section& section) {
-  if (replication.replica_count == 4) section.reject("holders", "three or five");
-  if (replication.file.empty()) section.reject("file", "there has to be one");
+  if (replication.replica_count == 4) section.reject("holders", "4 is not allowed; allowed are 3 and 5");
+  if (replication.file.empty())
+    section.reject("file", "missing or empty; replication needs the path of a file");
   if (group.name.empty() || !group.peer_links_enabled)
     section.reject("enabled", "copies need a [group] with links");
   if (group.routers.size() < replication.replica_count)
-    section.reject("holders", "the group has fewer routers");
+    section.reject("holders", std::to_string(replication.replica_count) +
+                                  " replicas need as many routers, but the group has " +
+                                  std::to_string(group.routers.size()));
   if (replication.lease_s < kMinHeartbeatsPerLease * replication.heartbeat_s) {
     section.reject("lease_s", "less than eight heartbeats: it would end while another leader is chosen");
   }
