--- a/src/persistence/affinity_records.cpp
+++ b/src/persistence/affinity_records.cpp
@@ -54,7 +54,7 @@
   return records;
 }
 
-// Nothing if there are more records than an entry may have copies.
+// Returns nothing if there are more records than an entry may have copies.
 template <std::size_t N>
 std::optional<affinity::Copies<N>> to_copies(const std::vector<CopyRecord>& records) {
   if (records.size() > N) return std::nullopt;
@@ -70,7 +70,8 @@
   return copies;
 }
 
-// Guards the arithmetic on odometers, which never run backwards. NaN is not plausible either.
+// Rejects negative values and NaN, which would break the arithmetic on odometers: an odometer never
+// decreases.
 bool is_plausible(const ReplicaRecord& record) {
   return record.sent >= 0 && record.pace >= 0 && record.sent_at >= 0;
 }
--- a/src/persistence/ledger_store.cpp
+++ b/src/persistence/ledger_store.cpp
@@ -38,7 +38,7 @@
 
 }  // namespace
 
-// The part of the table that belongs to one ledger.
+// The records of one ledger within the table.
 class LedgerStore::LedgerRecords final : public replication::Records {
  public:
   LedgerRecords(LedgerStore& store, std::size_t ledger) : store_(store), prefix_(encode_ledger(ledger)) {}
--- a/src/persistence/ledger_store.hpp
+++ b/src/persistence/ledger_store.hpp
@@ -31,7 +31,7 @@
   // Calls the visitor with each record of that ledger that the file had when it was opened, in the order of
   // the keys. After release_stored() there is none.
   void for_each_stored(std::size_t ledger, const replication::RecordVisitor& visitor) const;
-  // Frees the memory of those records.
+  // Frees the memory of the records that the file had when it was opened.
   void release_stored() { stored_.clear(); }
 
   // Hands what was written over to the thread, if that can take it. Call it at the end of each turn of the
@@ -58,7 +58,7 @@
   store::File file_;
   store::Writer writer_;  // declared after the file, which it uses until it is destroyed
   std::map<std::size_t, std::unique_ptr<LedgerRecords>> ledgers_;
-  std::uint64_t mark_ = 0;  // of the latest write
+  std::uint64_t mark_ = 0;  // write number of the latest write
   bool failed_ = false;
 };
 
--- a/src/persistence/quota_state_store.hpp
+++ b/src/persistence/quota_state_store.hpp
@@ -19,7 +19,7 @@
   // Numbers of records.
   struct LoadedCounts {
     std::size_t accounts = 0;
-    std::size_t unreadable = 0;  // passed over
+    std::size_t unreadable = 0;  // records skipped because they cannot be decoded
   };
 
   // Restores all stored accounts. Call it before the first request. Throws store::StoreError.
--- a/src/persistence/restoration.hpp
+++ b/src/persistence/restoration.hpp
@@ -16,9 +16,9 @@
   std::size_t replicas = 0;
   std::size_t sessions = 0;
   std::size_t prefixes = 0;
-  std::size_t unreadable = 0;  // passed over: the bytes are no such record, or its values make no sense
+  std::size_t unreadable = 0;  // skipped: the bytes are not such a record, or its values are not plausible
   std::size_t over_capacity =
-      0;  // passed over: the table has no room for it, or it refers to no replica here
+      0;  // skipped: the table has no room for the record, or no replica that the record refers to
 };
 
 // Called with the key and the bytes of one record; both are views that hold during the call.
--- a/src/store/contents.hpp
+++ b/src/store/contents.hpp
@@ -13,14 +13,14 @@
 struct Contents {
   struct Table {
     std::string name;
-    std::uint32_t version = 0;  // of its records
+    std::uint32_t version = 0;  // version of the records' form
     std::uint64_t records = 0;
-    std::uint64_t bytes = 0;  // of the keys and values, without checksums
+    std::uint64_t bytes = 0;  // size of the keys and values, without checksums
   };
   std::vector<Table> tables;     // in the order of their names
   std::uint64_t serial = 0;      // number of batches ever written
   std::uint64_t file_bytes = 0;  // the file's size
-  std::uint64_t used_bytes = 0;  // of the pages in use
+  std::uint64_t used_bytes = 0;  // size of the pages in use
   std::uint64_t max_bytes = 0;   // the largest size that the file may grow to
 };
 
--- a/src/store/environment.hpp
+++ b/src/store/environment.hpp
@@ -50,7 +50,7 @@
 
   std::optional<std::string_view> get(MDB_dbi table, std::string_view key) const;
   void put(MDB_dbi table, std::string_view key, std::string_view value) const;
-  // Erases a record, if the table has one with that key.
+  // Erases the record with that key; does nothing if the table has none.
   void erase(MDB_dbi table, std::string_view key) const;
   MDB_stat statistics(MDB_dbi table) const;
 
--- a/src/store/verification.cpp
+++ b/src/store/verification.cpp
@@ -18,14 +18,14 @@
 
 constexpr std::uint64_t kPageBytes = 4096;
 constexpr std::uint64_t kHeaderPages = 2;  // LMDB's two meta pages at the beginning of the file
-constexpr MDB_dbi kFreePagesTable = 0;     // LMDB's own handle of it
-constexpr int kFaultExitStatus = 100;      // of the child process, plus the ErrorKind
+constexpr MDB_dbi kFreePagesTable = 0;     // LMDB's fixed handle of the table of free pages
+constexpr int kFaultExitStatus = 100;      // the child process exits with this plus the ErrorKind
 
 std::uint64_t page_count(const MDB_stat& statistics) {
   return statistics.ms_branch_pages + statistics.ms_leaf_pages + statistics.ms_overflow_pages;
 }
 
-// The pages that LMDB's lists call free.
+// The set of pages that LMDB's free lists contain.
 class FreePages {
  public:
   explicit FreePages(std::uint64_t file_pages) : is_free_(file_pages) {}
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -1,9 +1,9 @@
 // Accepts changes from an event loop without blocking it, and writes them to a File in a thread of its own.
 //
 // The loop gathers changes into a batch, in which a later change of a record replaces an earlier one. A batch
-// is handed over in one atomic pointer; there is no lock. While the thread is busy with a slow
-// disk the loop gathers on, up to a bound; beyond that, changes are rejected and counted, and the caller
-// offers them again later.
+// is handed over in one atomic pointer, without a lock. While the thread is busy with a slow disk, the loop
+// continues to gather changes up to a bound. Changes beyond the bound are rejected and counted, and the
+// caller offers them again later.
 //
 // After a crash, the file holds the state after some whole batch: a prefix of what was accepted, which lacks
 // at most the batch being written, the batch waiting for the thread and the batch being gathered.
@@ -44,14 +44,14 @@
 // Counters since the start, except where noted.
 struct WriterMetrics {
   std::uint64_t accepted = 0;  // changes, replaced ones included
-  std::uint64_t replaced = 0;  // by a later change of the same record before they were written
-  std::uint64_t rejected = 0;  // for lack of room
-  std::uint64_t batches = 0;   // durable ones
-  std::uint64_t written = 0;   // changes in them
+  std::uint64_t replaced = 0;  // changes replaced by a later one of the same record before being written
+  std::uint64_t rejected = 0;  // changes rejected for lack of room
+  std::uint64_t batches = 0;   // durable batches
+  std::uint64_t written = 0;   // changes in the durable batches
   std::uint64_t failures = 0;  // writes that failed and are retried
   std::uint64_t waiting = 0;   // now: changes accepted and not handed over, replaced ones included
   bool failing = false;        // now: the last write failed
-  std::string last_error;      // its text; stays after a recovery
+  std::string last_error;      // text of the last failure; stays after a recovery
 };
 
 // Owns the thread that writes. Its member functions are for the thread that owns it.
