--- a/src/config/operator_file.hpp
+++ b/src/config/operator_file.hpp
@@ -33,10 +33,12 @@
 
 // [store]: the file with state that outlives the process (docs/store.md).
 struct StoreFile {
-  std::string file;                            // empty: no state outlives the process
-  std::uint64_t max_megabytes = 256;           // maximum size of the file, in MiB
-  double max_sync_delay_s = 1;                 // a change is durable within this time, or earlier:
-  std::uint64_t max_undurable_changes = 4096;  // once so many changes are not durable yet
+  std::string file;                   // empty: no state outlives the process
+  std::uint64_t max_megabytes = 256;  // maximum size of the file, in MiB
+  // Changes become durable within `max_sync_delay_s`, or once there are `max_undurable_changes` of them,
+  // whichever comes first.
+  double max_sync_delay_s = 1;
+  std::uint64_t max_undurable_changes = 4096;
 
   bool operator==(const StoreFile&) const = default;
 };
@@ -93,8 +95,10 @@
   std::uint64_t replica_count = 3;   // replicas of each ledger: 3 or 5
   double lease_s = 6;                // how long a router may use its reservation without an answer
   double heartbeat_s = 0.25;         // interval of a leader; an election begins after five to ten of them
-  std::string without_majority = "strict";  // or "lenient": beyond the reservation, up to `overdraft`
-  double overdraft_fraction = 0.01;         // fraction of each limit, for each router
+  // "strict", or "lenient": a router without a majority may go beyond its reservation, up to
+  // `overdraft_fraction`.
+  std::string without_majority = "strict";
+  double overdraft_fraction = 0.01;  // fraction of each limit, for each router
   std::uint32_t line = 0;
 
   bool operator==(const ReplicationFile&) const = default;
