--- a/src/node/cluster.cpp
+++ b/src/node/cluster.cpp
@@ -118,8 +118,8 @@
                               << ", " << roster.size() << " routers at " << roster.sites().size()
                               << " sites, datagrams at " << logging::field("datagrams", datagrams_->address())
                               << (group_config_.peer_links_enabled ? ", links at " : "")
-                         << logging::field("links", links_->address()) << ", start "
-                         << startup.identity.start_number
+                              << logging::field("links", links_->address()) << ", start "
+                              << startup.identity.start_number
                               << (startup.new_disk ? " with an empty disk" : " with its disk");
 }
 
--- a/src/node/cluster_replication.cpp
+++ b/src/node/cluster_replication.cpp
@@ -126,11 +126,10 @@
   const std::size_t ledgers = replication_->quota_client().ledger_count();
   if (!replication::survives_site_loss(*roster_, ledgers, replication_config_.replica_count)) {
     logging::warning(kLogPart) << "the ledgers do not survive the loss of a site: "
-                               << replication_config_.replica_count
-                               << " replicas need three sites";
+                               << replication_config_.replica_count << " replicas need three sites";
   }
-  logging::info(kLogPart) << ledgers << " ledgers with " << replication_config_.replica_count << " replicas each, "
-                          << replication_->replicas().size() << " of them here; "
+  logging::info(kLogPart) << ledgers << " ledgers with " << replication_config_.replica_count
+                          << " replicas each, " << replication_->replicas().size() << " of them here; "
                           << replication_config_.without_majority << " without a majority";
 }
 
--- a/src/tools/replication.cpp
+++ b/src/tools/replication.cpp
@@ -197,7 +197,7 @@
 }
 
 void print_violation(const PlayOptions& options, const testbed::ReplicationPlayOptions& script,
-                  const std::string& broken) {
+                     const std::string& broken) {
   fmt::print(
       "seed {}: {}\n  again: thornwick copies play --scenario {} --seed {} --routers {} --sites {} "
       "--copies {}{}\n",
--- a/tests/group/links.cpp
+++ b/tests/group/links.cpp
@@ -163,8 +163,7 @@
   CHECK((!second.new_disk && second.identity.disk_id == first.identity.disk_id &&
          second.identity.start_number == 2));
   // An instance id of 0 would identify no process.
-  CHECK((second.identity.instance_id != 0 && second.identity.instance_id !=
-             first.identity.instance_id));
+  CHECK((second.identity.instance_id != 0 && second.identity.instance_id != first.identity.instance_id));
   const std::string bytes = testing::read_bytes(path);
   for (std::size_t offset = 0; offset < bytes.size(); offset += 7) {
     std::string changed = bytes;
