--- a/src/testbed/fault_harness.hpp
+++ b/src/testbed/fault_harness.hpp
@@ -1,7 +1,7 @@
-// A group of real processes of this program on one machine, each with a folder that stands for its machine's
-// disk, wires with faults between any two, replicas and discovery of a scenario, and clients that keep
-// account. Runs in GLib's main loop; every wait is for something that happens, and ends. Only what it started
-// is ended, by id.
+// Fault-injection harness: runs a group of router processes on one machine, with a folder in place of each
+// machine's disk, a faulty link between any two routers, the replicas and the discovery of a scenario, and
+// clients that audit every answer. It runs in GLib's main loop. Every wait is for a condition and has a time
+// limit. The harness ends only processes that it started, by their id.
 #pragma once
 
 #include <gio/gio.h>
@@ -21,28 +21,24 @@
 
 namespace thornwick::testbed {
 
-enum class DiskState {
-  kept,
-  empty,
-  older,
-  full,
-  slow
-};  // slow: half a second for each write that is to be durable
+enum class DiskState { kept, empty, older, full, slow };  // slow: each durable write takes half a second
 const char* name_of(DiskState disk);
 
 struct FaultHarnessOptions {
-  std::string program;   // the executable
-  std::string folder;    // is made; logs, disks and configurations stay there
-  std::string scenario;  // of replicas and discovery
+  std::string program;   // path of the executable
+  std::string folder;    // created if missing; logs, disks and configurations stay there
+  std::string scenario;  // path of the scenario file for replicas and discovery
   std::size_t routers = 3, sites = 1;
   double period_s = 0.3;
-  double rate = 5;               // requests a second and router; 0: no clients
-  bool with_group = true;        // false: the same routers without their group
-  bool admin_endpoint = false;   // an admin endpoint, and with it the replacing of the process
-  bool with_link_faults = true;  // false: they reach each other straight, and no fault lies between them
+  double request_rate = 5;      // requests per second and router; 0: no clients
+  bool with_group = true;       // false: the routers run without a group
+  bool admin_endpoint = false;  // each router has an admin endpoint, which replace() needs
+  bool with_link_faults =
+      true;  // false: routers connect directly, and faults cannot be injected between them
   std::uint64_t seed = 1;
-  std::string more;  // of each operator's file; {disk} is the router's folder that stands for its disk
-  // Each thing that happens, with seconds since the start.
+  std::string
+      extra_config;  // appended to each router's operator file; {disk} stands for the router's disk folder
+  // Called for each event, with the seconds since the start.
   std::function<void(double at, const std::string& what)> write_log = [](auto, auto&) {};
 };
 
@@ -52,27 +48,29 @@
   ~FaultHarness();
 
   std::size_t size() const { return routers_.size(); }
-  Installation& replicas() { return *installation_; }
-  RequestAudit& account() { return *account_; }
+  Installation& installation() { return *installation_; }
+  RequestAudit& audit() { return *audit_; }
   std::string name(std::size_t router) const;
 
-  // Processes. What makes no sense in a router's state changes nothing.
+  // Control of processes. A call that does not apply to a router's state has no effect.
   void start(std::size_t router, DiskState disk = DiskState::kept);
   void kill(std::size_t router);       // SIGKILL
   void stop(std::size_t router);       // SIGSTOP
   void resume(std::size_t router);     // SIGCONT
   void terminate(std::size_t router);  // SIGTERM
-  // Another process takes its place under load, and the old one is told to end once the new one serves.
+  // Starts a successor under load, and sends the old process SIGTERM once the successor serves.
   void replace(std::size_t router);
-  void set_clock(std::size_t router, double ahead_ms, double rate);  // the rate from its next start on
-  // A replica's process dies, or starts again. An answer that had begun on it ends with it, and no other may
-  // take its place.
+  void set_clock(std::size_t router, double ahead_ms,
+                 double rate);  // `rate` takes effect at the router's next start
+  // Ends a replica's process, or starts it again. An answer that had begun on the replica breaks off, and no
+  // other answer may take its place.
   void stop_replica(std::size_t replica);
   void start_replica(std::size_t replica);
-  // A second process under this router's name, that the others are not told of but that can reach them.
+  // Starts a second process under this router's name. The configuration of the other routers does not contain
+  // it, but it can reach them.
   void start_duplicate(std::size_t router);
 
-  // The network. `from` to `to`, one way.
+  // Control of the network. Faults apply to the direction from `from` to `to`.
   void set_faults(std::size_t from, std::size_t to, const LinkFaults& faults);
   void half_close(std::size_t from, std::size_t to);
   void reset(std::size_t a, std::size_t b);
@@ -81,35 +79,39 @@
 
   enum class State { down, starting, serving, stopped, ending };
   State state(std::size_t router) const { return routers_[router].state; }
-  bool runs(std::size_t router) const { return state(router) == State::serving; }
+  bool is_serving(std::size_t router) const { return state(router) == State::serving; }
   const std::string& log(std::size_t router) const { return routers_[router].log; }
-  // What it says after this is what says() looks at.
-  void mark_log(std::size_t router) { routers_[router].mark = routers_[router].log.size(); }
+  // has_logged() searches only what the router logs after this call.
+  void mark_log(std::size_t router) { routers_[router].log_mark = routers_[router].log.size(); }
   bool has_logged(std::size_t router, const std::string& text) const;
 
-  // Lets the loop run until it holds; false if it does not within the time.
-  bool run_until(const std::function<bool()>& holds, Time most = 60'000'000);
-  void run_for(Time time);
-  // A router's own word, asked anew. Empty where it does not run or does not answer.
+  // Runs the loop until the condition holds. Returns false if it does not hold within `timeout` microseconds.
+  bool run_until(const std::function<bool()>& condition, Time timeout = 60'000'000);
+  void run_for(Time duration);
+  // Requests a router's status. Returns null if the router is not serving or does not answer.
   nlohmann::json status(std::size_t router) const;
-  // What it answers to a line at its local socket; empty where it does not.
+  // Sends a line to a router's local socket and returns the answer, or an empty string if there is none.
   std::string call(std::size_t router, const std::string& line) const;
-  nlohmann::json ask(std::size_t router, const std::string& line) const;  // which is answered with JSON
-  // Of all answers that replicas began: as they tally them.
-  double tokens() const { return tokens_; }
-  // What somebody holds that is not so; empty if all that run hold the same, and it is so.
+  nlohmann::json call_json(std::size_t router, const std::string& line)
+      const;  // the same for a command that is answered with JSON
+  // Returns the tokens of all answers that replicas began, as the replicas count them.
+  double counted_tokens() const { return counted_tokens_; }
+  // Describes the first wrong belief of a serving router about itself or another router. Empty if the beliefs
+  // of all serving routers are correct.
   std::string disagreement() const;
 
-  // Microseconds: more for a large group.
-  Time agree_within() const;
-  // Heals all, starts all, waits until they agree, ends them, and says what did not hold; empty if all did.
+  // Returns the time within which routers must agree, in microseconds. It grows with the size of the group.
+  Time agreement_timeout() const;
+  // Heals all links, starts all routers, waits until they agree, ends them and describes the first violation.
+  // Empty if there is none.
   std::string recover_and_verify();
 
   struct Metrics {
     std::size_t requests = 0, served = 0, rejected = 0, expected_failures = 0, starts = 0, max_attempts = 0;
     std::size_t failure_reports = 0, datagrams = 0, lost = 0;
     double agreed_after_s = 0;
-    // Of a router that ran to the end: processor time and memory; of an answer: from the question to its end.
+    // Mean processor time and memory of the routers, measured just before SIGTERM, and latencies from the
+    // request to the end of its answer.
     double cpu_ms = 0, memory_mb = 0, cpu_us_per_request = 0;
     double answer_p50_ms = 0, answer_p99_ms = 0;
   };
@@ -119,50 +121,51 @@
   struct Router {
     State state = State::down;
     GSubprocess* process = nullptr;
-    GDataInputStream* lines = nullptr;
+    GDataInputStream* log_stream = nullptr;
     int pid = 0;
-    std::string folder, log, front, datagrams, links;
-    std::size_t mark = 0, starts = 0;
-    std::string crashed;                      // how it ended when nobody asked it to
-    std::vector<std::pair<Time, Time>> away;  // while no answer is owed: from, to; 0: still
-    Time end_asked = 0;
-    GSubprocess* before = nullptr;  // whose place the process is taking
+    std::string folder, log, front_address, datagram_address, link_address;
+    std::size_t log_mark = 0, start_count = 0;
+    std::string crash_report;  // how the process ended, if nothing had asked it to end
+    std::vector<std::pair<Time, Time>>
+        absences;  // [from, to] of periods in which no answer is required; to = 0: the period is not over
+    Time terminated_at = 0;
+    GSubprocess* predecessor = nullptr;  // the process that is being replaced
     double cpu_ms = 0, memory_mb = 0;
   };
-  struct Running {  // what GLib calls back with
-    FaultHarness* rig;
+  struct WatchedProcess {  // argument of GLib's callbacks
+    FaultHarness* harness;
     std::size_t router;
     GSubprocess* process;
   };
 
-  void write_files(std::size_t router);
+  void write_config_files(std::size_t router);
   std::string address_for(std::size_t reader, std::size_t of) const;
   void spawn(std::size_t router, DiskState disk);
-  void read_line(std::size_t router, GDataInputStream* lines);
-  void said(std::size_t router, const std::string& line);
-  void ended(std::size_t router, GSubprocess* process);
-  void measure(std::size_t router);
-  void tell_wires(std::size_t router);
-  void away(std::size_t router, bool on);
-  bool excused(const Entry& entry) const;
-  FaultyLink& wire(std::size_t a, std::size_t b, FaultyLink::Direction& way);
-  std::string broken_promise() const;
+  void read_line(std::size_t router, GDataInputStream* log_stream);
+  void on_log_line(std::size_t router, const std::string& line);
+  void on_exit(std::size_t router, GSubprocess* process);
+  void record_usage(std::size_t router);
+  void update_link_targets(std::size_t router);
+  void set_absent(std::size_t router, bool absent);
+  bool failure_expected(const AuditedRequest& request) const;
+  FaultyLink& link_between(std::size_t a, std::size_t b, FaultyLink::Direction& direction);
+  std::string first_violation() const;
   void write_log(const std::string& what) const;
 
   FaultHarnessOptions options_;
-  Time began_ = 0;
+  Time started_at_ = 0;
   std::unique_ptr<Installation> installation_;
-  std::unique_ptr<RequestAudit> account_;
+  std::unique_ptr<RequestAudit> audit_;
   std::vector<Router> routers_;
   std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<FaultyLink>>
-      links_;  // the lower number is "the one"
-  std::vector<GSubprocess*> twins_;
-  std::map<std::string, std::size_t> attempts_;  // of each request, as the replicas counted them
-  std::vector<Time> replica_deaths_;
-  bool news_ = true;  // something happened that may make a wait's condition hold
-  std::size_t late_to_draining_ = 0;
-  double tokens_ = 0;
-  std::size_t allowed_attempts_ = 1;
+      faulty_links_;  // keyed by (lower, higher) router number; the lower is the link's first end
+  std::vector<GSubprocess*> duplicates_;
+  std::map<std::string, std::size_t> attempts_by_request_;  // by request id, as counted by the replicas
+  std::vector<Time> replica_stopped_at_;
+  bool state_changed_ = true;  // an event may have made the condition of run_until() true
+  std::size_t late_requests_to_draining_ = 0;
+  double counted_tokens_ = 0;
+  std::size_t max_attempts_ = 1;
   double agreed_after_s_ = 0;
 };
 
--- a/src/testbed/load.cpp
+++ b/src/testbed/load.cpp
@@ -11,10 +11,11 @@
 namespace thornwick::testbed {
 namespace {
 
-constexpr Time kSlack = milliseconds(300);  // after its limit, in which a try must have its final answer
-constexpr Time kSilence = seconds(10);      // a stream without an event for so long is given up
+constexpr Time kAnswerMargin =
+    milliseconds(300);  // time after a try's limit by which its final answer must have arrived
+constexpr Time kStreamTimeout = seconds(10);  // a stream without an event for this time is abandoned
 constexpr Time kLateStart = milliseconds(10);
-constexpr std::size_t kTail = 600;  // of an answer, in which the tally is looked for
+constexpr std::size_t kTailBytes = 600;  // end of an answer, which is searched for the usage
 
 double number_after(const std::string& text, const std::string& name) {
   const auto at = text.rfind(name);
@@ -26,60 +27,63 @@
 
 }  // namespace
 
-struct Load::Turn {
-  emulator::PlannedRequest asked;  // its times from the start of the load
+struct Load::PendingRequest {
+  emulator::PlannedRequest planned;  // its times count from the start of the load
   int tries = 0;
-  bool resumed = false;
-  Time first_at = 0;
-  net::Timer again;
+  bool had_partial_answer = false;
+  Time first_token_at = 0;
+  net::Timer retry_timer;
 };
 
 struct Load::Connection {
   std::unique_ptr<net::Stream> stream;
   std::optional<http::MessageReader> reader;
-  Turn* turn = nullptr;  // null: idle
+  PendingRequest* request = nullptr;  // null: idle
   std::string tail;
-  net::Timer patience;
+  net::Timer timeout;
 };
 
 Load::Load(LoadOptions options)
     : options_(std::move(options)),
       dialect_(fronts::find_dialect(options_.dialect)),
-      chance_(options_.seed, emulator::Concern::clients) {
-  if (dialect_ == nullptr) throw std::invalid_argument("no such dialect: " + options_.dialect);
-  if (options_.routers.empty()) throw std::invalid_argument("no router's address");
+      random_(options_.seed, emulator::Concern::clients) {
+  if (dialect_ == nullptr) throw std::invalid_argument("load: unknown dialect: " + options_.dialect);
+  if (options_.routers.empty()) throw std::invalid_argument("load: at least one router address is needed");
   for (const auto& address : options_.routers) {
-    if (!net::parse_address(address)) throw std::invalid_argument("not an address: " + address);
+    if (!net::parse_address(address))
+      throw std::invalid_argument("load: not an address of a router: " + address);
   }
-  const auto& s = options_.scenario;
-  result_ = emulator::empty_result(s, options_.seed);
+  const auto& scenario = options_.scenario;
+  result_ = emulator::empty_result(scenario, options_.seed);
   result_.policy = "sockets";
   result_.routers = options_.routers.size();
-  backoff_us_ = 1000 * chance_.between(s.backoff_ms.low, s.backoff_ms.high);
+  backoff_us_ = 1000 * random_.between(scenario.backoff_ms.low, scenario.backoff_ms.high);
 }
 
 Load::~Load() = default;
 
 void Load::start(std::function<void()> done) {
   done_ = std::move(done);
-  began_ = net::now_us();
-  go_on();
+  started_at_ = net::now_us();
+  send_due_requests();
 }
 
-void Load::go_on() {
-  const Time now = net::now_us() - began_;
-  for (; next_ < options_.requests.size() && options_.requests[next_].at <= now; ++next_) {
-    Turn& turn = *turns_.emplace_back(std::make_unique<Turn>());
-    turn.asked = options_.requests[next_];
-    if (now - turn.asked.at >= kLateStart) ++metrics_.late_starts;
+void Load::send_due_requests() {
+  const Time now = net::now_us() - started_at_;
+  for (; next_request_ < options_.requests.size() && options_.requests[next_request_].at <= now;
+       ++next_request_) {
+    PendingRequest& request = *pending_requests_.emplace_back(std::make_unique<PendingRequest>());
+    request.planned = options_.requests[next_request_];
+    if (now - request.planned.at >= kLateStart) ++metrics_.late_starts;
     ++result_.turns;
-    ++result_.classes[turn.asked.cls].turns;
-    result_.work_asked += turn.asked.work;
-    try_turn(turn);
+    ++result_.classes[request.planned.cls].turns;
+    result_.work_asked += request.planned.work;
+    send_try(request);
   }
-  if (next_ < options_.requests.size())
-    return pacer_.start(options_.requests[next_].at - now, [this] { go_on(); });
-  if (turns_.empty()) finish();
+  if (next_request_ < options_.requests.size())
+    return next_request_timer_.start(options_.requests[next_request_].at - now,
+                                     [this] { send_due_requests(); });
+  if (pending_requests_.empty()) finish();
 }
 
 void Load::finish() {
@@ -88,160 +92,168 @@
   done_();
 }
 
-std::string Load::bytes_of(const Turn& turn, Time limit) const {
-  const auto& a = turn.asked;
-  const auto& s = options_.scenario;
+std::string Load::request_bytes(const PendingRequest& request, Time limit) const {
+  const auto& planned = request.planned;
+  const auto& scenario = options_.scenario;
   fronts::ChatRequest chat;
   chat.model = "model";
   chat.stream = true;
-  chat.max_tokens = static_cast<std::uint64_t>(a.max_tokens);
+  chat.max_tokens = static_cast<std::uint64_t>(planned.max_tokens);
   chat.turns.push_back({"user", "what does the log say?"});
   const std::string body = dialect_->write_chat(chat);
   std::vector<http::Header> headers = {
       {"Host", "thornwick"},
       {"Content-Type", "application/json"},
       {"X-Request-ID", fmt::format("{:016x}", mix(options_.seed ^ mix(last_id_)))},
-      {"X-Priority-Class", s.classes[a.cls].name},
-      {"X-Tenant-Id", s.members[a.member].name},
-      {"X-Route-Key", fmt::format("{:016x}", a.session)},
+      {"X-Priority-Class", scenario.classes[planned.cls].name},
+      {"X-Tenant-Id", scenario.members[planned.member].name},
+      {"X-Route-Key", fmt::format("{:016x}", planned.session)},
       {"X-Timeout-Ms", std::to_string(std::max<Time>(1, limit / 1000))},
-      {"X-Attrs", fmt::format("prefix={:016x},prompt_len={:.0f},prefix_len={:.0f},max_out={:.0f}", a.prefix,
-                              a.prompt, a.prefix_tokens, a.max_tokens)},
-      {"X-Lab-Made", fmt::format("{:.0f}", a.generated)},
+      {"X-Attrs", fmt::format("prefix={:016x},prompt_len={:.0f},prefix_len={:.0f},max_out={:.0f}",
+                              planned.prefix, planned.prompt, planned.prefix_tokens, planned.max_tokens)},
+      {"X-Lab-Made", fmt::format("{:.0f}", planned.generated)},
       {"Content-Length", std::to_string(body.size())}};
-  if (a.hint > 0) headers.push_back({"X-Cost", fmt::format("{:.0f}", a.hint)});
-  if (turn.tries > 1) headers.push_back({"X-Retried", turn.resumed ? "again" : "1"});
+  if (planned.hint > 0) headers.push_back({"X-Cost", fmt::format("{:.0f}", planned.hint)});
+  if (request.tries > 1) headers.push_back({"X-Retried", request.had_partial_answer ? "again" : "1"});
   return http::write_head("POST " + std::string(dialect_->path()) + " HTTP/1.1", headers) + body;
 }
 
-void Load::try_turn(Turn& turn) {
-  const Time now = net::now_us() - began_;
-  const auto& d = options_.scenario.classes[turn.asked.cls];
-  ++turn.tries;
+void Load::send_try(PendingRequest& request) {
+  const Time now = net::now_us() - started_at_;
+  const auto& request_class = options_.scenario.classes[request.planned.cls];
+  ++request.tries;
   ++last_id_;
   ++result_.tries;
-  const Time limit = std::min(static_cast<Time>(options_.scenario.try_share * 1000 * d.deadline_ms),
-                              turn.asked.deadline - now);
-  Connection* line = nullptr;
-  for (auto& one : lines_) {
-    if (one->turn == nullptr && one->stream->open()) line = one.get();
+  const Time limit =
+      std::min(static_cast<Time>(options_.scenario.try_share * 1000 * request_class.deadline_ms),
+               request.planned.deadline - now);
+  Connection* connection = nullptr;
+  for (auto& candidate : connections_) {
+    if (candidate->request == nullptr && candidate->stream->open()) connection = candidate.get();
   }
-  if (line == nullptr) {
-    lines_.remove_if([](const auto& one) { return one->turn == nullptr && !one->stream->open(); });
-    if (lines_.size() >= options_.max_connections) {
+  if (connection == nullptr) {
+    connections_.remove_if([](const auto& one) { return one->request == nullptr && !one->stream->open(); });
+    if (connections_.size() >= options_.max_connections) {
       ++metrics_.no_connection;
-      return turned_away(turn, 0, false);
+      return on_try_failed(request, 0, false);
     }
-    line = lines_.emplace_back(std::make_unique<Connection>()).get();
-    line->stream = std::make_unique<net::Stream>(
-        net::Stream::Callbacks{.connected = [] {},
-                               .arrived = [this, line](std::string_view bytes) { arrived(*line, bytes); },
-                               .drained = {},
-                               .ended = [this, line] { ended(*line); }});
+    connection = connections_.emplace_back(std::make_unique<Connection>()).get();
+    connection->stream = std::make_unique<net::Stream>(net::Stream::Callbacks{
+        .connected = [] {},
+        .arrived = [this, connection](std::string_view bytes) { on_bytes(*connection, bytes); },
+        .drained = {},
+        .ended = [this, connection] { on_connection_ended(*connection); }});
     const auto address = net::parse_address(options_.routers[next_router_++ % options_.routers.size()]);
-    if (!line->stream->connect(address.get())) return turned_away(turn, 0, false);
+    if (!connection->stream->connect(address.get())) return on_try_failed(request, 0, false);
   }
-  line->turn = &turn;
-  line->reader.emplace(http::MessageReader::Kind::answer);
-  line->tail.clear();
-  line->stream->write(bytes_of(turn, limit));
-  line->patience.start(limit + kSlack, [this, line] {
+  connection->request = &request;
+  connection->reader.emplace(http::MessageReader::Kind::answer);
+  connection->tail.clear();
+  connection->stream->write(request_bytes(request, limit));
+  connection->timeout.start(limit + kAnswerMargin, [this, connection] {
     ++metrics_.unanswered;
-    Turn& mine = *line->turn;
-    drop(*line);
-    turned_away(mine, 0, mine.first_at > 0);
+    PendingRequest& failed = *connection->request;
+    close(*connection);
+    on_try_failed(failed, 0, failed.first_token_at > 0);
   });
 }
 
-void Load::drop(Connection& line) {
-  line.turn = nullptr;
-  line.patience.stop();
-  line.stream->close();
+void Load::close(Connection& connection) {
+  connection.request = nullptr;
+  connection.timeout.stop();
+  connection.stream->close();
 }
 
-void Load::arrived(Connection& line, std::string_view bytes) {
-  if (line.turn == nullptr) return line.stream->close();
+void Load::on_bytes(Connection& connection, std::string_view bytes) {
+  if (connection.request == nullptr) return connection.stream->close();
   try {
-    line.reader->feed(bytes);
-    for (auto piece = line.reader->next(); piece != http::MessageReader::Piece::none;
-         piece = line.reader->next()) {
+    connection.reader->feed(bytes);
+    for (auto piece = connection.reader->next(); piece != http::MessageReader::Piece::none;
+         piece = connection.reader->next()) {
       if (piece == http::MessageReader::Piece::body) {
-        line.tail += line.reader->take_body();
-        if (line.tail.size() > 2 * kTail) line.tail.erase(0, line.tail.size() - kTail);
-        if (line.reader->head().status != 200) continue;
-        if (line.turn->first_at == 0) line.turn->first_at = net::now_us() - began_;
-        line.patience.start(kSilence, [this, l = &line] { ended(*l); });
+        connection.tail += connection.reader->take_body();
+        if (connection.tail.size() > 2 * kTailBytes)
+          connection.tail.erase(0, connection.tail.size() - kTailBytes);
+        if (connection.reader->head().status != 200) continue;
+        if (connection.request->first_token_at == 0)
+          connection.request->first_token_at = net::now_us() - started_at_;
+        connection.timeout.start(kStreamTimeout, [this, l = &connection] { on_connection_ended(*l); });
       }
-      if (piece == http::MessageReader::Piece::end) return answered(line);
+      if (piece == http::MessageReader::Piece::end) return on_answer(connection);
     }
   } catch (const http::BadMessage&) {
-    ended(line);
+    on_connection_ended(connection);
   }
 }
 
-// The connection broke: what was asked on it has no answer, or only a part of one.
-void Load::ended(Connection& line) {
-  Turn* turn = line.turn;
-  drop(line);
-  if (turn != nullptr) turned_away(*turn, 0, turn->first_at > 0);
+// Handles a broken connection: its request has no answer, or only a fragment of one.
+void Load::on_connection_ended(Connection& connection) {
+  PendingRequest* request = connection.request;
+  close(connection);
+  if (request != nullptr) on_try_failed(*request, 0, request->first_token_at > 0);
 }
 
-void Load::answered(Connection& line) {
-  Turn& turn = *line.turn;
-  line.turn = nullptr;
-  line.patience.stop();
-  const http::Head& head = line.reader->head();
-  if (!head.keeps_alive()) line.stream->close();
+void Load::on_answer(Connection& connection) {
+  PendingRequest& request = *connection.request;
+  connection.request = nullptr;
+  connection.timeout.stop();
+  const http::Head& head = connection.reader->head();
+  if (!head.keeps_alive()) connection.stream->close();
   if (head.status != 200) {
-    const auto* back = head.find("Retry-After");
-    return turned_away(
-        turn, back == nullptr ? 0 : static_cast<Time>(1e6 * std::strtod(back->c_str(), nullptr)), false);
+    const auto* retry_after = head.find("Retry-After");
+    return on_try_failed(
+        request,
+        retry_after == nullptr ? 0 : static_cast<Time>(1e6 * std::strtod(retry_after->c_str(), nullptr)),
+        false);
   }
-  const Time now = net::now_us() - began_;
-  if (turn.first_at == 0) turn.first_at = now;
-  const auto& d = options_.scenario.classes[turn.asked.cls];
-  const double part = emulator::earned_part(d, turn.asked.objective_at, turn.asked.deadline, turn.first_at,
-                                            now, turn.asked.generated);
-  auto& c = result_.classes[turn.asked.cls];
-  ++c.served;
+  const Time now = net::now_us() - started_at_;
+  if (request.first_token_at == 0) request.first_token_at = now;
+  const auto& request_class = options_.scenario.classes[request.planned.cls];
+  const double earned_fraction =
+      emulator::earned_part(request_class, request.planned.objective_at, request.planned.deadline,
+                            request.first_token_at, now, request.planned.generated);
+  auto& class_result = result_.classes[request.planned.cls];
+  ++class_result.served;
   ++result_.totals.served;
-  c.in_time += part == 1;
-  c.first_us.add(turn.first_at - turn.asked.at);
-  c.answer_us.add(now - turn.asked.at);
-  result_.prompt_tokens += turn.asked.prompt;
-  result_.cached_tokens += std::max(number_after(line.tail, "\"cached_tokens\":"),
-                                    number_after(line.tail, "\"cache_read_input_tokens\":"));
-  end_turn(turn, part);
+  class_result.in_time += earned_fraction == 1;
+  class_result.first_us.add(request.first_token_at - request.planned.at);
+  class_result.answer_us.add(now - request.planned.at);
+  result_.prompt_tokens += request.planned.prompt;
+  result_.cached_tokens += std::max(number_after(connection.tail, "\"cached_tokens\":"),
+                                    number_after(connection.tail, "\"cache_read_input_tokens\":"));
+  end_request(request, earned_fraction);
 }
 
-void Load::turned_away(Turn& turn, Time retry_after, bool broken) {
-  const auto& s = options_.scenario;
-  const Time now = net::now_us() - began_;
-  if (broken) turn.resumed = true;
-  ++(broken ? result_.totals.broken : result_.totals.rejected);
+void Load::on_try_failed(PendingRequest& request, Time retry_after, bool partially_answered) {
+  const auto& scenario = options_.scenario;
+  const Time now = net::now_us() - started_at_;
+  if (partially_answered) request.had_partial_answer = true;
+  ++(partially_answered ? result_.totals.broken : result_.totals.rejected);
   Time pause = std::llround(backoff_us_);
-  if (retry_after > 0 && chance_.happens(s.honor_probability)) pause = std::max(pause, retry_after);
-  if (static_cast<std::size_t>(turn.tries) <= s.retries && now + pause < turn.asked.deadline) {
-    turn.first_at = 0;
-    return turn.again.start(pause, [this, &turn] { try_turn(turn); });
+  if (retry_after > 0 && random_.happens(scenario.honor_probability)) pause = std::max(pause, retry_after);
+  if (static_cast<std::size_t>(request.tries) <= scenario.retries && now + pause < request.planned.deadline) {
+    request.first_token_at = 0;
+    return request.retry_timer.start(pause, [this, &request] { send_try(request); });
   }
-  ++result_.classes[turn.asked.cls].given_up;
-  end_turn(turn, 0);
+  ++result_.classes[request.planned.cls].given_up;
+  end_request(request, 0);
 }
 
-void Load::end_turn(Turn& turn, double part) {
-  const auto& a = turn.asked;
-  emulator::add_weight(result_, options_.scenario, a.at, a.cls, a.member, a.priority_weight, part);
-  // Its own timer may be what runs now.
-  const auto at = std::find_if(turns_.begin(), turns_.end(), [&](auto& t) { return t.get() == &turn; });
-  struct DeferredDeletions : net::DeferredDeletable {
-    std::unique_ptr<Turn> turn;
+void Load::end_request(PendingRequest& request, double earned_fraction) {
+  const auto& planned = request.planned;
+  emulator::add_weight(result_, options_.scenario, planned.at, planned.cls, planned.member,
+                       planned.priority_weight, earned_fraction);
+  // The deletion is deferred, because the request's own timer may be running.
+  const auto at = std::find_if(pending_requests_.begin(), pending_requests_.end(),
+                               [&](auto& t) { return t.get() == &request; });
+  struct DeferredRequest : net::DeferredDeletable {
+    std::unique_ptr<PendingRequest> request;
   };
-  auto grave = std::make_unique<DeferredDeletions>();
-  grave->turn = std::move(*at);
-  turns_.erase(at);
-  net::deferred_delete(std::move(grave));
-  if (next_ == options_.requests.size() && turns_.empty()) finish();
+  auto deletion = std::make_unique<DeferredRequest>();
+  deletion->request = std::move(*at);
+  pending_requests_.erase(at);
+  net::deferred_delete(std::move(deletion));
+  if (next_request_ == options_.requests.size() && pending_requests_.empty()) finish();
 }
 
 }  // namespace thornwick::testbed
--- a/src/testbed/load.hpp
+++ b/src/testbed/load.hpp
@@ -1,6 +1,6 @@
-// Open-loop clients: requests go out at the times at which a scenario's day (or a recorded trace) has them,
-// whatever becomes of the earlier ones, and latency counts from the intended start, so that a stall is not
-// hidden (coordinated omission). Bounded in time, in connections and in requests.
+// Open-loop clients: each request is sent at the time that a scenario's day or a recorded trace gives,
+// whether or not earlier requests have ended. Latency counts from the intended start, so that a stall is not
+// hidden (coordinated omission). The time, the connections and the requests are bounded.
 #pragma once
 
 #include <functional>
@@ -20,9 +20,9 @@
 namespace thornwick::testbed {
 
 struct LoadOptions {
-  emulator::Scenario scenario;                     // classes, members, what clients do when they are rejected
-  std::vector<emulator::PlannedRequest> requests;  // by time
-  std::vector<std::string> routers;                // addresses; requests go to them in turn
+  emulator::Scenario scenario;                     // classes, members, and how clients react to a rejection
+  std::vector<emulator::PlannedRequest> requests;  // in order of time
+  std::vector<std::string> routers;                // addresses; each new connection goes to the next one
   std::string dialect = "platform";
   std::size_t max_connections = 800;
   std::uint64_t seed = 1;
@@ -37,41 +37,41 @@
   void start(std::function<void()> done);
   const emulator::Result& result() const { return result_; }
   struct Metrics {
-    std::uint64_t no_connection = 0;  // tries for which there was none left
-    std::uint64_t unanswered = 0;     // given up without any final answer: the router's fault
-    std::uint64_t late_starts = 0;    // tries that went out 10 ms and more after their time
+    std::uint64_t no_connection = 0;  // tries that failed because all connections were in use
+    std::uint64_t unanswered = 0;     // tries without a final answer in time, which is an error of the router
+    std::uint64_t late_starts = 0;    // requests that were sent 10 ms or more after their time
   };
   const Metrics& metrics() const { return metrics_; }
 
  private:
   struct Connection;
-  struct Turn;
-  void go_on();
+  struct PendingRequest;
+  void send_due_requests();
   void finish();
-  void try_turn(Turn& turn);
-  void arrived(Connection& line, std::string_view bytes);
-  void ended(Connection& line);
-  void answered(Connection& line);
-  void turned_away(Turn& turn, Time retry_after, bool broken);
-  void end_turn(Turn& turn, double part);
-  void drop(Connection& line);
-  std::string bytes_of(const Turn& turn, Time limit) const;
+  void send_try(PendingRequest& request);
+  void on_bytes(Connection& connection, std::string_view bytes);
+  void on_connection_ended(Connection& connection);
+  void on_answer(Connection& connection);
+  void on_try_failed(PendingRequest& request, Time retry_after, bool partially_answered);
+  void end_request(PendingRequest& request, double earned_fraction);
+  void close(Connection& connection);
+  std::string request_bytes(const PendingRequest& request, Time limit) const;
 
   LoadOptions options_;
   const fronts::Dialect* dialect_;
-  emulator::RandomStream chance_;
+  emulator::RandomStream random_;
   emulator::Result result_;
   Metrics metrics_;
   std::function<void()> done_;
-  Time began_ = 0;
+  Time started_at_ = 0;
   bool finished_ = false;
-  std::size_t next_ = 0;
+  std::size_t next_request_ = 0;
   std::uint64_t last_id_ = 0;
   std::size_t next_router_ = 0;
   double backoff_us_ = 0;
-  std::list<std::unique_ptr<Turn>> turns_;
-  std::list<std::unique_ptr<Connection>> lines_;
-  net::Timer pacer_;
+  std::list<std::unique_ptr<PendingRequest>> pending_requests_;
+  std::list<std::unique_ptr<Connection>> connections_;
+  net::Timer next_request_timer_;
 };
 
 }  // namespace thornwick::testbed
--- a/src/testbed/replication_play.cpp
+++ b/src/testbed/replication_play.cpp
@@ -13,36 +13,38 @@
 using Json = nlohmann::json;
 
 constexpr const char* kAccount = "day|*|*|*";
-constexpr double kCorrection = 50;  // tokens that each takes
-constexpr Time kFills = seconds(60), kFounds = seconds(60), kDecides = seconds(40), kUsesUp = seconds(60);
-constexpr Time kQuiet = seconds(3);  // without an answer: the budget is used up
+constexpr double kCorrectionTokens = 50;  // tokens that each correction takes from the budget
+constexpr Time kFillTimeout = seconds(60), kFoundTimeout = seconds(60), kDecisionTimeout = seconds(40),
+               kBudgetUseTimeout = seconds(60);
+constexpr Time kNoAnswerTime = seconds(3);  // without a new answer, after which the budget counts as used up
 
 class Play {
  public:
   Play(const ReplicationPlayOptions& script, FaultHarnessOptions options)
       : script_(script),
-        chance_(script.seed, emulator::Concern::faults),
-        rig_(with(script, std::move(options))) {}
+        random_(script.seed, emulator::Concern::faults),
+        harness_(harness_options(script, std::move(options))) {}
 
   ReplicationPlayResult run() {
-    if (const std::string broken = all(); !broken.empty()) played_.violation = broken;
-    played_.tokens = rig_.tokens();
-    const auto metrics = rig_.metrics();
-    played_.served = metrics.served, played_.rejected = metrics.rejected;
-    return played_;
+    if (const std::string violation = play(); !violation.empty()) result_.violation = violation;
+    result_.tokens = harness_.counted_tokens();
+    const auto metrics = harness_.metrics();
+    result_.served = metrics.served, result_.rejected = metrics.rejected;
+    return result_;
   }
 
  private:
-  struct Asked {
+  struct Correction {
     std::uint64_t id = 0;
     std::size_t router = 0;
-    bool yes = false;
+    bool confirmed = false;
   };
 
-  static FaultHarnessOptions with(const ReplicationPlayOptions& script, FaultHarnessOptions options) {
+  static FaultHarnessOptions harness_options(const ReplicationPlayOptions& script,
+                                             FaultHarnessOptions options) {
     options.routers = script.routers, options.sites = script.sites, options.seed = script.seed;
-    options.rate = 12;
-    options.more = fmt::format(
+    options.request_rate = 12;
+    options.extra_config = fmt::format(
         "[copies]\nenabled = true\nfile = \"{{disk}}/copies\"\nholders = {}\nlease_s = 1.5\nheartbeat_s = "
         "0.1\n"
         "[[budget]]\nname = \"day\"\nmember = \"all\"\nper = \"day\"\ntokens = {}\n",
@@ -50,202 +52,201 @@
     return options;
   }
 
-  std::string all() {
-    for (std::size_t i = 0; i < rig_.size(); ++i) rig_.start(i);
-    if (!rig_.run_until([this] { return unfilled().empty(); }, kFounds))
-      return "the ledger is not founded: " + unfilled();
+  std::string play() {
+    for (std::size_t i = 0; i < harness_.size(); ++i) harness_.start(i);
+    if (!harness_.run_until([this] { return unfilled_ledger().empty(); }, kFoundTimeout))
+      return "the ledger was not founded: " + unfilled_ledger();
     for (int loss = 0; loss < 2; ++loss) {
-      pass(chance_.between(0.2, 1.2));
-      if (const auto broken = lose(); !broken.empty()) return broken;
+      run_for_seconds(random_.between(0.2, 1.2));
+      if (const auto violation = lose_machines(); !violation.empty()) return violation;
     }
-    if (!use_up()) return "the budget is not used up";
-    decide();
-    if (const auto broken = judge(); !broken.empty()) return broken;
-    return rig_.recover_and_verify();
+    if (!use_up_budget()) return "the budget is not used up";
+    await_corrections();
+    if (const auto violation = first_violation(); !violation.empty()) return violation;
+    return harness_.recover_and_verify();
   }
 
-  void pass(double seconds) { rig_.run_for(static_cast<Time>(1e6 * seconds)); }
+  void run_for_seconds(double seconds) { harness_.run_for(static_cast<Time>(1e6 * seconds)); }
 
-  // ------------------------------------------------------------ losses
-
-  // As many machines as the copies bear, or a site's.
-  std::set<std::size_t> victims() {
+  // Chooses as many machines as the ledger replicas tolerate, or those of one site.
+  std::set<std::size_t> choose_machines() {
     std::set<std::size_t> chosen;
     if (script_.lose_site) {
-      const std::size_t site = chance_.below(script_.sites);
-      for (std::size_t i = site; i < rig_.size(); i += script_.sites) chosen.insert(i);
+      const std::size_t site = random_.below(script_.sites);
+      for (std::size_t i = site; i < harness_.size(); i += script_.sites) chosen.insert(i);
       return chosen;
     }
-    const std::size_t most = 1 + chance_.below(script_.replicas / 2);
-    while (chosen.size() < most) chosen.insert(chance_.below(rig_.size()));
+    const std::size_t count = 1 + random_.below(script_.replicas / 2);
+    while (chosen.size() < count) chosen.insert(random_.below(harness_.size()));
     return chosen;
   }
 
-  std::string lose() {
-    const auto lost = victims();
-    for (const std::size_t r : lost) rig_.kill(r), ++played_.kills;
-    correct();
-    const double before = rig_.tokens();
-    const Time at = net::now_us();
-    rig_.run_until([&] { return rig_.tokens() > before + 60; }, seconds(5));
-    played_.leader_after_s = std::max(played_.leader_after_s, static_cast<double>(net::now_us() - at) / 1e6);
-    if (script_.other_faults) fault(lost);
-    pass(chance_.between(0.1, 1.5));
-    correct();
-    const Time started = net::now_us();
-    if (!rig_.run_until([&] {
+  std::string lose_machines() {
+    const auto lost = choose_machines();
+    for (const std::size_t r : lost) harness_.kill(r), ++result_.kills;
+    request_correction();
+    const double tokens_before = harness_.counted_tokens();
+    const Time lost_at = net::now_us();
+    harness_.run_until([&] { return harness_.counted_tokens() > tokens_before + 60; }, seconds(5));
+    result_.leader_after_s =
+        std::max(result_.leader_after_s, static_cast<double>(net::now_us() - lost_at) / 1e6);
+    if (script_.other_faults) inject_fault(lost);
+    run_for_seconds(random_.between(0.1, 1.5));
+    request_correction();
+    const Time restarted_at = net::now_us();
+    if (!harness_.run_until([&] {
           return std::all_of(lost.begin(), lost.end(),
-                             [&](auto r) { return rig_.state(r) == FaultHarness::State::down; });
+                             [&](auto r) { return harness_.state(r) == FaultHarness::State::down; });
         }))
-      return "a killed router does not end";
-    for (const std::size_t r : lost) rig_.start(r, DiskState::empty);
-    rig_.heal();
-    for (std::size_t i = 0; i < rig_.size(); ++i) rig_.resume(i);
-    if (!rig_.run_until([this] { return unfilled().empty(); }, kFills))
-      return "a copy is not filled again: " + unfilled();
-    played_.filled_after_s =
-        std::max(played_.filled_after_s, static_cast<double>(net::now_us() - started) / 1e6);
+      return "a killed router did not end";
+    for (const std::size_t r : lost) harness_.start(r, DiskState::empty);
+    harness_.heal();
+    for (std::size_t i = 0; i < harness_.size(); ++i) harness_.resume(i);
+    if (!harness_.run_until([this] { return unfilled_ledger().empty(); }, kFillTimeout))
+      return "a ledger replica was not filled again: " + unfilled_ledger();
+    result_.filled_after_s =
+        std::max(result_.filled_after_s, static_cast<double>(net::now_us() - restarted_at) / 1e6);
     return {};
   }
 
-  // Something else that happens to one of the others meanwhile, for less than it takes to be called gone for
-  // good.
-  void fault(const std::set<std::size_t>& lost) {
-    std::size_t other = chance_.below(rig_.size());
-    while (lost.contains(other)) other = (other + 1) % rig_.size();
-    switch (chance_.below(4)) {
-      case 0: return rig_.stop(other);  // for longer than a lease
-      case 1: return rig_.isolate(other, true);
+  // Injects a fault into one of the other routers, for a shorter time than it takes to be replaced as failed
+  // for good.
+  void inject_fault(const std::set<std::size_t>& lost) {
+    std::size_t other = random_.below(harness_.size());
+    while (lost.contains(other)) other = (other + 1) % harness_.size();
+    switch (random_.below(4)) {
+      case 0: return harness_.stop(other);  // lasts longer than a lease
+      case 1: return harness_.isolate(other, true);
       case 2:
-        for (std::size_t i = 0; i < rig_.size(); ++i) {
-          if (i != other) rig_.reset(i, other);
+        for (std::size_t i = 0; i < harness_.size(); ++i) {
+          if (i != other) harness_.reset(i, other);
         }
         return;
       default: {
         LinkFaults faults;
         faults.loss_fraction = 0.2, faults.repeat_fraction = 0.2;
         faults.min_delay = 0, faults.max_delay = 60'000;
-        for (std::size_t i = 0; i < rig_.size(); ++i) {
-          if (i != other) rig_.set_faults(i, other, faults), rig_.set_faults(other, i, faults);
+        for (std::size_t i = 0; i < harness_.size(); ++i) {
+          if (i != other) harness_.set_faults(i, other, faults), harness_.set_faults(other, i, faults);
         }
       }
     }
   }
 
-  // ------------------------------------------------------------ operators
-
-  void correct() {
+  void request_correction() {
     std::vector<std::size_t> running;
-    for (std::size_t i = 0; i < rig_.size(); ++i) {
-      if (rig_.runs(i)) running.push_back(i);
+    for (std::size_t i = 0; i < harness_.size(); ++i) {
+      if (harness_.is_serving(i)) running.push_back(i);
     }
     if (running.empty()) return;
-    Asked asked{chance_.bits() | 1, running[chance_.below(running.size())], false};
-    if (!rig_.call(asked.router, fmt::format("GRANT {} {} {}", asked.id, -kCorrection, kAccount))
+    Correction correction{random_.bits() | 1, running[random_.below(running.size())], false};
+    if (!harness_
+             .call(correction.router,
+                   fmt::format("GRANT {} {} {}", correction.id, -kCorrectionTokens, kAccount))
              .starts_with("+OK"))
       return;
-    asked_.push_back(asked);
+    corrections_.push_back(correction);
   }
-  // Until each correction has its word, or its router died with it.
-  void decide() {
-    rig_.run_until(
+  // Waits until each correction is decided, or its router has ended before.
+  void await_corrections() {
+    harness_.run_until(
         [this] {
           bool open = false;
-          for (auto& a : asked_) {
-            const std::string said = rig_.call(a.router, fmt::format("CORRECTION {}", a.id));
-            a.yes = a.yes || said.starts_with("+OK yes");
-            open = open || said.starts_with("+OK pending");
+          for (auto& a : corrections_) {
+            const std::string reply = harness_.call(a.router, fmt::format("CORRECTION {}", a.id));
+            a.confirmed = a.confirmed || reply.starts_with("+OK yes");
+            open = open || reply.starts_with("+OK pending");
           }
           return !open;
         },
-        kDecides);
-    played_.corrections = asked_.size();
-    played_.confirmed = static_cast<std::size_t>(
-        std::count_if(asked_.begin(), asked_.end(), [](const auto& a) { return a.yes; }));
+        kDecisionTimeout);
+    result_.corrections = corrections_.size();
+    result_.confirmed = static_cast<std::size_t>(
+        std::count_if(corrections_.begin(), corrections_.end(), [](const auto& a) { return a.confirmed; }));
   }
 
-  // ------------------------------------------------------------ looking
-
-  Json copies(std::size_t router) const { return rig_.ask(router, "COPIES JSON"); }
-  // Why not all copies are whole and vote; empty: they do.
-  std::string unfilled() const {
+  Json ledger_status(std::size_t router) const { return harness_.call_json(router, "COPIES JSON"); }
+  // Returns why not all ledger replicas are filled and voting. Empty if they are.
+  std::string unfilled_ledger() const {
     Json leader;
-    std::map<std::string, std::uint64_t> there;
-    for (std::size_t i = 0; i < rig_.size(); ++i) {
-      const Json own = copies(i);
-      if (!own.is_object()) return rig_.name(i) + " does not tell its copies";
-      for (const auto& l : own.at("ledgers")) {
-        there[rig_.name(i)] = l.at("copy").get<std::uint64_t>();
-        if (l.at("stage") != "member") return rig_.name(i) + " is " + l.at("stage").get<std::string>();
+    std::map<std::string, std::uint64_t> copy_numbers;
+    for (std::size_t i = 0; i < harness_.size(); ++i) {
+      const Json status = ledger_status(i);
+      if (!status.is_object()) return harness_.name(i) + " does not answer the COPIES command";
+      for (const auto& l : status.at("ledgers")) {
+        copy_numbers[harness_.name(i)] = l.at("copy").get<std::uint64_t>();
+        if (l.at("stage") != "member") return harness_.name(i) + " is " + l.at("stage").get<std::string>();
         if (l.at("leads").get<bool>()) leader = l;
       }
     }
-    if (!leader.is_object()) return "nobody leads";
+    if (!leader.is_object()) return "no router leads the ledger";
     if (leader.at("members").size() != script_.replicas)
-      return fmt::format("{} members", leader.at("members").size());
+      return fmt::format("the ledger has {} members", leader.at("members").size());
     for (const auto& m : leader.at("members")) {
       if (!m.at("votes").get<bool>() ||
-          there[m.at("router").get<std::string>()] != m.at("copy").get<std::uint64_t>())
+          copy_numbers[m.at("router").get<std::string>()] != m.at("copy").get<std::uint64_t>())
         return m.at("router").get<std::string>() + " does not vote";
     }
     return {};
   }
 
-  bool use_up() {
-    double seen = -1;
-    Time since = net::now_us();
-    return rig_.run_until(
+  bool use_up_budget() {
+    double last_tokens = -1;
+    Time changed_at = net::now_us();
+    return harness_.run_until(
         [&] {
-          if (rig_.tokens() != seen) seen = rig_.tokens(), since = net::now_us();
-          return net::now_us() - since > kQuiet;
+          if (harness_.counted_tokens() != last_tokens)
+            last_tokens = harness_.counted_tokens(), changed_at = net::now_us();
+          return net::now_us() - changed_at > kNoAnswerTime;
         },
-        kUsesUp);
+        kBudgetUseTimeout);
   }
 
-  std::string judge() {
-    Json books;
-    for (std::size_t i = 0; i < rig_.size(); ++i) {
-      const Json own = copies(i);
-      if (!own.is_object()) continue;
-      for (const auto& l : own.at("ledgers")) {
-        if (l.at("leads").get<bool>()) books = own.at("books");
+  std::string first_violation() {
+    Json accounts;
+    for (std::size_t i = 0; i < harness_.size(); ++i) {
+      const Json status = ledger_status(i);
+      if (!status.is_object()) continue;
+      for (const auto& l : status.at("ledgers")) {
+        if (l.at("leads").get<bool>()) accounts = status.at("books");
       }
     }
-    if (!books.is_array() || books.empty()) return "nobody has the books";
-    double limit = 0, charged = 0, in_hand = 0, corrected = 0;
+    if (!accounts.is_array() || accounts.empty()) return "no leader reports the accounts";
+    double limit = 0, charged = 0, leased = 0, corrected = 0;
     std::size_t windows = 0;
-    for (const auto& b : books) {
+    for (const auto& b : accounts) {
       if (b.at("charged").get<double>() + b.at("corrected").get<double>() == 0)
-        continue;  // a window that has not begun, or has just
+        continue;  // a window that has not begun or has only just begun
       ++windows;
       limit += b.at("limit").get<double>(), charged += b.at("charged").get<double>(),
-          in_hand += b.at("in_hand").get<double>();
+          leased += b.at("in_hand").get<double>();
       corrected += b.at("corrected").get<double>();
     }
-    const double used = rig_.tokens();
-    played_.limit = limit + corrected;
+    const double used = harness_.counted_tokens();
+    result_.limit = limit + corrected;
     if (used > limit + corrected + 1e-6)
-      return fmt::format("the boxes tallied {}, the limit with its corrections is {}", used,
+      return fmt::format("the replicas counted {} tokens, the limit with its corrections is {}", used,
                          limit + corrected);
-    if (charged + in_hand + 1e-6 < used)
-      return fmt::format("the boxes tallied {}, the books have {} and {} open", used, charged, in_hand);
-    const auto times = static_cast<std::size_t>(-corrected / kCorrection + 0.5);
-    if (times < played_.confirmed || times > played_.corrections) {
-      return fmt::format("{} corrections asked for, {} answered with yes, {} hold", played_.corrections,
-                         played_.confirmed, times);
+    if (charged + leased + 1e-6 < used)
+      return fmt::format("the replicas counted {} tokens, the ledger has {} charged and {} leased", used,
+                         charged, leased);
+    const auto applied = static_cast<std::size_t>(-corrected / kCorrectionTokens + 0.5);
+    if (applied < result_.confirmed || applied > result_.corrections) {
+      return fmt::format("{} corrections requested, {} confirmed, {} applied", result_.corrections,
+                         result_.confirmed, applied);
     }
-    // Left unused: what was in hand of those that were lost, a block and open requests each, and of those
-    // that run.
+    // Unused tokens are those leased by the lost routers, a block and the open requests of each, and by the
+    // running ones.
     if (windows == 1 && used < 0.75 * (limit + corrected))
-      return fmt::format("only {} of {} could be used", used, limit + corrected);
+      return fmt::format("only {} of {} tokens were used", used, limit + corrected);
     return {};
   }
 
   ReplicationPlayOptions script_;
-  emulator::RandomStream chance_;
-  std::vector<Asked> asked_;
-  ReplicationPlayResult played_;
-  FaultHarness rig_;
+  emulator::RandomStream random_;
+  std::vector<Correction> corrections_;
+  ReplicationPlayResult result_;
+  FaultHarness harness_;
 };
 
 }  // namespace
--- a/src/testbed/request_audit.cpp
+++ b/src/testbed/request_audit.cpp
@@ -9,11 +9,12 @@
 namespace thornwick::testbed {
 namespace {
 
-constexpr Time kSlack = milliseconds(500);
-constexpr Time kListens = milliseconds(100);  // after an answer: nothing may come behind it
+constexpr Time kAnswerMargin = milliseconds(500);
+constexpr Time kSecondAnswerWait =
+    milliseconds(100);  // time after an answer in which no second answer may arrive
 
-std::string request_bytes(const std::string& id, Time limit, const std::string& cls,
-                          const std::string& member) {
+std::string request_bytes(const std::string& id, Time time_limit, const std::string& priority_class,
+                          const std::string& tenant) {
   fronts::ChatRequest chat;
   chat.model = "model";
   chat.stream = true;
@@ -24,9 +25,9 @@
                           {{"Host", "thornwick"},
                            {"Content-Type", "application/json"},
                            {"X-Request-ID", id},
-                           {"X-Priority-Class", cls},
-                           {"X-Tenant-Id", member},
-                           {"X-Timeout-Ms", std::to_string(limit / 1000)},
+                           {"X-Priority-Class", priority_class},
+                           {"X-Tenant-Id", tenant},
+                           {"X-Timeout-Ms", std::to_string(time_limit / 1000)},
                            {"X-Attrs", "prompt_len=40,max_out=20"},
                            {"X-Lab-Made", "5"},
                            {"Content-Length", std::to_string(body.size())}}) +
@@ -41,17 +42,17 @@
   return names[static_cast<int>(outcome)];
 }
 
-// One connection for one request.
+// The connection of one request.
 struct RequestAudit::Connection : net::DeferredDeletable {
   std::unique_ptr<net::Stream> stream;
   http::MessageReader reader{http::MessageReader::Kind::answer};
-  Entry* entry = nullptr;
-  net::Timer patience;
+  AuditedRequest* request = nullptr;
+  net::Timer timeout;
   bool connected = false;
 
   void arrived(RequestAudit& owner, std::string_view bytes) {
-    if (entry->outcome != Outcome::open) {
-      entry->outcome = Outcome::twice;
+    if (request->outcome != Outcome::open) {
+      request->outcome = Outcome::answered_twice;
       return;
     }
     try {
@@ -68,57 +69,63 @@
 };
 
 RequestAudit::RequestAudit(Options options, std::size_t routers)
-    : options_(std::move(options)), addresses_(routers), pacers_(routers) {}
+    : options_(std::move(options)), addresses_(routers), send_timers_(routers) {}
 RequestAudit::~RequestAudit() = default;
 
 void RequestAudit::send_to(std::size_t router, const std::string& address) {
   addresses_[router] = address;
-  if (address.empty()) return pacers_[router].stop();
+  if (address.empty()) return send_timers_[router].stop();
   const auto first = static_cast<Time>(1e6 / options_.rate * static_cast<double>(router) /
                                        static_cast<double>(addresses_.size()));
-  pacers_[router].start(first, [this, router] { ask(router); });
+  send_timers_[router].start(first, [this, router] { send(router); });
 }
 
 void RequestAudit::finish() {
   for (std::size_t i = 0; i < addresses_.size(); ++i) send_to(i, "");
 }
 
-void RequestAudit::ask(std::size_t router) {
-  pacers_[router].start(static_cast<Time>(1e6 / options_.rate), [this, router] { ask(router); });
-  Entry& entry = *entries_.emplace_back(std::make_unique<Entry>());
-  entry.router = router;
-  entry.id = fmt::format("q{}-{}", router, ++last_);
-  entry.asked = net::now_us();
-  ++open_;
-  Connection& line = *lines_.emplace_back(std::make_unique<Connection>());
-  line.entry = &entry;
-  line.stream = std::make_unique<net::Stream>(net::Stream::Callbacks{
-      .connected = [&line] { line.connected = true; },
-      .arrived = [this, &line](std::string_view bytes) { line.arrived(*this, bytes); },
+void RequestAudit::send(std::size_t router) {
+  send_timers_[router].start(static_cast<Time>(1e6 / options_.rate), [this, router] { send(router); });
+  AuditedRequest& request = *requests_.emplace_back(std::make_unique<AuditedRequest>());
+  request.router = router;
+  request.id = fmt::format("q{}-{}", router, ++last_number_);
+  request.sent_at = net::now_us();
+  ++open_requests_;
+  Connection& connection = *connections_.emplace_back(std::make_unique<Connection>());
+  connection.request = &request;
+  connection.stream = std::make_unique<net::Stream>(net::Stream::Callbacks{
+      .connected = [&connection] { connection.connected = true; },
+      .arrived = [this, &connection](std::string_view bytes) { connection.arrived(*this, bytes); },
       .drained = {},
-      .ended = [this, &line] { end(line, line.connected ? Outcome::broken : Outcome::not_connected); }});
-  line.patience.start(options_.limit + kSlack, [this, &line] { end(line, Outcome::silent); });
+      .ended =
+          [this, &connection] {
+            end(connection, connection.connected ? Outcome::broken : Outcome::not_connected);
+          }});
+  connection.timeout.start(options_.time_limit + kAnswerMargin,
+                           [this, &connection] { end(connection, Outcome::silent); });
   const auto address = net::parse_address(addresses_[router]);
-  if (!line.stream->connect(address.get())) return end(line, Outcome::not_connected);
-  line.stream->write(request_bytes(entry.id, options_.limit, options_.cls, options_.member));
+  if (!connection.stream->connect(address.get())) return end(connection, Outcome::not_connected);
+  connection.stream->write(
+      request_bytes(request.id, options_.time_limit, options_.priority_class, options_.tenant));
 }
 
-void RequestAudit::end(Connection& line, Outcome outcome) {
-  if (line.entry->outcome == Outcome::open) {
-    line.entry->outcome = outcome;
-    line.entry->ended = net::now_us();
-    --open_;
+void RequestAudit::end(Connection& connection, Outcome outcome) {
+  if (connection.request->outcome == Outcome::open) {
+    connection.request->outcome = outcome;
+    connection.request->ended_at = net::now_us();
+    --open_requests_;
     if (outcome == Outcome::served || outcome == Outcome::rejected) {
-      return line.patience.start(kListens, [this, &line] { end(line, Outcome::open); });
+      return connection.timeout.start(kSecondAnswerWait,
+                                      [this, &connection] { end(connection, Outcome::open); });
     }
   }
-  line.patience.stop();
-  line.stream->close();
-  const auto at =
-      std::find_if(lines_.begin(), lines_.end(), [&](const auto& one) { return one.get() == &line; });
-  if (at == lines_.end()) return;
+  connection.timeout.stop();
+  connection.stream->close();
+  const auto at = std::find_if(connections_.begin(), connections_.end(),
+                               [&](const auto& one) { return one.get() == &connection; });
+  if (at == connections_.end()) return;
   net::deferred_delete(std::move(*at));
-  lines_.erase(at);
+  connections_.erase(at);
 }
 
 }  // namespace thornwick::testbed
--- a/src/testbed/server.hpp
+++ b/src/testbed/server.hpp
@@ -1,5 +1,5 @@
-// A small HTTP/1.1 server for stand-ins: whole requests in, bytes out. One loop, no limits of its own beyond
-// the reader's; not for service.
+// A small HTTP/1.1 server for stand-in replicas and discovery, not for production. It passes on complete
+// requests, runs in one loop and has no limits but those of the message reader.
 #pragma once
 
 #include <functional>
@@ -14,32 +14,32 @@
 
 class Server {
  public:
-  // A connection that a client keeps. It lives until the client has gone and sweep() was called.
+  // A connection of a client. It is deleted by remove_closed() after the client has disconnected.
   struct Connection {
     std::unique_ptr<net::Stream> stream;
     http::MessageReader reader{http::MessageReader::Kind::request};
     std::string body;
-    std::uint64_t number = 0;  // never used again
+    std::uint64_t number = 0;  // unique; never reused
     bool open() const { return stream->open(); }
     void write(std::string bytes) {
       if (open()) stream->write(std::move(bytes));
     }
   };
-  // Throws net::NetError if it cannot listen. `asked` gets each whole request.
-  Server(const std::string& address, std::function<void(Connection&)> asked);
+  // Throws net::NetError if it cannot listen. `on_request` is called with each complete request.
+  Server(const std::string& address, std::function<void(Connection&)> on_request);
 
   std::string address() const { return listener_->address(); }
   Connection* find(std::uint64_t number);
-  std::list<std::unique_ptr<Connection>>& lines() { return lines_; }
+  std::list<std::unique_ptr<Connection>>& connections() { return connections_; }
 
  private:
   void accept(net::Owned<GSocket> socket);
-  void arrived(Connection& line, std::string_view bytes);
-  void sweep();
+  void arrived(Connection& connection, std::string_view bytes);
+  void remove_closed();
 
-  std::function<void(Connection&)> asked_;
-  std::list<std::unique_ptr<Connection>> lines_;
-  std::uint64_t last_ = 0;
+  std::function<void(Connection&)> on_request_;
+  std::list<std::unique_ptr<Connection>> connections_;
+  std::uint64_t last_number_ = 0;
   std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/testbed/slow_disk.cpp
+++ b/src/testbed/slow_disk.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process of the rig (LD_PRELOAD): a disk on which each write that has to be durable takes its
-// time.
+// Loaded into a process of the fault-injection harness (LD_PRELOAD). Delays each durable write by
+// THORNWICK_SLOW_DISK_MS milliseconds.
 #include <dlfcn.h>
 #include <sys/types.h>
 #include <time.h>
