--- a/tests/faults/clock_steps.cpp
+++ b/tests/faults/clock_steps.cpp
@@ -1,4 +1,5 @@
-// The system's clock is stepped while requests wait: they wait for spans of real time.
+// The system's clock is stepped while requests wait. Their timeouts count elapsed time, so a step must not
+// affect them.
 #include <catch2/catch.hpp>
 
 #include "fault_control.hpp"
@@ -10,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t kHour = seconds(3'600);
-// The router takes this off a request's time, for the way that it had before it was read
+// The router subtracts this from a request's timeout, for the transit before the request was read
 // (fronts/dialect.cpp).
 constexpr Time kTransitAllowance = milliseconds(1);
 
@@ -21,13 +22,13 @@
   CAPTURE(step);
   FaultySite site(1, "", FaultySite::Replicas::silent);
   const Time begun = net::now_us();
-  site.begin(5);
+  site.start_requests(5);
   testing::run_until([] { return false; }, milliseconds(500));
   site.faults.step_wall_clock(step);
-  testing::run_until([&] { return site.answered() > 0; }, testing::kMostWait);
-  // A request ends at its time, not before; the replicas never answer.
+  testing::run_until([&] { return site.answered() > 0; }, testing::kMaxWait);
+  // A request ends at its timeout and not before, since the replicas never answer.
   CHECK(net::now_us() - begun >= testing::kRequestTime - kTransitAllowance);
-  testing::run_until([&] { return site.answered() == 5; }, testing::kMostWait);
+  testing::run_until([&] { return site.answered() == 5; }, testing::kMaxWait);
   CHECK(site.answered() == 5);
   CHECK(site.served() == 0);
 }
@@ -36,9 +37,9 @@
   const auto step = GENERATE(values<std::int64_t>({kHour, -kHour}));
   CAPTURE(step);
   FaultySite site(1);
-  site.load(10, 2);
+  site.run_requests(10, 2);
   site.faults.step_wall_clock(step);
-  site.load(20, 2);
+  site.run_requests(20, 2);
   CHECK(site.served() == 60);
-  CHECK(site.end(SIGTERM) == 0);
+  CHECK(site.stop(SIGTERM) == 0);
 }
--- a/tests/faults/discovery_calls.cpp
+++ b/tests/faults/discovery_calls.cpp
@@ -1,5 +1,5 @@
-// A router that cannot open connections for a while, for want of addresses or a route: a call that discovery
-// has already must not be given up for new ones that fail at once.
+// A router cannot open connections for a while, because it has no free addresses or no route. It must not
+// cancel a call that discovery has already received in favour of new calls that fail at once.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <fstream>
--- a/tests/faults/fault_control.cpp
+++ b/tests/faults/fault_control.cpp
@@ -30,7 +30,7 @@
   FaultRule& rule = table_->rules[rules_++];
   rule.side = fault.side;
   rule.error = fault.error;
-  rule.per_million = static_cast<std::uint32_t>(fault.part * kAlways);
+  rule.per_million = static_cast<std::uint32_t>(fault.fraction * kAlways);
   rule.call = fault.call;
 }
 
--- a/tests/faults/fault_control.hpp
+++ b/tests/faults/fault_control.hpp
@@ -1,4 +1,4 @@
-// The test's side of the fault shim.
+// Controls the fault shim from a test.
 #pragma once
 
 #include <string>
@@ -11,12 +11,12 @@
 
 struct Fault {
   SystemCall call = SystemCall::none;
-  int error = 0;    // an errno, or kShortCount
-  double part = 1;  // of the calls that it fits
+  int error = 0;        // an errno, or kShortCount
+  double fraction = 1;  // fraction of the matching calls that fail
   SocketSide side = SocketSide::any;
 };
 
-// One table, for one process at a time. No fault is on at first.
+// Owns one fault table, for one process at a time. No fault is active at first.
 class FaultControl {
  public:
   explicit FaultControl(std::uint64_t seed);
@@ -24,21 +24,21 @@
   FaultControl& operator=(const FaultControl&) = delete;
   ~FaultControl();
 
-  // What a process needs to be under this control.
+  // Returns the environment of a process that this object controls.
   Program::Environment environment() const;
-  // From now on, beside those that are on already: kMaxFaultRules at the most.
+  // Activates a fault in addition to those that are active, at most kMaxFaultRules in total.
   void add(const Fault& fault);
-  // All off. What was injected stays counted.
+  // Ends all faults. The count of injected faults stays.
   void clear();
   void step_wall_clock(std::int64_t microseconds) { table_->wall_clock_step_us = microseconds; }
-  // How many calls were changed since the beginning.
+  // Returns the number of calls that were changed since the beginning.
   std::uint64_t injected() const;
 
  private:
   Scratch scratch_;
   std::string path_;
   FaultTable* table_ = nullptr;
-  std::uint64_t injected_before_ = 0;  // by rules that are off by now
+  std::uint64_t injected_before_ = 0;  // by rules that have been cleared
   std::size_t rules_ = 0;
 };
 
--- a/tests/faults/fault_shim.cpp
+++ b/tests/faults/fault_shim.cpp
@@ -1,5 +1,5 @@
-// Loaded into a process under test (LD_PRELOAD): makes its system calls fail as the fault table says. Each
-// wrapper has the signature of the C library's function and calls it, unless a rule hits.
+// Loaded into a process under test (LD_PRELOAD). Makes its system calls fail as the fault table demands. Each
+// wrapper has the signature of the C library's function and calls that function, unless a rule applies.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -29,12 +29,12 @@
 using thornwick::testing::SocketSide;
 using thornwick::testing::SystemCall;
 
-constexpr int kMostDescriptors = 4096;
+constexpr int kMaxDescriptors = 4096;
 constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
 constexpr std::int64_t kNanosecondsPerMicrosecond = 1'000;
 
-// What each descriptor is, as far as this process made it with the calls below.
-std::atomic<SocketSide> sides[kMostDescriptors];
+// The kind of each descriptor that this process opened with the functions below.
+std::atomic<SocketSide> sides[kMaxDescriptors];
 
 template <typename Function>
 Function real(const char* name) {
@@ -64,20 +64,20 @@
   return value ^ (value >> 31);
 }
 
-SocketSide side_of(int fd) { return fd >= 0 && fd < kMostDescriptors ? sides[fd].load() : SocketSide::any; }
+SocketSide side_of(int fd) { return fd >= 0 && fd < kMaxDescriptors ? sides[fd].load() : SocketSide::any; }
 
 void set_side(int fd, SocketSide side) {
-  if (fd >= 0 && fd < kMostDescriptors) sides[fd] = side;
+  if (fd >= 0 && fd < kMaxDescriptors) sides[fd] = side;
 }
 
-// The error of the first rule that hits this call, if one does.
+// Returns the error of the first rule that applies to this call, if there is one.
 std::optional<int> fault_of(SystemCall call, SocketSide side = SocketSide::any) {
   FaultTable* faults = table();
   if (faults == nullptr) return std::nullopt;
   for (FaultRule& rule : faults->rules) {
     if (rule.call.load() != call) continue;
-    const SocketSide wanted = rule.side.load();
-    if (wanted != SocketSide::any && wanted != side) continue;
+    const SocketSide rule_side = rule.side.load();
+    if (rule_side != SocketSide::any && rule_side != side) continue;
     if (draw(*faults) % kAlways >= rule.per_million.load()) continue;
     ++rule.injected;
     return rule.error.load();
@@ -85,7 +85,7 @@
   return std::nullopt;
 }
 
-// Whether the call fails now; errno is set then.
+// Returns whether the call has to fail, and sets errno if so.
 bool fails(SystemCall call, SocketSide side = SocketSide::any) {
   const auto error = fault_of(call, side);
   if (!error || *error == kShortCount) return false;
@@ -95,7 +95,7 @@
 
 struct Transfer {
   bool failed = false;
-  std::size_t size = 0;  // how many bytes may be asked for
+  std::size_t size = 0;  // number of bytes to pass to the C library's function
 };
 
 Transfer plan_transfer(SystemCall call, SocketSide side, std::size_t size) {
@@ -133,8 +133,6 @@
 
 extern "C" {
 
-// ---------------------------------------------------------------- sockets
-
 int accept(int fd, sockaddr* address, socklen_t* size) {
   if (fails(SystemCall::accept)) return -1;
   return accepted(real<int (*)(int, sockaddr*, socklen_t*)>("accept")(fd, address, size));
@@ -183,8 +181,6 @@
   return real<int (*)(int)>("close")(fd);
 }
 
-// ---------------------------------------------------------------- files
-
 int open(const char* path, int flags, ...) {
   va_list more;
   va_start(more, flags);
@@ -240,8 +236,6 @@
   return fails(SystemCall::rename) ? -1 : real<int (*)(const char*, const char*)>("rename")(from, to);
 }
 
-// ---------------------------------------------------------------- the system's clock
-
 int clock_gettime(clockid_t clock, timespec* time) {
   const int result = real<int (*)(clockid_t, timespec*)>("clock_gettime")(clock, time);
   const std::int64_t step = clock == CLOCK_REALTIME ? wall_clock_step() : 0;
--- a/tests/faults/faulty_site.cpp
+++ b/tests/faults/faulty_site.cpp
@@ -9,19 +9,17 @@
 namespace thornwick::testing {
 namespace {
 
-constexpr Time kBetweenConnections = milliseconds(4);
-// So short that many attempts need a new connection.
-constexpr long kKeepalive = 4'000;
-constexpr Time kPatientClient = seconds(5);
+constexpr Time kConnectionInterval = milliseconds(4);
+// Short enough that many attempts need a new connection.
+constexpr long kKeepaliveUs = 4'000;
+constexpr Time kLoadRequestTimeout = seconds(5);
 constexpr int kStatusOk = 200;
 
 }  // namespace
 
-// ---------------------------------------------------------------- clients
-
 FaultyClient::FaultyClient(const std::string& address, std::size_t requests, Time timeout,
                            std::size_t& next_request)
-    : requests_left_(requests), timeout_(timeout), next_request_(next_request) {
+    : remaining_requests_(requests), timeout_(timeout), next_request_(next_request) {
   stream_ = std::make_unique<net::Stream>(
       net::Stream::Callbacks{.connected = [this] { send(); },
                              .arrived = [this](std::string_view bytes) { on_bytes(bytes); },
@@ -50,21 +48,19 @@
 void FaultyClient::on_answer() {
   ++answered_;
   if (reader_.head().status == kStatusOk) ++served_;
-  if (--requests_left_ > 0 && reader_.head().keeps_alive()) return send();
-  requests_left_ = 0;
+  if (--remaining_requests_ > 0 && reader_.head().keeps_alive()) return send();
+  remaining_requests_ = 0;
   stream_->close();
 }
 
-// ---------------------------------------------------------------- the site
-
 FaultySite::FaultySite(std::uint64_t seed, const std::string& operator_file, Replicas replicas)
     : faults(seed),
-      replicas_are_silent_(replicas == Replicas::silent),
+      replicas_silent_(replicas == Replicas::silent),
       discovery_(0),
       config_(scratch_.path("config.json")) {
   discovery_.publish(1, entries());
   std::ofstream(config_) << write_router_config(
-      {.discovery = discovery_.address(), .known = entries(), .keepalive_us = kKeepalive});
+      {.discovery = discovery_.address(), .known = entries(), .keepalive_us = kKeepaliveUs});
   if (!operator_file.empty()) {
     operator_file_ = scratch_.path("operator.toml");
     std::ofstream(operator_file_) << operator_file;
@@ -73,7 +69,7 @@
 }
 
 std::string FaultySite::entries() const {
-  if (replicas_are_silent_) return write_entry("s-01", silent_replica_.address(), "SERVING");
+  if (replicas_silent_) return write_entry("s-01", silent_replica_.address(), "SERVING");
   std::string list;
   for (const CountingReplica& replica : replicas_) {
     const std::string uid = "s-0" + std::to_string(&replica - replicas_.data() + 1);
@@ -88,7 +84,7 @@
   address_ = router_->serving_address();
 }
 
-int FaultySite::end(int signal) {
+int FaultySite::stop(int signal) {
   router_->signal(signal);
   return router_->wait_for_exit();
 }
@@ -99,21 +95,21 @@
       std::distance(std::filesystem::directory_iterator(folder), std::filesystem::directory_iterator()));
 }
 
-void FaultySite::load(std::size_t connections, std::size_t requests_on_each) {
+void FaultySite::run_requests(std::size_t connections, std::size_t requests_on_each) {
   const auto first = static_cast<std::ptrdiff_t>(clients_.size());
   for (std::size_t i = 0; i < connections; ++i) {
     clients_.push_back(
-        std::make_unique<FaultyClient>(address_, requests_on_each, kPatientClient, next_request_));
-    run_until([] { return false; }, kBetweenConnections);
+        std::make_unique<FaultyClient>(address_, requests_on_each, kLoadRequestTimeout, next_request_));
+    run_until([] { return false; }, kConnectionInterval);
   }
   const auto all_done = [&] {
     return std::all_of(clients_.begin() + first, clients_.end(),
                        [](const auto& client) { return client->done(); });
   };
-  run_until(all_done, kMostWait);
+  run_until(all_done, kMaxWait);
 }
 
-void FaultySite::begin(std::size_t requests) {
+void FaultySite::start_requests(std::size_t requests) {
   for (std::size_t i = 0; i < requests; ++i)
     clients_.push_back(std::make_unique<FaultyClient>(address_, 1, kRequestTime, next_request_));
 }
--- a/tests/faults/faulty_site.hpp
+++ b/tests/faults/faulty_site.hpp
@@ -1,4 +1,4 @@
-// A router that runs as a process under the fault shim, with its discovery, three replicas and its clients.
+// A router process under the fault shim, with its discovery, three replicas and its clients.
 #pragma once
 
 #include <array>
@@ -12,21 +12,21 @@
 
 namespace thornwick::testing {
 
-// Above a request's own time and the half second in which a late answer is none that is lost.
-constexpr Time kMostWait = seconds(6);
-// Of the requests of FaultySite::begin().
+// Longer than a request's timeout plus the half second within which an answer is late but not lost.
+constexpr Time kMaxWait = seconds(6);
+// Timeout of the requests of FaultySite::start_requests().
 constexpr Time kRequestTime = milliseconds(1'500);
 
-// A client with one connection, on which it sends one request after the other.
+// A client that sends its requests one after another on one connection.
 class FaultyClient {
  public:
-  // `next_request` numbers the requests of all clients; `timeout` is each request's own.
+  // `next_request` numbers the requests of all clients. `timeout` applies to each request.
   FaultyClient(const std::string& address, std::size_t requests, Time timeout, std::size_t& next_request);
 
-  // All its requests are answered, or its connection has ended.
-  bool done() const { return requests_left_ == 0 || ended_; }
+  // Returns whether all requests are answered or the connection has ended.
+  bool done() const { return remaining_requests_ == 0 || ended_; }
   std::size_t sent() const { return sent_; }
-  std::size_t answered() const { return answered_; }  // with whatever status
+  std::size_t answered() const { return answered_; }  // with any status
   std::size_t served() const { return served_; }
 
  private:
@@ -36,7 +36,7 @@
 
   std::unique_ptr<net::Stream> stream_;
   http::MessageReader reader_{http::MessageReader::Kind::answer};
-  std::size_t requests_left_;
+  std::size_t remaining_requests_;
   Time timeout_;
   std::size_t& next_request_;
   std::size_t sent_ = 0, answered_ = 0, served_ = 0;
@@ -47,22 +47,22 @@
  public:
   enum class Replicas { answering, silent };
 
-  // `operator_file`: the text of one; empty: there is none.
+  // `operator_file` is the text of the operator's file; empty: the router has none.
   explicit FaultySite(std::uint64_t seed, const std::string& operator_file = {},
                       Replicas replicas = Replicas::answering);
 
-  // Begins a process, as the constructor does.
+  // Starts a router process, as the constructor does.
   void start();
-  // Ends it with this signal. Returns how it ended.
-  int end(int signal);
+  // Sends the router this signal and returns its exit status.
+  int stop(int signal);
   Program& router() { return *router_; }
-  // That the router holds.
+  // Returns the number of descriptors that the router has open.
   std::size_t descriptors() const;
 
-  // Connections that come one after the other, with this many requests on each; waits for their answers.
-  void load(std::size_t connections, std::size_t requests_on_each);
-  // As many requests, each on a connection of its own and with kRequestTime; does not wait.
-  void begin(std::size_t requests);
+  // Opens connections one after another, sends this many requests on each and waits for their answers.
+  void run_requests(std::size_t connections, std::size_t requests_on_each);
+  // Sends requests with kRequestTime, each on its own connection, and does not wait for the answers.
+  void start_requests(std::size_t requests);
   std::size_t sent() const { return sum(&FaultyClient::sent); }
   std::size_t answered() const { return sum(&FaultyClient::answered); }
   std::size_t served() const { return sum(&FaultyClient::served); }
@@ -76,7 +76,7 @@
   Scratch scratch_;
   std::array<CountingReplica, 3> replicas_;
   testbed::Server silent_replica_{"127.0.0.1:0", [](testbed::Server::Connection&) {}};
-  bool replicas_are_silent_;
+  bool replicas_silent_;
   SlowDiscovery discovery_;
   std::string config_, operator_file_, address_;
   std::unique_ptr<Program> router_;
--- a/tests/faults/system_calls.cpp
+++ b/tests/faults/system_calls.cpp
@@ -1,5 +1,5 @@
-// Every system call of a router under load fails in the ways that Linux documents: each request that a client
-// could send gets its answer, and what the faults left behind is gone after them.
+// System calls of a router under load fail with the errors that Linux documents. Each request that a client
+// could send must get its answer, and no descriptor or failure may remain when the faults end.
 #include <catch2/catch.hpp>
 #include <cerrno>
 #include <csignal>
@@ -19,17 +19,17 @@
 
 namespace {
 
-// After which no connection to a replica is left.
-constexpr Time kConnectionsAreOver = milliseconds(500);
+// After this time all connections to replicas are closed.
+constexpr Time kConnectionCloseTime = milliseconds(500);
 
 struct Case {
   SystemCall call;
   std::vector<int> errors;
-  double part;
+  double fraction;
   SocketSide side = SocketSide::any;
 };
 
-// Faults after which a client's own connection is whole, so that each of its requests has to be answered.
+// Faults that leave the client's own connection intact, so that each of its requests must be answered.
 const std::vector<Case>& cases() {
   static const std::vector<Case> all = {
       {SystemCall::accept, {ECONNABORTED, EINTR, ENFILE, EMFILE, ENOBUFS, ENOMEM, EPROTO}, 0.3},
@@ -44,44 +44,46 @@
   return all;
 }
 
-// Of the scripts with all faults together: more by hand, with THORNWICK_FAULT_SEEDS.
-constexpr int kScripts = 3;
+// Number of scripts with all faults together. THORNWICK_FAULT_SEEDS sets another number for manual runs.
+constexpr int kDefaultScripts = 3;
 
-int scripts() {
+int script_count() {
   const char* text = std::getenv("THORNWICK_FAULT_SEEDS");
-  return text == nullptr ? kScripts : std::atoi(text);
+  return text == nullptr ? kDefaultScripts : std::atoi(text);
 }
 
 }  // namespace
 
-TEST_CASE("each request gets its answer while a system call fails, and nothing is left over") {
+TEST_CASE(
+    "each request gets its answer while a system call fails, and the router then serves as before without "
+    "leaks") {
   std::size_t index = GENERATE(range(std::size_t{0}, std::size_t{8}));
-  const Case& tried = cases()[index];
+  const Case& test_case = cases()[index];
   FaultySite site(index + 1);
-  site.load(10, 2);
+  site.run_requests(10, 2);
   REQUIRE(site.served() == 20);
   const std::size_t descriptors = site.descriptors();
-  for (const int error : tried.errors) {
+  for (const int error : test_case.errors) {
     CAPTURE(index, error);
     site.faults.clear();
     const std::uint64_t injected = site.faults.injected();
     const std::size_t sent = site.sent();
     const std::size_t answered = site.answered();
-    site.faults.add({tried.call, error, tried.part, tried.side});
-    site.load(40, 3);
+    site.faults.add({test_case.call, error, test_case.fraction, test_case.side});
+    site.run_requests(40, 3);
     CHECK(site.faults.injected() > injected);
     CHECK(site.sent() >= sent + 40);
     CHECK(site.answered() - answered == site.sent() - sent);
   }
   site.faults.clear();
   const std::size_t served = site.served();
-  site.load(10, 2);
+  site.run_requests(10, 2);
   CHECK(site.served() - served == 20);
-  CHECK(site.descriptors() <= descriptors + 3);  // one connection to a replica more, each
-  CHECK(site.end(SIGTERM) == 0);
+  CHECK(site.descriptors() <= descriptors + 3);  // one more connection to each replica
+  CHECK(site.stop(SIGTERM) == 0);
 }
 
-TEST_CASE("a router's own lack of sockets counts as no replica's failure") {
+TEST_CASE("a lack of sockets in the router is not counted as a failure of a replica") {
   const Fault fault = GENERATE(Fault{.call = SystemCall::connect, .error = EADDRNOTAVAIL},
                                Fault{.call = SystemCall::connect, .error = EAGAIN},
                                Fault{.call = SystemCall::connect, .error = ENOBUFS},
@@ -89,39 +91,39 @@
                                Fault{.call = SystemCall::socket, .error = ENOBUFS});
   CAPTURE(fault.error);
   FaultySite site(1);
-  site.load(10, 1);
+  site.run_requests(10, 1);
   REQUIRE(site.served() == 10);
-  run_until([] { return false; }, kConnectionsAreOver);  // no connection is left
+  run_until([] { return false; }, kConnectionCloseTime);  // all connections to replicas are closed
   site.faults.add(fault);
-  site.load(60, 1);
+  site.run_requests(60, 1);
   CHECK(site.faults.injected() > 0);
   CHECK(site.answered() == 70);
   const std::size_t served = site.served();
   CHECK(served < 20);
   site.faults.clear();
-  site.load(60, 1);
+  site.run_requests(60, 1);
   CHECK(site.served() - served == 60);
 }
 
-TEST_CASE("each request gets its answer while all system calls fail now and then") {
-  constexpr double kPart = 0.15;  // of what each case has alone
-  for (int seed = 1; seed <= scripts(); ++seed) {
+TEST_CASE("each request gets its answer while all system calls fail occasionally") {
+  constexpr double kCaseFraction = 0.15;  // multiplies the fraction that each case has alone
+  for (int seed = 1; seed <= script_count(); ++seed) {
     CAPTURE(seed);
     FaultySite site(static_cast<std::uint64_t>(seed));
-    site.load(10, 2);
+    site.run_requests(10, 2);
     REQUIRE(site.served() == 20);
     for (std::size_t i = 0; i < cases().size(); ++i) {
-      const Case& one = cases()[i];
-      const int error = one.errors[(static_cast<std::size_t>(seed) + i) % one.errors.size()];
-      site.faults.add({one.call, error, kPart * one.part, one.side});
+      const Case& test_case = cases()[i];
+      const int error = test_case.errors[(static_cast<std::size_t>(seed) + i) % test_case.errors.size()];
+      site.faults.add({test_case.call, error, kCaseFraction * test_case.fraction, test_case.side});
     }
-    site.load(60, 3);
+    site.run_requests(60, 3);
     CHECK(site.faults.injected() > 0);
     CHECK(site.answered() == site.sent());
     site.faults.clear();
     const std::size_t served = site.served();
-    site.load(10, 2);
+    site.run_requests(10, 2);
     CHECK(site.served() - served == 20);
-    CHECK(site.end(SIGTERM) == 0);
+    CHECK(site.stop(SIGTERM) == 0);
   }
 }
--- a/tests/support/test_main.cpp
+++ b/tests/support/test_main.cpp
@@ -1,4 +1,5 @@
-// Catch2's own main, but with rapidcheck's seed fixed: the same cases, and so the same verdict, every time.
+// Main function for Catch2 that fixes rapidcheck's seed, so that every run has the same cases and the same
+// result.
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
 #include <cstdlib>
