--- a/tests/architecture_test.py
+++ b/tests/architecture_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Holds docs/architecture.md against the sources: each module's includes are those of its row, and there is no cycle.
+"""Compares docs/architecture.md with the sources: each module includes the modules of its row and no others, and there is no cycle.
 
     tests/architecture_test.py REPOSITORY
 """
@@ -26,7 +26,7 @@
 
 
 def module_of(source, root):
-    """The module of a source file, or None for what lies in no module."""
+    """The module of a source file, or the file's own name without suffix for a file directly in src/."""
     parts = source.relative_to(root).parts
     if parts[0] == "include":
         return PUBLIC_HEADERS
@@ -71,18 +71,18 @@
 
 def main(root):
     allowed, uses = documented(root / "docs" / "architecture.md"), included(root)
-    faults = [f"{module}: has no row in docs/architecture.md" for module in sorted(uses.keys() - allowed.keys())]
-    faults += [f"{module}: has a row and no source" for module in sorted(allowed.keys() - uses.keys())]
+    findings = [f"{module}: has no row in docs/architecture.md" for module in sorted(uses.keys() - allowed.keys())]
+    findings += [f"{module}: has a row and no source" for module in sorted(allowed.keys() - uses.keys())]
     for module in sorted(uses.keys() & allowed.keys()):
-        faults += [f"{module}: includes {used}, which its row does not name" for used in sorted(uses[module] - allowed[module])]
-        faults += [f"{module}: its row names {used}, which it does not include" for used in sorted(allowed[module] - uses[module])]
+        findings += [f"{module}: includes {used}, which its row does not name" for used in sorted(uses[module] - allowed[module])]
+        findings += [f"{module}: its row names {used}, which it does not include" for used in sorted(allowed[module] - uses[module])]
     cycle = find_cycle(uses)
     if cycle:
-        faults.append("cycle: " + " -> ".join(cycle))
+        findings.append("cycle: " + " -> ".join(cycle))
     stray = [str(path.relative_to(root)) for path in root.glob("src/*") if path.is_file() and path.name != "main.cpp"]
-    faults += [f"{name}: stands free in src/" for name in stray]
-    print("\n".join(faults) if faults else f"{len(uses)} modules as documented, no cycle")
-    return 1 if faults else 0
+    findings += [f"{name}: lies in src/ itself, but only main.cpp may" for name in stray]
+    print("\n".join(findings) if findings else f"{len(uses)} modules as documented, no cycle")
+    return 1 if findings else 0
 
 
 if __name__ == "__main__":
--- a/tests/external_names_test.py
+++ b/tests/external_names_test.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""Holds the names that leave the process against the sources.
+"""Checks that the names that leave the process are in the sources.
 
     tests/external_names_test.py REPOSITORY
 
 tests/external_names.txt has one name a line: fields and values of messages, keys of settings and scenarios, commands, options,
 environment variables, metrics, log fields, names of stored tables and files. Clients, peers, operators and stored data rely on
-them, so each must stand in the sources letter for letter: as a whole string literal, as a key within one (`name=` or `"name":`),
-or, in a build file or a script, as a whole word. A name with a space is part of a text and must stand within one literal.
+them, so each must be in the sources letter for letter: as a whole string literal, as a key within one (`name=` or `"name":`),
+or, in a build file or a script, as a whole word. A name with a space is a fragment of a text and must be within one literal.
 """
 import pathlib
 import re
@@ -34,7 +34,7 @@
 
 
 def names_in_sources(root):
-    """(names, literals): what stands as a name of its own, and every literal of src/ and include/."""
+    """(names, literals): the whole literals, keys and words that count as names, and every literal of src/ and include/."""
     literals = {text for path in tracked_files(root, "src/*.cpp", "src/*.hpp", "include/*.hpp") for text in literals_of(path)}
     names = set(literals)
     for text in literals:
@@ -47,12 +47,12 @@
 def main(root):
     names, literals = names_in_sources(root)
     listed = (root / "tests" / "external_names.txt").read_text().splitlines()
-    wanted = [line for line in listed if line]
-    findings = [f"tests/external_names.txt: '{name}' is not in the sources" for name in wanted
+    expected = [line for line in listed if line]
+    findings = [f"tests/external_names.txt: '{name}' is not in the sources" for name in expected
                 if name not in names and not (" " in name and any(name in text for text in literals))]
-    findings += [f"tests/external_names.txt: '{name}' is listed twice" for name in {n for n in wanted if wanted.count(n) > 1}]
-    print("\n".join(findings) or f"{len(wanted)} names that leave the process are in the sources")
-    return 1 if findings or not wanted else 0
+    findings += [f"tests/external_names.txt: '{name}' is listed twice" for name in {n for n in expected if expected.count(n) > 1}]
+    print("\n".join(findings) or f"{len(expected)} names that leave the process are in the sources")
+    return 1 if findings or not expected else 0
 
 
 if __name__ == "__main__":
--- a/tests/fleet_counts_test.py
+++ b/tests/fleet_counts_test.py
@@ -1,4 +1,4 @@
-"""scripts/fleet_counts on a short made-up log of two routers, one of them restarted, with new and old trace lines."""
+"""Runs scripts/fleet_counts on short invented logs of two routers, one of them restarted, with trace lines of the current and of earlier versions."""
 import pathlib
 import subprocess
 import sys
@@ -23,7 +23,7 @@
 0.100 debug trace: reject at=1150000 request=1 retry_after=200000
 0.200 debug trace: message_sent at=1200000 peer=4294967295 bytes=7
 """
-# The same in the words of versions before the renaming of the trace lines.
+# The same events with the names that trace lines had in earlier versions.
 OLD_FIRST = """0.000 info main: n0 serves on 10.0.0.1:9000, 756 descriptors, 2 targets known
 0.000 debug trace: list at=1000000 scope=cached entries=2
 0.000 debug trace: entry at=1000000 box=s-1 state=ready started=0 zone=0 kind=0 weight=1
@@ -80,6 +80,6 @@
 
 new = check_counts(FIRST, SECOND)
 old = check_counts(OLD_FIRST, OLD_SECOND)
-mixed = check_counts(OLD_FIRST, SECOND)  # a fleet in the middle of an upgrade
+mixed = check_counts(OLD_FIRST, SECOND)  # a fleet during an upgrade
 assert new == old == mixed, (new, old, mixed)
 print("3 passed, 0 failed")
--- a/tests/log_catalogue_test.py
+++ b/tests/log_catalogue_test.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Holds the catalogue of log lines in docs/oncall.md against the sources, in both directions.
+"""Compares the catalogue of log lines in docs/oncall.md with the sources, in both directions.
 
     tests/log_catalogue_test.py REPOSITORY
 
 Every log line of src/ must have a row with its part, text and level, and every row must have a line. In a row,
-a word in capitals stands for a value, and [brackets] enclose what is not always there.
+a word in capitals stands for a value, and [brackets] enclose an optional fragment.
 """
 import itertools
 import pathlib
@@ -21,11 +21,11 @@
 ROW = re.compile(r"^\| `(\w+)` \| `(.*?)` \| ([a-z, ]+) \| [^|]+ \| [^|]+ \|$")
 LEVEL = re.compile(r"(?:Level|Severity)::(\w+)")
 
-# What begins a line, in whatever form; each has to be one that CALL reads.
+# The beginning of every call that writes a log line; CALL must match each of them.
 ANY_CALL = re.compile(r"logging::(?:debug|info|warning|error)\(|logging::Line(?:\s+\w+)?\(|"
                       r"using (?:namespace )?(?:\w+::)*logging(?:::(?:debug|info|warning|error|Line))?;|namespace \w+ = [\w:]*logging;")
 
-# Functions that write texts made elsewhere; what makes the texts is read instead.
+# Functions that write texts of their callers. The functions that compose the texts are read instead.
 FORWARDERS = {
     ("src/node/cluster_replication.cpp", "write_log"),
     ("src/node/cluster.cpp", "log_change"),
@@ -53,7 +53,7 @@
 
 
 def alternatives(operand):
-    """What an operand contributes to a text: a list of alternatives, each a literal or GAP."""
+    """The alternatives that an operand may contribute to a text, each a literal or GAP."""
     operand = operand.strip()
     literal = LITERAL.fullmatch(operand)
     if literal:
@@ -89,7 +89,7 @@
         return heads[-1] if heads else ""
 
     def unread_calls(self):
-        """How many calls of the log have a form that this test does not read."""
+        """The number of log calls in a form that this test cannot read."""
         return len(ANY_CALL.findall(self.text)) - len(CALL.findall(self.text))
 
     def add(self, part, levels, operands):
@@ -118,7 +118,7 @@
         return LEVEL.findall(definitions[-1])
 
     def add_variable(self, part, levels, call):
-        """A line in a variable: what the statements until the end of the function stream into it."""
+        """Reads a line in a variable: all operands that are streamed into it until the end of the function."""
         variants = [[]]
         body = self.text[call.end():self.text.index("\n}", call.end())]
         for statement in body.split(";"):
@@ -196,20 +196,20 @@
             source = Source(path, root)
             lines += [(source.name, *line) for line in source.lines]
             if source.unread_calls():
-                unread.append(f"{source.name}: has calls of the log in a form that this test does not read")
+                unread.append(f"{source.name}: has log calls in a form that this test cannot read")
     rows, faults = rows_of(root / "docs" / "oncall.md")
     faults += unread
-    wanted = [(part, levels, variant) for part, levels, text in rows for variant in variants(text)]
+    expected = [(part, levels, variant) for part, levels, text in rows for variant in variants(text)]
     used = set()
     for name, part, levels, text in lines:
         pattern = pattern_of(text)
-        found = {row for row in wanted if row[:2] == (part, levels) and pattern.fullmatch(row[2])}
+        found = {row for row in expected if row[:2] == (part, levels) and pattern.fullmatch(row[2])}
         used |= found
         if not found:
             faults.append(f"{name}: has no row in docs/oncall.md: {', '.join(sorted(levels))} {part}: {readable(text)}")
     faults += [f"docs/oncall.md: no source writes: {', '.join(sorted(levels))} {part}: {text}"
-               for part, levels, text in wanted if (part, levels, text) not in used]
-    print("\n".join(faults) if faults else f"{len(lines)} texts of log lines, {len(rows)} rows: none is missing")
+               for part, levels, text in expected if (part, levels, text) not in used]
+    print("\n".join(faults) if faults else f"{len(lines)} texts of log lines, {len(rows)} rows: all match")
     return 1 if faults else 0
 
 
--- a/tests/test_titles_test.py
+++ b/tests/test_titles_test.py
@@ -3,8 +3,8 @@
 
     tests/test_titles_test.py REPOSITORY
 
-CMake takes a semicolon for the end of a list's item: ctest would ask the test program for a title that no test has, and
-the program, which runs nothing then, would count as passed.
+CMake separates list items by semicolons, so ctest would ask the test program for a title that no test has. The program
+would run no test and count as passed.
 """
 import pathlib
 import re
--- a/tests/vocabulary_test.py
+++ b/tests/vocabulary_test.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Fails on words that were given up for the terms of the glossary in docs/architecture.md.
+"""Fails on words that were replaced by the terms of the glossary in docs/architecture.md.
 
     tests/vocabulary_test.py REPOSITORY
 
 Sources, tests and pages are searched line by line, whole words in any case; data that tests record is not. tests/vocabulary.txt has
 
     word | the term in its place
-    allow | word | path prefix | reason    a file format, a wire, a command or a page of the operators keeps the word
-    left | word | path | count             as many places of a file that nobody has reworded yet, at most
+    allow | word | path prefix | reason    the word stays in a file format, a protocol, a command or an operators' page
+    left | word | path | count             maximum number of places in a file that is not reworded yet
 
-An allowed or left place that has the word no longer is an error, too, so that the list only gets shorter.
+An allowed or left place that no longer has the word is also an error, so that the list only gets shorter.
 """
 import collections
 import pathlib
@@ -78,7 +78,7 @@
                  for word, prefix in allowed if (word, prefix) not in used]
     findings += [f"tests/vocabulary.txt: '{word}' is left in {name}, which does not have it"
                  for word, name in left if (word, name) not in places]
-    print("\n".join(findings) or f"{len(terms)} words that were given up: {len(allowed)} rules keep one, {sum(left.values())} places are left")
+    print("\n".join(findings) or f"{len(terms)} replaced words: {len(allowed)} rules allow one, {sum(left.values())} places are left")
     return 1 if findings else 0
 
 
