--- a/tests/group/processes.cpp
+++ b/tests/group/processes.cpp
@@ -309,7 +309,8 @@
     INFO(errors);
     CHECK(errors.find(expected) != std::string::npos);
   }
-  CHECK(error_of("[[router]]\nname = \"r1\"\n").find("there is no [group]") != std::string::npos);
+  CHECK(error_of("[[router]]\nname = \"r1\"\n").find("needs a [group], and the file has none") !=
+        std::string::npos);
   CHECK_THROWS_WITH(read_fault_script(file("[rig]\nrouters = 2\nsites = 3\n[[fault]]\nat_s = 1\nkind = "
                                            "\"eat\"\n[[fault]]\nkind = \"kill\"\nrouters = [7]\n")),
                     Catch::Contains(":3: rig.sites") && Catch::Contains(":6: fault.kind: 'eat'") &&
